--- a/packages/controller/src/completer.ts
+++ b/packages/controller/src/completer.ts
@@ -1,4 +1,5 @@
 import type { Guard, Write } from '@tealdock/wire';
+import { rank } from '@tealdock/scheduler';
 import type { JobEnd } from './job-graph.js';
 import { endedKey, endedValue, progressEntry, specKey, type EndedValue } from './keys.js';
 import type { Leadership } from './leadership.js';
@@ -68,13 +69,29 @@
 
   /** As many as one transaction takes. */
   private endings(): Ending[] {
-    const batch: Ending[] = [];
     const most = Math.floor(this.rt.settings.state.txnOps / 2);
+    return this.jobsToEnd()
+      .slice(0, most)
+      .map((job) => this.ending(job));
+  }
+
+  /**
+   * Jobs that other jobs wait for come first, the most urgent of them before the rest: where
+   * the state service allows few changes, ends queue up, and a release waits for its end.
+   * Cancelled dependents come last, since a node that is asked about one ends it by itself.
+   */
+  private jobsToEnd(): LiveJob[] {
+    const awaited: LiveJob[] = [];
+    const done: LiveJob[] = [];
+    const cancelled: LiveJob[] = [];
     for (const job of this.term.jobs.values()) {
-      if (batch.length === most) break;
-      if (job.complete || job.doomed) batch.push(this.ending(job));
+      if (job.doomed) cancelled.push(job);
+      else if (!job.complete) continue;
+      else if (this.term.graph.isAwaited(job.id)) awaited.push(job);
+      else done.push(job);
     }
-    return batch;
+    awaited.sort(byUrgency);
+    return [...awaited, ...done, ...cancelled];
   }
 
   private ended(job: LiveJob, end: JobEnd): void {
@@ -128,3 +145,10 @@
     };
   }
 }
+
+/** The higher priority first, then the earlier due time; both include those of dependents. */
+function byUrgency(a: LiveJob, b: LiveJob): number {
+  const byPriority = rank(b.spec) - rank(a.spec);
+  if (byPriority !== 0 || a.finishBy === b.finishBy) return byPriority;
+  return a.finishBy - b.finishBy;
+}
--- a/packages/controller/src/job-graph.ts
+++ b/packages/controller/src/job-graph.ts
@@ -63,6 +63,11 @@
     else this.ask(job.id);
   }
 
+  /** True while some live job waits for the end of this one. */
+  isAwaited(id: string): boolean {
+    return (this.dependents.get(id)?.size ?? 0) > 0;
+  }
+
   /** Priorities and deadlines along the chains, made anew where a chain has changed. */
   weigh(): void {
     if (!this.changed) return;
--- a/packages/testing/src/chains.test.ts
+++ b/packages/testing/src/chains.test.ts
@@ -79,6 +79,35 @@
   keepsRules(world);
 });
 
+// Few changes a second: ends queue up after a change of leader, and dependents wait for theirs.
+test('ends that other jobs wait for are committed first, those of cancelled dependents last', () => {
+  const [plain, awaited, urgent, cancelled, behind] = [1, 6, 7, 8, 9];
+  const world = settled({ capacity: 4, runTime: 3000, next: { txnOps: 2, valueBytes: 4096 } }, 4);
+  world.stateFault = (_node, call) =>
+    call.writes >= 2 && JSON.stringify(call.body).includes('"done"') ? 'lost_before' : undefined;
+  submitted(world, cancelled, { expected_s: 500 });
+  for (let n = plain; n < awaited; n++) submitted(world, n, { batch: 1 });
+  submitted(world, awaited, { batch: 1 });
+  submitted(world, urgent, { batch: 1 });
+  submitted(world, 20, { batch: 1, ...after(awaited) });
+  submitted(world, 21, { batch: 1, urgency: 'urgent', ...after(urgent) });
+  submitted(world, behind, { batch: 1, ...after(cancelled) });
+  const ran = (n: number) => world.checker.doneTasks(idOf(n)).size === 1;
+  assert.ok(world.runUntil(() => [1, 2, 3, 4, 5, awaited, urgent].every(ran), 60_000));
+  world.cancel(idOf(cancelled), others(world)[0]!);
+  world.run(150);
+  world.stateFault = null;
+  world.run(8000);
+  const endedAt = (n: number) => world.state.keys.get(`tealdock/ended/${idOf(n)}`)?.stamp ?? NaN;
+  const order = [urgent, awaited, 1, 2, 3, 4, 5, behind].map(endedAt);
+  assert.deepEqual(
+    order,
+    [...order].sort((a, b) => a - b),
+  );
+  assert.ok(finished(world, idOf(20)) && finished(world, idOf(21)));
+  keepsRules(world);
+});
+
 test('cancel against done of a predecessor on two nodes: what follows it agrees', () => {
   for (let moment = 0; moment <= 800; moment += 100) {
     const world = settled({ runTime: 3000 }, 1);
