--- a/packages/controller/src/completer.ts
+++ b/packages/controller/src/completer.ts
@@ -1,6 +1,6 @@
 import type { Guard, Write } from '@tealdock/wire';
 import { rank } from '@tealdock/scheduler';
-import type { JobEnd } from './job-graph.js';
+import { endOf, type JobEnd } from './job-graph.js';
 import { endedKey, endedValue, progressEntry, specKey, type EndedValue } from './keys.js';
 import type { Leadership } from './leadership.js';
 import type { LiveJob } from './live-job.js';
@@ -61,7 +61,9 @@
       this.busy = false;
       if (committed.kind === 'conflict') this.reconcile(batch);
       if (committed.kind !== 'ok') return;
-      for (const e of batch) this.ended(e.job, e.value);
+      for (const { job, value } of batch) {
+        this.ended(job, { ...value, revision: committed.revision });
+      }
       // Others may wait for the next end.
       if (!this.term.closed && this.leadership.held()) this.flush();
     });
@@ -127,7 +129,7 @@
   private reconcile(batch: Ending[]): void {
     for (const { job } of batch) {
       this.state.get(endedKey(job.id), PRIORITY.leader, (got) => {
-        if (got.kind === 'found') this.ended(job, got.item.value as EndedValue);
+        if (got.kind === 'found') this.ended(job, endOf(got.item));
       });
     }
   }
--- a/packages/controller/src/job-graph.ts
+++ b/packages/controller/src/job-graph.ts
@@ -1,4 +1,4 @@
-import { predecessorsOf, type Instant } from '@tealdock/wire';
+import { predecessorsOf, type Instant, type StateItem } from '@tealdock/wire';
 import { chainDemands, type ChainJob } from '@tealdock/scheduler';
 import { endedKey, type EndedValue } from './keys.js';
 import type { LiveJob } from './live-job.js';
@@ -11,7 +11,10 @@
 const MOST_READS = 12;
 
 /** The end of a job as its key says, or as this leader has committed it. */
-export type JobEnd = Pick<EndedValue, 'state' | 'at'>;
+export interface JobEnd extends Pick<EndedValue, 'state' | 'at'> {
+  /** Revision of the commit that wrote the ended key. */
+  revision: number;
+}
 
 /** What it has to know of a term. */
 interface Jobs {
@@ -105,7 +108,7 @@
       this.reading++;
       this.state.get(endedKey(id), PRIORITY.leader, (got) => {
         this.reading--;
-        if (got.kind === 'found') this.settle(id, got.item.value as EndedValue);
+        if (got.kind === 'found') this.settle(id, endOf(got.item));
         // It was accepted, so it is live: news of that may still be on its way.
         else if (got.kind === 'failed' || !this.term.jobs.has(id)) this.askLater(id);
         this.read();
@@ -125,14 +128,15 @@
     this.changed = true;
     for (const job of waiting ?? []) {
       if (end.state === 'cancelled') this.doom(job);
-      else this.noteDone(job, id, end.at);
+      else this.noteDone(job, id, end);
     }
   }
 
   /** Released when the last of them was done; a take-over finds the same moment again. */
-  private noteDone(job: LiveJob, predecessor: string, at: number | undefined): void {
+  private noteDone(job: LiveJob, predecessor: string, end: JobEnd): void {
     job.waitsFor.delete(predecessor);
-    job.lastDone = Math.max(job.lastDone, this.steady(at ?? -Infinity));
+    job.lastDone = Math.max(job.lastDone, this.steady(end.at ?? -Infinity));
+    job.startableSince = Math.max(job.startableSince, end.revision);
     if (job.waitsFor.size > 0 || job.doomed) return;
     job.released = Math.max(job.submitted, job.lastDone);
     const ago = Math.round(this.rt.now - job.released);
@@ -152,3 +156,9 @@
     }
   }
 }
+
+/** What an ended key says, with the revision that wrote it. */
+export function endOf(item: StateItem): JobEnd {
+  const { state, at } = item.value as EndedValue;
+  return { state, at, revision: item.version };
+}
--- a/packages/controller/src/live-job.ts
+++ b/packages/controller/src/live-job.ts
@@ -36,6 +36,11 @@
   released: Instant | null;
   /** When the last of its predecessors that are known to be done was. */
   lastDone: Instant = -Infinity;
+  /**
+   * Before this revision no leader can have started a task of it: its own key, or the ended
+   * key of a predecessor, was written then.
+   */
+  startableSince: number;
   /** A job that it needs was cancelled: it never starts and ends as cancelled. */
   doomed = false;
   /** When its end is due for the sake of all that need it, and for its own. */
@@ -55,6 +60,7 @@
     readonly submitted: Instant,
   ) {
     this.spec = accepted;
+    this.startableSince = version;
     this.bits = new Uint8Array(Math.ceil(accepted.taskCount / 8));
     this.waitsFor = new Set(predecessorsOf(accepted));
     this.released = this.waitsFor.size === 0 ? submitted : null;
--- a/packages/controller/src/term.ts
+++ b/packages/controller/src/term.ts
@@ -150,11 +150,12 @@
   }
 
   /**
-   * Placing waits until the roster is accounted for. A job committed after this
-   * term's token is an exception: no older term can have started any of it.
+   * Placing waits until the roster is accounted for. A job that was committed, or of which a
+   * predecessor ended, after this term's token is an exception: no older term can have
+   * started any of it (docs/safety.md, Rebuild).
    */
   mayPlace(job: LiveJob, ready: boolean): boolean {
-    return ready || (this.settled && job.version > this.token);
+    return ready || (this.settled && job.startableSince > this.token);
   }
 
   start(): void {
--- a/packages/testing/src/chains.test.ts
+++ b/packages/testing/src/chains.test.ts
@@ -302,6 +302,38 @@
   keepsRules(world);
 });
 
+// Its predecessor's end is newer than the term, so no older leader can have started it.
+test('a job released within a term is placed before the whole roster is known, others are not', () => {
+  const world = settled({
+    capacity: 4,
+    runTimeOf: (p) => (p.startsWith(A) ? 20_000 : p.startsWith(idOf(3)) ? 1000 : 40_000),
+  });
+  submitted(world, 1, { batch: 1 });
+  submitted(world, 2, { batch: 1, urgency: 'urgent', ...after(1) });
+  submitted(world, 3, { batch: 1 });
+  submitted(world, 4, { batch: 30, ...after(3) });
+  assert.ok(world.runUntil(() => begun(world, 4), 20_000));
+  const lost = [...world.workers.values()].find((w) => !w.tasks.some((t) => t.piece.startsWith(A)));
+  world.cuts.add(lost!.machine.id);
+  const from = world.log.length;
+  crashLeader(world);
+  assert.ok(world.runUntil(() => begun(world, 2), 40_000));
+  const term = world.log.slice(from);
+  assert.ok(!term.some((l) => l.message === 'roster accounted for'), 'one machine is still open');
+  const earlier = term.filter(
+    (l) => l.message === 'start sent' && String(l.fields['task']).startsWith(idOf(4)),
+  );
+  const since = term.findIndex((l) => l.message === 'leading');
+  assert.deepEqual(
+    earlier.filter((l) => term.indexOf(l) > since),
+    [],
+    'a job released before the term waits for the roster',
+  );
+  world.calm();
+  assert.ok(finished(world, idOf(4), 300_000));
+  keepsRules(world);
+});
+
 test('the moment of release is the same for a later leader', () => {
   const world = settled({ capacity: 1, runTimeOf: (p) => (p.startsWith(A) ? 3000 : 60_000) }, 1);
   submitted(world, 1, { batch: 1 });
