--- /dev/null
+++ b/packages/testing/src/guards.test.ts
@@ -0,0 +1,108 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import type { Call } from '@tealdock/controller';
+import { World, job } from './index.js';
+import { A, ask, finished, keepsRules, others, running, settled, status } from './story.js';
+
+const idOf = (n: number): string => `run-${String(n).padStart(6, '0')}`;
+
+/** Keys that a transaction writes. */
+function writtenKeys(call: Call): string[] {
+  if (call.path !== '/commit') return [];
+  const { writes } = call.body as { writes: { write?: string }[] };
+  return writes.flatMap(({ write }) => write ?? []);
+}
+
+test('progress takes at most its share of the changes per second', () => {
+  const [writeRps, seconds] = [16, 30];
+  const world = settled(
+    {
+      capacity: 40,
+      cpuLimit: 10_000,
+      next: { valueBytes: 1024, txnOps: 4 },
+      limits: { sockets: 4000, rps: 400, writeRps },
+      // The tasks of each job end one after the other, and all jobs have some that end.
+      runTimeOf: (p) => 6000 + Number(p.split('/')[1]) * 3500 + (Number(p.slice(4, 10)) % 7) * 400,
+    },
+    40,
+  );
+  const jobs = Array.from({ length: 120 }, (_, i) => i + 1);
+  for (const n of jobs) {
+    world.submit(job(n, { batch: 10, cpus: 0.1, mem_gb: 0.1 }), world.nodes[n % 3]!);
+    world.run(150);
+  }
+  let changes = 0;
+  world.stateFault = (_node, call) => {
+    changes += writtenKeys(call).filter((key) => key.includes('/progress/')).length;
+    return undefined;
+  };
+  world.run(seconds * 1000);
+  assert.ok(changes > seconds / 2, `${changes} changes: progress is written`);
+  // An eighth of the changes, and one transaction that was due as the count began.
+  const most = (seconds * writeRps) / 8 + 4;
+  assert.ok(changes <= most, `${changes} changes of progress in ${seconds} s, ${most} allowed`);
+  world.stateFault = null;
+  for (const n of jobs) assert.ok(finished(world, idOf(n), 300_000), idOf(n));
+  keepsRules(world);
+});
+
+// Its conditions are all that is left between a cancellation under way and a job that ends.
+test('a cancellation carried out after the end of its job changes nothing', () => {
+  for (const delay of [1500, 4000, 9000]) {
+    const world = settled({ runTime: 3000 });
+    world.submit(job(1, { batch: 1 }), 'n-0');
+    const exited = () => world.checker.doneTasks(A).size === 1;
+    const [b, c] = others(world);
+    world.stateFault = (node, call) =>
+      node === b && writtenKeys(call).some((key) => key.includes('/ended/')) ? delay : undefined;
+    world.runUntil(() => running(world) === 1, 20_000);
+    world.run(2000);
+    world.cancel(A, b!);
+    assert.ok(world.runUntil(exited, 20_000));
+    assert.ok(finished(world, A), 'it ended as done');
+    const ended = world.state.keys.get(`tealdock/ended/${A}`);
+    world.run(delay + 2000);
+    world.stateFault = null;
+    assert.deepEqual(world.state.keys.get(`tealdock/ended/${A}`), ended);
+    for (const n of [b!, c!, world.leader()!]) {
+      assert.equal(status(ask(world, (d) => world.poll(A, n, d))), 'done');
+    }
+    keepsRules(world);
+  }
+});
+
+/** A zone whose workers are kept by a follower, which can't tell how their jobs stand. */
+function keptWithoutProofs(): { world: World; follower: string; near: string } {
+  const world = settled({ capacity: 4, runTime: 120_000 }, 4);
+  world.submit(job(1, { batch: 10, expected_s: 120 }), 'n-0');
+  assert.ok(world.runUntil(() => running(world) === 10, 20_000));
+  const [follower, near] = others(world) as [string, string];
+  const machines = [...world.workers.values()].filter((w) => w.machine.zone === 'b');
+  world.part([follower, ...machines.map((w) => w.machine.id)]);
+  world.run(15_000);
+  const aboutJobs = ({ path, body }: Call): boolean =>
+    path.startsWith('/keys/tealdock/live/') || JSON.stringify(body ?? '').includes('/live/');
+  world.stateFault = (node, call) =>
+    node === follower && aboutJobs(call) ? 'lost_before' : undefined;
+  return { world, follower, near };
+}
+
+test('a proof that fails under a grant renews no lease of a cancelled task', () => {
+  const { world, near } = keptWithoutProofs();
+  assert.equal(status(ask(world, (d) => world.cancel(A, near, d))), 'aborted');
+  world.run(world.terms.cancelWithin + 10_000);
+  assert.equal(running(world), 0);
+  keepsRules(world);
+});
+
+test('a proof that fails under a grant stops no task of a live job', () => {
+  const { world } = keptWithoutProofs();
+  world.run(world.lease / 2);
+  world.stateFault = null;
+  world.run(15_000);
+  assert.equal(running(world), 10, 'all tasks run on');
+  assert.equal(world.checker.starts, 10);
+  world.cuts.clear();
+  assert.ok(finished(world, A, 200_000));
+  keepsRules(world);
+});
