--- a/packages/adapters/src/call-gates.ts
+++ b/packages/adapters/src/call-gates.ts
@@ -18,16 +18,23 @@
   private readonly stateCalls: TokenBucket;
   private readonly stateWrites: TokenBucket;
   private readonly cloudCalls: TokenBucket;
+  private readonly state: Settings['state'];
 
   constructor(
     { state, cloud }: Pick<Settings, 'state' | 'cloud'>,
     private readonly clock: Clock,
   ) {
+    this.state = state;
     this.stateCalls = this.bucket(state.rps * STATE_PART);
     this.stateWrites = this.bucket(state.writeRps * STATE_PART, state.txnOps);
     this.cloudCalls = this.bucket(cloud.rps * CLOUD_PART);
   }
 
+  /** Which part of the state service's changes per second this node may use from now on. */
+  shareWrites(part: number): void {
+    this.stateWrites.setRate(this.state.writeRps * part);
+  }
+
   /** Sends the call once there are tokens for it, or drops it unsent when that takes too long. */
   pass(call: Call, send: () => void, drop: () => void): void {
     const patience = call.timeout * WAIT_PART;
--- a/packages/adapters/src/service.ts
+++ b/packages/adapters/src/service.ts
@@ -142,6 +142,7 @@
       const { leader, token, stateOk } = effect;
       this.peers.beat(this.parts.settings.member, leader, token, stateOk);
     } else if (effect.kind === 'tell') this.peers.tell(effect.message);
+    else if (effect.kind === 'share_writes') this.gates.shareWrites(effect.part);
     else this.call(effect.id, effect.call);
   }
 
--- a/packages/adapters/src/token-bucket.ts
+++ b/packages/adapters/src/token-bucket.ts
@@ -22,7 +22,7 @@
   private asleep = false;
 
   constructor(
-    private readonly rate: number,
+    private rate: number,
     private readonly burst: number,
     private readonly now: () => Instant,
     private readonly wake: (delay: number, run: () => void) => void,
@@ -31,6 +31,12 @@
     this.filled = now();
   }
 
+  /** Tokens per second from now on; the burst stays as it is. */
+  setRate(rate: number): void {
+    this.fill();
+    this.rate = rate;
+  }
+
   take(cost: number, priority: number, patience: number, run: () => void, drop: () => void): void {
     if (cost === 0) return run();
     const entry = { cost, priority, expires: this.now() + patience, run, drop };
--- a/packages/controller/src/completer.ts
+++ b/packages/controller/src/completer.ts
@@ -30,6 +30,8 @@
  */
 export class Completer {
   private busy = false;
+  /** Jobs whose tasks are all done, in the order in which that was seen. */
+  private readonly completed = new Set<LiveJob>();
 
   constructor(
     private readonly rt: Runtime,
@@ -80,20 +82,23 @@
   /**
    * Jobs that other jobs wait for come first, the most urgent of them before the rest: where
    * the state service allows few changes, ends queue up, and a release waits for its end.
+   * The others follow in the order in which they were completed, so that none waits for long.
    * Cancelled dependents come last, since a node that is asked about one ends it by itself.
    */
   private jobsToEnd(): LiveJob[] {
-    const awaited: LiveJob[] = [];
-    const done: LiveJob[] = [];
     const cancelled: LiveJob[] = [];
     for (const job of this.term.jobs.values()) {
       if (job.doomed) cancelled.push(job);
-      else if (!job.complete) continue;
+      else if (job.complete) this.completed.add(job);
+    }
+    const awaited: LiveJob[] = [];
+    const others: LiveJob[] = [];
+    for (const job of this.completed) {
+      if (this.term.jobs.get(job.id) !== job) this.completed.delete(job);
       else if (this.term.graph.isAwaited(job.id)) awaited.push(job);
-      else done.push(job);
+      else others.push(job);
     }
-    awaited.sort(byUrgency);
-    return [...awaited, ...done, ...cancelled];
+    return [...awaited.sort(byUrgency), ...others, ...cancelled];
   }
 
   private ended(job: LiveJob, end: JobEnd): void {
--- a/packages/controller/src/ports.ts
+++ b/packages/controller/src/ports.ts
@@ -50,7 +50,9 @@
   | { kind: 'reply'; id: number; reply: Reply }
   | { kind: 'call'; id: number; call: Call }
   | { kind: 'beat'; leader: string; token: number; stateOk: boolean }
-  | { kind: 'tell'; message: Told };
+  | { kind: 'tell'; message: Told }
+  /** From now on this node may use that part of the changes per second. */
+  | { kind: 'share_writes'; part: number };
 
 export type LogLevel = 'error' | 'info' | 'debug';
 export type Log = (level: LogLevel, fields: Record<string, unknown>, message: string) => void;
--- a/packages/controller/src/runtime.ts
+++ b/packages/controller/src/runtime.ts
@@ -64,6 +64,10 @@
     this.effects.push({ kind: 'tell', message });
   }
 
+  shareWrites(part: number): void {
+    this.effects.push({ kind: 'share_writes', part });
+  }
+
   settle(id: number, result: CallResult): void {
     const done = this.waiting.get(id);
     this.waiting.delete(id);
--- a/packages/controller/src/term.ts
+++ b/packages/controller/src/term.ts
@@ -35,6 +35,7 @@
 import type { Runtime } from './runtime.js';
 import { Silence } from './silence.js';
 import type { StateStore } from './state-store.js';
+import { WriteShare } from './write-share.js';
 
 const RETRY = 400;
 /** Short, since the send of an answered watch is how far this term surely knows the news. */
@@ -89,6 +90,7 @@
   readonly fetchSharing = new FetchSharing();
   readonly silence: Silence;
   readonly graph: JobGraph;
+  private readonly writeShare: WriteShare;
   readonly roster: PackedTable<RosterEntry>;
   readonly progress: PackedTable<string>;
   /** Machines whose held answer may have got orders. */
@@ -113,6 +115,7 @@
     this.lastReport = rt.now;
     this.silence = new Silence(rt, state, this, (silent) => this.endSilent(silent));
     this.graph = new JobGraph(rt, state, this);
+    this.writeShare = new WriteShare(rt, () => !this.closed);
     this.roster = new PackedTable(rt, state, leadership, ROSTER_PREFIX, {
       gather: JOIN_GATHER,
       lazy: false,
@@ -160,6 +163,7 @@
 
   start(): void {
     this.load();
+    this.writeShare.start();
     this.rt.every(1000, () => {
       if (!this.closed) this.sweep();
       return !this.closed;
@@ -289,6 +293,10 @@
   private jobEvent(event: StateEvent): void {
     const at = splitLiveKey(event.key);
     if (at?.rest !== 'spec') return;
+    const known = this.jobs.get(at.job);
+    // A job that this leader ends is removed by its own commit.
+    const byOthers = !event.removed || (known && !known.complete && !known.doomed);
+    if (byOthers) this.writeShare.note(event);
     if (event.removed) this.endJob(at.job);
     else this.addJob(at.job, event.value, event.version);
   }
--- a/packages/testing/src/guards.test.ts
+++ b/packages/testing/src/guards.test.ts
@@ -46,6 +46,61 @@
   keepsRules(world);
 });
 
+/** Many jobs of one task each that are over at about the same time, under few changes a second. */
+function manyEnds(): { world: World; ids: string[] } {
+  const world = settled(
+    {
+      capacity: 12,
+      cpuLimit: 10_000,
+      runTimeOf: (p) => 70_000 - Number(p.slice(4, 10)) * 500,
+      limits: { sockets: 4000, rps: 200, writeRps: 15 },
+      next: { valueBytes: 4096, txnOps: 4 },
+    },
+    12,
+  );
+  const ids = Array.from({ length: 90 }, (_, i) => idOf(i + 1));
+  for (const n of ids.keys()) {
+    world.submit(job(n + 1, { batch: 1, cpus: 0.1, mem_gb: 0.1 }), world.nodes[n % 3]!);
+    world.run(450);
+  }
+  return { world, ids };
+}
+
+const allRan = (world: World, ids: string[]) => () =>
+  ids.every((id) => world.checker.doneTasks(id).size === 1);
+
+const allEnded = (world: World, ids: string[]) => () =>
+  ids.every((id) => world.state.keys.has(`tealdock/ended/${id}`));
+
+test('the leader uses the changes that the other nodes leave for ends of jobs', () => {
+  const { world, ids } = manyEnds();
+  assert.ok(world.runUntil(allRan(world, ids), 90_000));
+  const from = world.now();
+  assert.ok(world.runUntil(allEnded(world, ids), 60_000));
+  // 90 ends are 180 changes, 24 s of half of 15 a second and 15 s of four fifths.
+  assert.ok(world.now() - from < 17_000, `${world.now() - from} ms`);
+  keepsRules(world);
+});
+
+test('a leader with many ends leaves room for the submissions of the other nodes', () => {
+  const { world, ids } = manyEnds();
+  assert.ok(world.runUntil(() => ids.some((id) => world.checker.doneTasks(id).size > 0), 90_000));
+  const others = world.nodes.filter((n) => n !== world.leader());
+  let refused = 0;
+  for (let i = 0; i < 120; i++) {
+    const over = { batch: 1, cpus: 0.1, mem_gb: 0.1, expected_s: 500 };
+    world.at(i * 180, () =>
+      world.submit(job(1000 + i, over), others[i % 2]!, (r) => {
+        if (r?.status !== 201) refused++;
+      }),
+    );
+  }
+  world.run(40_000);
+  assert.ok(allEnded(world, ids)());
+  assert.equal(refused, 0, 'five submissions a second are all taken at once');
+  keepsRules(world);
+});
+
 // Its conditions are all that is left between a cancellation under way and a job that ends.
 test('a cancellation carried out after the end of its job changes nothing', () => {
   for (const delay of [1500, 4000, 9000]) {
--- a/packages/testing/src/world.ts
+++ b/packages/testing/src/world.ts
@@ -327,6 +327,7 @@
     if (effect.kind === 'reply') this.reply(node, effect.id, effect.reply);
     else if (effect.kind === 'beat') this.beat(node, effect);
     else if (effect.kind === 'tell') this.tell(node, effect.message);
+    else if (effect.kind === 'share_writes') node.gates?.shareWrites(effect.part);
     else {
       const done = (result: CallResult) =>
         this.at(HALF_TRIP, () => this.push(node, { kind: 'result', id: effect.id, result }));
