--- a/packages/controller/src/silence.ts
+++ b/packages/controller/src/silence.ts
@@ -12,6 +12,14 @@
 /** A grant that was asked for this long ago is over; the rest is for clocks that are off. */
 const GRANT_STALE = 60_000;
 
+/**
+ * Grants are read this often while some machine has not been heard for a while: one that is
+ * seen late is taken to have begun late, and puts off the end of all unheard machines' leases.
+ */
+const READ_GRANTS_EVERY = 3000;
+/** Reports that a machine has missed when it counts as not heard for a while. */
+const MISSED_REPORTS = 2;
+
 /** What it has to know of a term. */
 interface Roster {
   readonly machines: ReadonlyMap<string, Machine>;
@@ -30,6 +38,7 @@
   private keptUntil: Instant = -Infinity;
   private readonly grantsSeen = new Map<string, number>();
   private reading = false;
+  private lastRead: Instant = -Infinity;
 
   constructor(
     private readonly rt: Runtime,
@@ -39,9 +48,10 @@
   ) {}
 
   look(): void {
-    if (this.reading || this.silentSince(this.rt.now).length === 0) return;
+    if (this.reading || !this.mustRead()) return;
     this.reading = true;
     const asked = this.rt.now;
+    this.lastRead = asked;
     this.state.readAll(KEEPER_PREFIX, PRIORITY.leader, (grants) => {
       this.reading = false;
       if (!grants || this.roster.closed) return;
@@ -51,6 +61,21 @@
     });
   }
 
+  private mustRead(): boolean {
+    if (this.silentSince(this.rt.now).length > 0) return true;
+    return this.rt.now - this.lastRead >= READ_GRANTS_EVERY && this.missesReports();
+  }
+
+  /** Some machine that matters is late, or has not been heard at all in this term. */
+  private missesReports(): boolean {
+    const late = this.rt.settings.reportEvery * MISSED_REPORTS;
+    for (const m of this.roster.machines.values()) {
+      if (!m.resolved) return true;
+      if (m.bindings.size > 0 && this.rt.now - (m.lastHeard ?? this.rt.now) > late) return true;
+    }
+    return false;
+  }
+
   /** The end of a worker's lease if its last answered report was sent at `sent`. */
   leaseEnd(sent: Instant): Instant {
     return sent + this.rt.settings.workerLease * LEASE_STRETCH + LEASE_MARGIN;
--- a/packages/testing/src/zones.test.ts
+++ b/packages/testing/src/zones.test.ts
@@ -56,6 +56,29 @@
   }
 });
 
+// A grant seen for the first time as a lease runs out is taken to begin then: the roster
+// would stay open for a grant and a lease more, with all older work waiting.
+test('grants that were over long ago do not put off the end of leases', () => {
+  const world = busyWorld();
+  const { machines } = partZones(world);
+  world.run(12_000);
+  assert.ok(world.log.some((l) => l.message === 'grant to keep workers'));
+  // The zone, its controller included, is gone for good, and the leader ends.
+  const from = world.log.length;
+  for (const id of machines) world.cuts.add(id);
+  world.crash(world.leader()!);
+  const ready = () => world.log.slice(from).some((l) => l.message === 'roster accounted for');
+  assert.ok(world.runUntil(ready, 100_000));
+  const took = Number(
+    world.log.slice(from).find((l) => l.message === 'roster accounted for')!.fields['took'],
+  );
+  const grant = 6000;
+  assert.ok(took < world.lease + grant + 5000, `${took} ms`);
+  world.cuts.clear();
+  assert.ok(finished(world, A, 300_000));
+  keepsRules(world);
+});
+
 test('a machine of the far zone that dies while it is kept gives its tasks back', () => {
   const world = busyWorld();
   const { machines } = partZones(world);
