--- a/packages/testing/src/rolls.test.ts
+++ b/packages/testing/src/rolls.test.ts
@@ -1,23 +1,44 @@
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
-import { PeerDecoder, packPeer, type PeerMessage } from '@tealdock/wire';
+import {
+  PeerDecoder,
+  packPeer,
+  predecessorsOf,
+  type JobSpec,
+  type PeerMessage,
+} from '@tealdock/wire';
 import { World, job, type WorldOptions } from './index.js';
 import { A, ask, finished, keepsRules, settled, status } from './story.js';
 
-/** What the version before job chains stored and sent, made by running it. */
+/** What an older version stored and sent, made by running it. */
 interface Recorded {
   epoch: number;
   keys: { key: string; v: unknown; stamp: number }[];
   frames: { message: Record<string, unknown>; frame: string }[];
 }
-const FIXTURE = new URL('../fixtures/before-chains.json', import.meta.url);
-const recorded = JSON.parse(readFileSync(FIXTURE, 'utf8')) as Recorded;
+
+function readFixture(name: string): Recorded {
+  const file = new URL(`../fixtures/${name}.json`, import.meta.url);
+  return JSON.parse(readFileSync(file, 'utf8')) as Recorded;
+}
+
+/** The versions that may be replaced: the last one before job chains, and the first with them. */
+const OLDER_VERSIONS = {
+  'before chains': readFixture('before-chains'),
+  'first with chains': readFixture('first-with-chains'),
+};
+
+function fromEach(name: string, play: (recorded: Recorded) => void): void {
+  for (const [version, recorded] of Object.entries(OLDER_VERSIONS)) {
+    test(`${name} (${version})`, () => play(recorded));
+  }
+}
 
 const idOf = (n: number): string => `run-${String(n).padStart(6, '0')}`;
 
 /** A state service that holds what the older version left, its leader's lease over. */
-function inherited(options: WorldOptions = {}): World {
+function inherited(recorded: Recorded, options: WorldOptions = {}): World {
   const world = new World({ capacity: 4, cpuLimit: 100, ...options });
   for (const { key, v, stamp } of recorded.keys) {
     if (!key.endsWith('/leader')) world.state.keys.set(key, { v, stamp, lease: null });
@@ -40,7 +61,7 @@
   return Object.entries(old).every(([name, value]) => readableAs(value, fields[name]));
 }
 
-test('messages between controllers are the same, byte for byte', () => {
+fromEach('messages between controllers are the same, byte for byte', (recorded) => {
   for (const { message, frame } of recorded.frames) {
     const bytes = Buffer.from(frame, 'base64');
     const [decoded, ...rest] = new PeerDecoder().push(bytes);
@@ -55,34 +76,52 @@
   }
 });
 
-test('what the older version stored is read whole: jobs, ends, progress and roster', () => {
-  const world = inherited({ runTime: 3000 });
-  const live = recorded.keys.filter((k) => k.key.includes('/live/'));
-  for (const { v } of live) {
-    const { spec } = v as { spec: { id: string; taskCount: number } };
-    world.jobs.set(spec.id, spec as never);
-  }
-  world.run(4000);
-  const loaded = world.log.find((l) => l.message === 'term loaded');
-  assert.deepEqual([loaded?.fields['jobs'], loaded?.fields['machines']], [live.length, 60]);
-  for (const { key, v } of recorded.keys.filter((k) => k.key.includes('/ended/'))) {
-    const id = key.split('/').at(-1)!;
-    const { state } = v as { state: string };
-    const told = status(ask(world, (d) => world.poll(id, 'n-1', d)));
-    assert.equal(told, state === 'cancelled' ? 'aborted' : state);
-  }
-  // Its machines are gone, which their leases prove; then what was not done runs.
-  const starts = new Set<unknown>();
-  const over = () => [...world.state.keys.keys()].every((k) => !k.includes('/live/'));
-  assert.ok(world.runUntil(over, 300_000));
-  for (const l of world.log) if (l.message === 'start sent') starts.add(l.fields['task']);
-  const doneBefore = ['run-000003/0', 'run-000004/0'];
-  for (const task of doneBefore) assert.ok(!starts.has(task), `${task} was done before`);
-  assert.ok(starts.has('run-000003/3'));
-});
+fromEach(
+  'what the older version stored is read whole: jobs, ends, progress and roster',
+  (recorded) => {
+    const world = inherited(recorded, { runTime: 3000 });
+    const live = recorded.keys.filter((k) => k.key.includes('/live/'));
+    for (const { v } of live) {
+      const { spec } = v as { spec: { id: string; taskCount: number } };
+      world.jobs.set(spec.id, spec as never);
+    }
+    world.run(4000);
+    const loaded = world.log.find((l) => l.message === 'term loaded');
+    assert.deepEqual([loaded?.fields['jobs'], loaded?.fields['machines']], [live.length, 60]);
+    for (const { key, v } of recorded.keys.filter((k) => k.key.includes('/ended/'))) {
+      const id = key.split('/').at(-1)!;
+      const { state } = v as { state: string };
+      const told = status(ask(world, (d) => world.poll(id, 'n-1', d)));
+      assert.equal(told, state === 'cancelled' ? 'aborted' : state);
+    }
+    // Its machines are gone, which their leases prove; then what was not done runs.
+    const starts = new Set<unknown>();
+    const over = () => [...world.state.keys.keys()].every((k) => !k.includes('/live/'));
+    assert.ok(world.runUntil(over, 300_000));
+    for (const l of world.log) if (l.message === 'start sent') starts.add(l.fields['task']);
+    const doneBefore = ['run-000003/0', 'run-000004/0'];
+    for (const task of doneBefore) assert.ok(!starts.has(task), `${task} was done before`);
+    assert.ok(starts.has('run-000003/3'));
+    for (const { v } of live) {
+      const { spec } = v as { spec: JobSpec };
+      for (const p of predecessorsOf(spec)) assertReleasedBy(world, spec.id, p);
+    }
+  },
+);
 
-test('a job waits for what ended, or runs on, under the older version', () => {
-  const world = inherited();
+/** The first start of a job came after the end of a predecessor that had not ended before. */
+function assertReleasedBy(world: World, id: string, predecessor: string): void {
+  const started = world.log.findIndex(
+    (l) => l.message === 'start sent' && String(l.fields['task']).startsWith(`${id}/`),
+  );
+  const ended = world.log.findIndex(
+    (l) => l.message === 'job ended' && l.fields['job'] === predecessor,
+  );
+  assert.ok(started > ended, `${id} started after ${predecessor} had ended`);
+}
+
+fromEach('a job waits for what ended, or runs on, under the older version', (recorded) => {
+  const world = inherited(recorded);
   for (let i = 0; i < 2; i++) world.cloud.add('a');
   world.run(40_000);
   const ended = recorded.keys.filter((k) => k.key.includes('/ended/'));
@@ -104,7 +143,7 @@
   assert.ok(done !== undefined);
 });
 
-test('what this version stores can be read by the older one', () => {
+fromEach('what this version stores can be read by the older one', (recorded) => {
   const world = settled({ runTimeOf: (p) => 2000 + Number(p.split('/')[1]) * 30_000 });
   for (let n = 1; n <= 4; n++) world.submit(job(n, { batch: n }), 'n-0');
   world.run(6000);
@@ -112,7 +151,8 @@
   world.cancel(idOf(4), 'n-1');
   world.run(6000);
   const kinds = /tealdock\/(leader|owned|roster|progress|live|ended)/;
-  const older = new Map(recorded.keys.map((k) => [kinds.exec(k.key)?.[1], k.v]));
+  // The first of a kind: a job that needs no other one.
+  const older = new Map(recorded.keys.map((k) => [kinds.exec(k.key)?.[1], k.v]).reverse() as []);
   const seen = new Set<string>();
   for (const [key, entry] of world.state.keys) {
     const kind = kinds.exec(key)?.[1];
@@ -161,35 +201,38 @@
   });
 }
 
-test('nodes are replaced one after the other under load, with crashes in between', () => {
-  for (const seed of [1, 2, 3]) {
-    const world = inherited({ seed, capacity: 8, runTime: 5000 });
-    for (let i = 0; i < 4; i++) world.cloud.add(i % 2 ? 'a' : 'b');
-    world.run(5000);
-    for (let n = 101; n <= 112; n++) {
-      const waits = n > 104 ? [idOf(n - 1), idOf(n - 3)] : [];
-      world.at((n - 100) * 2500, () => {
-        const missing = () => !world.checker.accepted(idOf(n));
-        const insist = () => {
-          const node = [...world.alive.keys()][n % Math.max(1, world.alive.size)];
-          if (node && missing()) world.submit(job(n, { batch: 3, waits_on: waits }), node);
-          if (missing()) world.at(3000, insist);
-        };
-        insist();
-      });
-    }
-    for (const [i, n] of world.nodes.entries()) {
-      world.at(4000 + i * 9000, () => world.crash(n));
-      world.at(6000 + i * 9000, () => world.alive.has(n) || world.boot(n));
-      world.at(11_000 + i * 9000, () => {
-        const leader = world.leader();
-        if (leader) world.crash(leader);
-        world.at(400, () => leader && (world.alive.has(leader) || world.boot(leader)));
-      });
+fromEach(
+  'nodes are replaced one after the other under load, with crashes in between',
+  (recorded) => {
+    for (const seed of [1, 2, 3]) {
+      const world = inherited(recorded, { seed, capacity: 8, runTime: 5000 });
+      for (let i = 0; i < 4; i++) world.cloud.add(i % 2 ? 'a' : 'b');
+      world.run(5000);
+      for (let n = 101; n <= 112; n++) {
+        const waits = n > 104 ? [idOf(n - 1), idOf(n - 3)] : [];
+        world.at((n - 100) * 2500, () => {
+          const missing = () => !world.checker.accepted(idOf(n));
+          const insist = () => {
+            const node = [...world.alive.keys()][n % Math.max(1, world.alive.size)];
+            if (node && missing()) world.submit(job(n, { batch: 3, waits_on: waits }), node);
+            if (missing()) world.at(3000, insist);
+          };
+          insist();
+        });
+      }
+      for (const [i, n] of world.nodes.entries()) {
+        world.at(4000 + i * 9000, () => world.crash(n));
+        world.at(6000 + i * 9000, () => world.alive.has(n) || world.boot(n));
+        world.at(11_000 + i * 9000, () => {
+          const leader = world.leader();
+          if (leader) world.crash(leader);
+          world.at(400, () => leader && (world.alive.has(leader) || world.boot(leader)));
+        });
+      }
+      world.run(60_000);
+      world.calm();
+      for (let n = 101; n <= 112; n++) assert.ok(finished(world, idOf(n), 300_000), idOf(n));
+      keepsRules(world);
     }
-    world.run(60_000);
-    world.calm();
-    for (let n = 101; n <= 112; n++) assert.ok(finished(world, idOf(n), 300_000), idOf(n));
-    keepsRules(world);
-  }
-});
+  },
+);
--- a/packages/testing/src/world.ts
+++ b/packages/testing/src/world.ts
@@ -155,6 +155,8 @@
   copyTo: (() => string | null) | null = null;
   /** What the way between a worker and a node takes beyond the usual. */
   linkDelay = 0;
+  /** Nodes that run as the version before job chains does, as far as others can see. */
+  private readonly older = new Set<string>();
   /** Direct commands that reached a machine. */
   commands = 0;
   private clock = 0;
@@ -226,11 +228,24 @@
 
   // --- nodes -----------------------------------------------------------------
 
+  /**
+   * Starts a node as the version before job chains: it knows nothing of limits to come and
+   * does not write when a job ended. Users ask it for nothing that is new.
+   */
+  bootOlder(name: string): void {
+    this.older.add(name);
+    this.start(name, this.caps());
+  }
+
   boot(name: string): void {
+    this.older.delete(name);
+    this.start(name, this.caps(this.options.next));
+  }
+
+  private start(name: string, caps: StateCaps): void {
     const { cpuLimit, guarantee, believedLease } = this.options;
     const settings = settingsFor(name, cpuLimit ?? 100, guarantee, this.terms);
     settings.workerLease = believedLease ?? this.terms.lease;
-    const caps = this.caps(this.options.next);
     settings.state = { ...settings.state, ...caps };
     const { limits } = this.options;
     settings.maxConnections = limits?.sockets ?? settings.maxConnections;
@@ -370,6 +385,7 @@
     if (call.target === 'worker') return this.command(from, call, done);
     if (this.cut(from, call.target)) return lost();
     if (call.target === 'cloud') return done(this.cloud.handle(call.path, call.body));
+    if (this.older.has(from)) withoutEndTimes(call);
     const fault = this.stateFault?.(from, call);
     if (fault === 'lost_before') return lost();
     const ask = (answer: (result: CallResult) => void) =>
@@ -623,6 +639,13 @@
   }
 }
 
+/** The version before job chains stored an ended job without the time of its end. */
+function withoutEndTimes({ path, body }: Call): void {
+  if (path !== '/commit') return;
+  const { writes } = body as { writes: { write?: string; v?: { at?: number } }[] };
+  for (const { write, v } of writes) if (write?.includes('/ended/') && v) delete v.at;
+}
+
 /** A small job; anything in it can be replaced. */
 export function job(id: number, over: Record<string, unknown> = {}): Record<string, unknown> {
   return {
