--- a/packages/testing/src/world.ts
+++ b/packages/testing/src/world.ts
@@ -157,6 +157,8 @@
   linkDelay = 0;
   /** Nodes that run as the version before job chains does, as far as others can see. */
   private readonly older = new Set<string>();
+  /** Transactions of nodes of the current version that the state service found too large. */
+  tooLarge = 0;
   /** Direct commands that reached a machine. */
   commands = 0;
   private clock = 0;
@@ -388,8 +390,11 @@
     if (this.older.has(from)) withoutEndTimes(call);
     const fault = this.stateFault?.(from, call);
     if (fault === 'lost_before') return lost();
-    const ask = (answer: (result: CallResult) => void) =>
+    const ask = (answer: (result: CallResult) => void) => {
+      const refusals = this.state.refusals;
       this.state.handle(call.method, call.path, call.body, answer, from);
+      if (!this.older.has(from)) this.tooLarge += this.state.refusals - refusals;
+    };
     if (fault === 'late' || typeof fault === 'number') {
       this.at(fault === 'late' ? LATE : fault, () => ask(() => undefined));
       return lost();
