--- a/packages/testing/src/chains.test.ts
+++ b/packages/testing/src/chains.test.ts
@@ -3,9 +3,8 @@
 import { chainDemands, type ChainJob } from '@tealdock/scheduler';
 import { packBody, parseSettings } from '@tealdock/wire';
 import { World, job } from './index.js';
-import { A, ask, finished, keepsRules, others, running, settled, status } from './story.js';
+import { A, ask, finished, idOf, keepsRules, others, running, settled, status } from './story.js';
 
-const idOf = (n: number): string => `run-${String(n).padStart(6, '0')}`;
 const B = idOf(2);
 const after = (...numbers: number[]) => ({ waits_on: numbers.map(idOf) });
 const CANCEL_WITHIN = 45_000;
--- a/packages/testing/src/fetches.test.ts
+++ b/packages/testing/src/fetches.test.ts
@@ -2,9 +2,7 @@
 import { test } from 'node:test';
 import type { World } from './index.js';
 import { job } from './index.js';
-import { keepsRules, settled } from './story.js';
-
-const idOf = (n: number): string => `run-${String(n).padStart(6, '0')}`;
+import { idOf, keepsRules, settled } from './story.js';
 
 /** Jobs of one task each, with an image of their own. */
 function submitImages(world: World, from: number, count: number, gb: number, node = 'n-0'): void {
--- a/packages/testing/src/fleet.test.ts
+++ b/packages/testing/src/fleet.test.ts
@@ -3,14 +3,12 @@
 import { CommandQueue, Connections, type Closable } from '@tealdock/adapters';
 import { socketShares } from '@tealdock/controller';
 import { World, job } from './index.js';
-import { keepsRules, running, settled } from './story.js';
+import { idOf, keepsRules, running, settled } from './story.js';
 
 /** Half as many machines again as the largest fleet that operations.md speaks of. */
 const MACHINES = 1300;
 const LIMITS = { sockets: 1650, rps: 250, writeRps: 18 };
 
-const idOf = (n: number): string => `run-${String(n).padStart(6, '0')}`;
-
 function submitMany(world: World, jobs: number, over: Record<string, unknown>): number[] {
   const numbers = Array.from({ length: jobs }, (_, i) => i + 1);
   for (const n of numbers) {
--- a/packages/testing/src/guards.test.ts
+++ b/packages/testing/src/guards.test.ts
@@ -2,9 +2,7 @@
 import { test } from 'node:test';
 import type { Call } from '@tealdock/controller';
 import { World, job } from './index.js';
-import { A, ask, finished, keepsRules, others, running, settled, status } from './story.js';
-
-const idOf = (n: number): string => `run-${String(n).padStart(6, '0')}`;
+import { A, ask, finished, idOf, keepsRules, others, running, settled, status } from './story.js';
 
 /** Keys that a transaction writes. */
 function writtenKeys(call: Call): string[] {
--- a/packages/testing/src/meetings.test.ts
+++ b/packages/testing/src/meetings.test.ts
@@ -1,21 +1,10 @@
 import assert from 'node:assert/strict';
-import { test } from 'node:test';
 import { job, type FakeWorker, type Terms, type World, type WorldOptions } from './index.js';
-import { A, ask, keepsRules, others, running, settled, status } from './story.js';
+import { onEachDeployment } from './deployments.js';
+import { A, ask, idOf, keepsRules, others, running, settled, status } from './story.js';
 
 // Meetings of two troubles, with the times of both deployments.
-const DEPLOYMENTS: Record<string, Terms> = {
-  Kelisa: { reportEvery: 5000, lease: 27_000, cancelWithin: 47_000, leaderLease: 5000 },
-  Noordzee: { reportEvery: 4000, lease: 26_000, cancelWithin: 56_000, leaderLease: 5000 },
-};
 const LONG = 300_000;
-const idOf = (n: number): string => `run-${String(n).padStart(6, '0')}`;
-
-function meeting(name: string, play: (terms: Terms) => void): void {
-  for (const [site, terms] of Object.entries(DEPLOYMENTS)) {
-    test(`${name} (${site})`, () => play(terms));
-  }
-}
 
 function start(terms: Terms, options: WorldOptions = {}, machines = 4): World {
   return settled({ terms, capacity: machines, ...options }, machines);
@@ -73,18 +62,21 @@
   world.state.restore();
 }
 
-meeting('gap: a refused leader, cancellations confirmed elsewhere, then an outage', (terms) => {
-  for (const pause of [200, 1000, 2500, 4000]) {
-    const world = busy(terms, 3, 4);
-    gap(world, pause, terms.cancelWithin + 12_000);
-    assert.equal(world.checker.final(A), 'aborted');
-    gap(world, pause, terms.cancelWithin + 12_000);
-    endsWell(world, [1, 2, 3]);
-  }
-});
+onEachDeployment(
+  'gap: a refused leader, cancellations confirmed elsewhere, then an outage',
+  (terms) => {
+    for (const pause of [200, 1000, 2500, 4000]) {
+      const world = busy(terms, 3, 4);
+      gap(world, pause, terms.cancelWithin + 12_000);
+      assert.equal(world.checker.final(A), 'aborted');
+      gap(world, pause, terms.cancelWithin + 12_000);
+      endsWell(world, [1, 2, 3]);
+    }
+  },
+);
 
 // The rule must not rest on what controllers tell each other, nor on direct commands.
-meeting('gap between controllers that do not hear each other', (terms) => {
+onEachDeployment('gap between controllers that do not hear each other', (terms) => {
   for (const pause of [1000, 4000]) {
     const world = busy(terms, 3, 4);
     for (const a of world.nodes) for (const b of world.nodes) world.cuts.add(`${a}>${b}`);
@@ -96,28 +88,31 @@
 
 // Each outage ends just before the workers' leases do: the leader's own is whole again, and
 // it may answer before it has been told of anything. Then the next outage begins.
-meeting('gap: leases made whole by short breaks of an outage renew nothing cancelled', (terms) => {
-  for (const breath of [300, 900, 1500]) {
-    const world = busy(terms, 3, 4);
-    const leader = world.leader()!;
-    for (const n of world.nodes) world.cuts.add(`${n}>${leader}`);
-    // Renewals are answered, while all that tells of jobs is not.
-    world.stateFault = (node, call) =>
-      node === leader && !call.path.startsWith('/grants') ? 'lost_before' : undefined;
-    world.run(3000);
-    world.cancel(A, others(world)[0]!);
-    world.run(500);
-    for (let i = 0; i < 4; i++) {
-      world.state.down = true;
-      world.run(18_000);
-      world.state.restore();
-      world.run(breath);
+onEachDeployment(
+  'gap: leases made whole by short breaks of an outage renew nothing cancelled',
+  (terms) => {
+    for (const breath of [300, 900, 1500]) {
+      const world = busy(terms, 3, 4);
+      const leader = world.leader()!;
+      for (const n of world.nodes) world.cuts.add(`${n}>${leader}`);
+      // Renewals are answered, while all that tells of jobs is not.
+      world.stateFault = (node, call) =>
+        node === leader && !call.path.startsWith('/grants') ? 'lost_before' : undefined;
+      world.run(3000);
+      world.cancel(A, others(world)[0]!);
+      world.run(500);
+      for (let i = 0; i < 4; i++) {
+        world.state.down = true;
+        world.run(18_000);
+        world.state.restore();
+        world.run(breath);
+      }
+      endsWell(world, [1, 2, 3]);
     }
-    endsWell(world, [1, 2, 3]);
-  }
-});
+  },
+);
 
-meeting('gap: a machine hangs as its job is called off, and goes on', (terms) => {
+onEachDeployment('gap: a machine hangs as its job is called off, and goes on', (terms) => {
   for (const hang of [8000, terms.lease - 2000, terms.lease + 15_000]) {
     const world = busy(terms, 2, 4);
     const hung = workers(world).slice(0, 2);
@@ -129,7 +124,7 @@
 });
 
 // Nothing tells the leader of jobs any more, while its lease is renewed.
-meeting('no start leaves on old news', (terms) => {
+onEachDeployment('no start leaves on old news', (terms) => {
   const world = start(terms, { runTime: 12_000 }, 1);
   world.submit(job(1, { batch: 4 }), 'n-0');
   assert.ok(world.runUntil(() => running(world) === 4, 40_000));
@@ -146,7 +141,7 @@
   endsWell(world, [1, 2]);
 });
 
-meeting('a leader that an outage silenced is not deaf and goes on', (terms) => {
+onEachDeployment('a leader that an outage silenced is not deaf and goes on', (terms) => {
   const world = busy(terms, 2, 4);
   const leader = world.leader()!;
   world.run(10_000);
@@ -160,20 +155,23 @@
   endsWell(world, [1, 2]);
 });
 
-meeting('gap: a start that waits in a held answer is not sent for a cancelled job', (terms) => {
-  const world = start(terms, {}, 1);
-  world.submit(job(1, { batch: 4, expected_s: 150 }), 'n-0');
-  assert.ok(world.runUntil(() => running(world) === 4, 40_000));
-  world.submit(job(2, { batch: 4, expected_s: 150 }), 'n-0');
-  world.run(2000);
-  gap(world, 1000, terms.cancelWithin + 12_000);
-  world.run(2000);
-  const late = world.checker.startsAfterCancel;
-  assert.equal(late, 0, `${late} starts of cancelled jobs`);
-  endsWell(world, [1, 2]);
-});
+onEachDeployment(
+  'gap: a start that waits in a held answer is not sent for a cancelled job',
+  (terms) => {
+    const world = start(terms, {}, 1);
+    world.submit(job(1, { batch: 4, expected_s: 150 }), 'n-0');
+    assert.ok(world.runUntil(() => running(world) === 4, 40_000));
+    world.submit(job(2, { batch: 4, expected_s: 150 }), 'n-0');
+    world.run(2000);
+    gap(world, 1000, terms.cancelWithin + 12_000);
+    world.run(2000);
+    const late = world.checker.startsAfterCancel;
+    assert.equal(late, 0, `${late} starts of cancelled jobs`);
+    endsWell(world, [1, 2]);
+  },
+);
 
-meeting(
+onEachDeployment(
   'gap: with peers in reach a cancelled job goes at once, and what it shares a machine with stays',
   (terms) => {
     const world = busy(terms, 2, 4);
@@ -188,20 +186,23 @@
   },
 );
 
-meeting('a zone with workers and a controller is cut off for longer than the lease', (terms) => {
-  for (const leaderToo of [true, false]) {
-    const world = busy(terms, 2, 4);
-    const far = leaderToo ? world.leader()! : others(world)[0]!;
-    const machines = workers(world).filter((w) => w.machine.zone === 'b');
-    world.part([far, ...machines.map((w) => w.machine.id)]);
-    world.run(15_000);
-    world.cancel(A, far);
-    world.run(terms.lease + 20_000);
-    endsWell(world, [1, 2]);
-  }
-});
+onEachDeployment(
+  'a zone with workers and a controller is cut off for longer than the lease',
+  (terms) => {
+    for (const leaderToo of [true, false]) {
+      const world = busy(terms, 2, 4);
+      const far = leaderToo ? world.leader()! : others(world)[0]!;
+      const machines = workers(world).filter((w) => w.machine.zone === 'b');
+      world.part([far, ...machines.map((w) => w.machine.id)]);
+      world.run(15_000);
+      world.cancel(A, far);
+      world.run(terms.lease + 20_000);
+      endsWell(world, [1, 2]);
+    }
+  },
+);
 
-meeting('a kept worker loses only what is called off', (terms) => {
+onEachDeployment('a kept worker loses only what is called off', (terms) => {
   const world = busy(terms, 2, 4);
   const far = others(world)[0]!;
   const machines = workers(world).filter((w) => w.machine.zone === 'b');
@@ -214,7 +215,7 @@
   endsWell(world, [1, 2]);
 });
 
-meeting(
+onEachDeployment(
   'a cancellation, a question and a repeated submission meet the end of the last task',
   (terms) => {
     for (let moment = 0; moment <= 2000; moment += 100) {
@@ -233,23 +234,26 @@
   },
 );
 
-meeting('a command or its answer is held up for seconds, and the machine goes on', (terms) => {
-  for (const hang of [1500, 5000, 9000]) {
-    const world = start(terms);
-    world.submit(job(1, { batch: 8, expected_s: 20 }), 'n-0');
-    world.submit(job(2, { batch: 4, expected_s: 150 }), 'n-1');
-    const sent = () => world.log.some((l) => l.message === 'start sent');
-    assert.ok(world.runUntil(sent, 10_000));
-    for (const w of workers(world)) w.hanging = true;
-    world.cancel(idOf(2), 'n-2');
-    world.run(hang);
-    for (const w of workers(world)) w.hanging = false;
-    endsWell(world, [1, 2]);
-  }
-});
+onEachDeployment(
+  'a command or its answer is held up for seconds, and the machine goes on',
+  (terms) => {
+    for (const hang of [1500, 5000, 9000]) {
+      const world = start(terms);
+      world.submit(job(1, { batch: 8, expected_s: 20 }), 'n-0');
+      world.submit(job(2, { batch: 4, expected_s: 150 }), 'n-1');
+      const sent = () => world.log.some((l) => l.message === 'start sent');
+      assert.ok(world.runUntil(sent, 10_000));
+      for (const w of workers(world)) w.hanging = true;
+      world.cancel(idOf(2), 'n-2');
+      world.run(hang);
+      for (const w of workers(world)) w.hanging = false;
+      endsWell(world, [1, 2]);
+    }
+  },
+);
 
 // Its reports do not come, so it is told directly; it hangs and hears that only as it goes on.
-meeting('a direct command waits in a machine that hangs', (terms) => {
+onEachDeployment('a direct command waits in a machine that hangs', (terms) => {
   const world = busy(terms, 2, 6);
   const victim = workers(world)[0]!;
   world.mute(victim.machine.id);
@@ -268,7 +272,7 @@
 
 for (const outage of [false, true]) {
   const name = outage ? ', inside an outage' : '';
-  meeting(`leaders change ten times in two minutes${name}`, (terms) => {
+  onEachDeployment(`leaders change ten times in two minutes${name}`, (terms) => {
     const world = busy(terms, 3, 4);
     for (let i = 0; i < 10; i++) {
       const leader = world.leader();
@@ -283,26 +287,29 @@
   });
 }
 
-meeting('controllers hand over and back, all end, and one returns within a second', (terms) => {
-  for (const pause of [100, 400, 900]) {
-    const world = busy(terms, 2, 4);
-    const first = world.leader()!;
-    world.crash(first);
-    world.run(terms.leaderLease + 1500);
-    world.boot(first);
-    const second = world.leader();
-    if (second) world.crash(second);
-    world.run(pause);
-    for (const n of world.nodes) world.crash(n);
-    world.run(pause);
-    world.boot(first);
-    world.run(3000);
-    cancelled(world, 1, first);
-    endsWell(world, [1, 2]);
-  }
-});
+onEachDeployment(
+  'controllers hand over and back, all end, and one returns within a second',
+  (terms) => {
+    for (const pause of [100, 400, 900]) {
+      const world = busy(terms, 2, 4);
+      const first = world.leader()!;
+      world.crash(first);
+      world.run(terms.leaderLease + 1500);
+      world.boot(first);
+      const second = world.leader();
+      if (second) world.crash(second);
+      world.run(pause);
+      for (const n of world.nodes) world.crash(n);
+      world.run(pause);
+      world.boot(first);
+      world.run(3000);
+      cancelled(world, 1, first);
+      endsWell(world, [1, 2]);
+    }
+  },
+);
 
-meeting('tasks of one job end far apart across a change of leader', (terms) => {
+onEachDeployment('tasks of one job end far apart across a change of leader', (terms) => {
   const apart = (piece: string) => 4000 + Number(piece.split('/')[1]) * 25_000;
   const world = start(terms, { runTimeOf: apart });
   for (let n = 1; n <= 6; n++) world.submit(job(n, { batch: 2 + (n % 2) }), 'n-0');
@@ -316,7 +323,7 @@
   assert.equal(world.checker.starts, 15, 'what was done stays done');
 });
 
-meeting('all controllers are away for longer than the lease', (terms) => {
+onEachDeployment('all controllers are away for longer than the lease', (terms) => {
   const world = busy(terms, 2, 4);
   cancelled(world, 1, others(world)[0]!);
   for (const n of world.nodes) world.crash(n);
@@ -325,7 +332,7 @@
   endsWell(world, [1, 2]);
 });
 
-meeting('machines can not open connections, while direct commands reach them', (terms) => {
+onEachDeployment('machines can not open connections, while direct commands reach them', (terms) => {
   const world = busy(terms, 2, 6);
   const mute = workers(world).slice(0, 2);
   for (const w of mute) world.mute(w.machine.id);
@@ -343,7 +350,7 @@
   endsWell(world, [1, 2]);
 });
 
-meeting(
+onEachDeployment(
   'a leader without state service and peers; jobs are cancelled through the new one',
   (terms) => {
     const world = busy(terms, 3, 4);
@@ -360,7 +367,7 @@
   },
 );
 
-meeting('more work than room, urgent and not, over slow links', (terms) => {
+onEachDeployment('more work than room, urgent and not, over slow links', (terms) => {
   const world = start(terms, { runTime: 8000 }, 3);
   world.linkDelay = 900;
   world.stateDelay = () => (world.random() < 0.3 ? 600 : 0);
@@ -375,26 +382,29 @@
   endsWell(world, numbers);
 });
 
-meeting('a team at its limit, a change of leader, silent machines and a cancellation', (terms) => {
-  const world = busy(terms, 2, 4, {}, { cpuLimit: 8 });
-  world.submit(job(3, { batch: 6, expected_s: 20 }), 'n-0');
-  world.submit(job(4, { batch: 2, expected_s: 20, owner: 'other' }), 'n-0');
-  const silent = workers(world).slice(0, 2);
-  for (const w of silent) world.cuts.add(w.machine.id);
-  const old = world.leader()!;
-  world.crash(old);
-  world.run(terms.leaderLease + 1500);
-  world.cancel(A, [...world.alive.keys()][0]!);
-  // Newer than the term, so it need not wait for the machines that can't be asked.
-  world.submit(job(5, { batch: 6, expected_s: 20 }), [...world.alive.keys()][0]!);
-  world.run(12_000);
-  world.boot(old);
-  world.run(terms.lease + 10_000);
-  endsWell(world, [1, 2, 3, 4, 5]);
-  assert.ok(world.checker.mostUsed('team') >= 8, 'the limit was reached');
-});
+onEachDeployment(
+  'a team at its limit, a change of leader, silent machines and a cancellation',
+  (terms) => {
+    const world = busy(terms, 2, 4, {}, { cpuLimit: 8 });
+    world.submit(job(3, { batch: 6, expected_s: 20 }), 'n-0');
+    world.submit(job(4, { batch: 2, expected_s: 20, owner: 'other' }), 'n-0');
+    const silent = workers(world).slice(0, 2);
+    for (const w of silent) world.cuts.add(w.machine.id);
+    const old = world.leader()!;
+    world.crash(old);
+    world.run(terms.leaderLease + 1500);
+    world.cancel(A, [...world.alive.keys()][0]!);
+    // Newer than the term, so it need not wait for the machines that can't be asked.
+    world.submit(job(5, { batch: 6, expected_s: 20 }), [...world.alive.keys()][0]!);
+    world.run(12_000);
+    world.boot(old);
+    world.run(terms.lease + 10_000);
+    endsWell(world, [1, 2, 3, 4, 5]);
+    assert.ok(world.checker.mostUsed('team') >= 8, 'the limit was reached');
+  },
+);
 
-meeting(
+onEachDeployment(
   'a slow state service, a refused leader, then an outage, while users cancel and ask',
   (terms) => {
     for (const refuse of [3000, 9000]) {
@@ -415,7 +425,7 @@
   },
 );
 
-meeting('jobs bound to one zone lose machines', (terms) => {
+onEachDeployment('jobs bound to one zone lose machines', (terms) => {
   const world = start(terms, { runTime: 20_000 });
   world.submit(job(1, { batch: 6, same_place: true, expected_s: 20 }), 'n-0');
   world.submit(job(2, { batch: 6, hall: 'b', expected_s: 20 }), 'n-1');
@@ -428,79 +438,91 @@
   endsWell(world, [1, 2, 3]);
 });
 
-meeting('old reports arrive after newer ones, also of an earlier session or attempt', (terms) => {
-  for (const delay of [2500, terms.lease * 0.8, terms.lease * 1.7]) {
-    const world = start(terms, { runTime: 9000 });
-    world.copyDelay = () => delay;
-    for (let n = 1; n <= 4; n++) world.submit(job(n, { batch: 6 }), 'n-0');
-    world.run(8000);
-    workers(world)[0]!.reboot();
-    world.cancel(A, 'n-1');
-    world.run(delay + 5000);
-    workers(world)[1]!.reboot();
-    world.run(delay + 5000);
-    world.copyDelay = null;
-    endsWell(world, [1, 2, 3, 4]);
-  }
-});
+onEachDeployment(
+  'old reports arrive after newer ones, also of an earlier session or attempt',
+  (terms) => {
+    for (const delay of [2500, terms.lease * 0.8, terms.lease * 1.7]) {
+      const world = start(terms, { runTime: 9000 });
+      world.copyDelay = () => delay;
+      for (let n = 1; n <= 4; n++) world.submit(job(n, { batch: 6 }), 'n-0');
+      world.run(8000);
+      workers(world)[0]!.reboot();
+      world.cancel(A, 'n-1');
+      world.run(delay + 5000);
+      workers(world)[1]!.reboot();
+      world.run(delay + 5000);
+      world.copyDelay = null;
+      endsWell(world, [1, 2, 3, 4]);
+    }
+  },
+);
 
-meeting('a report is held back until a new leader has acted, and then arrives there', (terms) => {
-  for (const delay of [terms.leaderLease + 1500, terms.leaderLease + 6000, terms.lease]) {
-    const world = start(terms, { runTime: 12_000 });
-    for (let n = 1; n <= 4; n++) world.submit(job(n, { batch: 5 }), 'n-0');
-    world.run(4000);
-    world.copyTo = () => world.leader();
-    world.copyDelay = () => delay;
-    world.run(3000);
-    world.crash(world.leader()!);
-    world.at(2000, () => world.cancel(A, [...world.alive.keys()][0]!));
-    world.run(3000);
-    world.copyDelay = null;
-    world.run(delay + 5000);
-    endsWell(world, [1, 2, 3, 4]);
-  }
-});
+onEachDeployment(
+  'a report is held back until a new leader has acted, and then arrives there',
+  (terms) => {
+    for (const delay of [terms.leaderLease + 1500, terms.leaderLease + 6000, terms.lease]) {
+      const world = start(terms, { runTime: 12_000 });
+      for (let n = 1; n <= 4; n++) world.submit(job(n, { batch: 5 }), 'n-0');
+      world.run(4000);
+      world.copyTo = () => world.leader();
+      world.copyDelay = () => delay;
+      world.run(3000);
+      world.crash(world.leader()!);
+      world.at(2000, () => world.cancel(A, [...world.alive.keys()][0]!));
+      world.run(3000);
+      world.copyDelay = null;
+      world.run(delay + 5000);
+      endsWell(world, [1, 2, 3, 4]);
+    }
+  },
+);
 
 // Made before the last leader's start came, it shows a machine without tasks.
-meeting('a report of before a start arrives at the next leader as the first one', (terms) => {
-  const world = start(terms);
-  world.copyDelay = () => 13_000;
-  world.run(terms.reportEvery + 500);
-  world.copyDelay = null;
-  world.submit(job(1, { batch: 16, expected_s: 60 }), 'n-0');
-  assert.ok(world.runUntil(() => running(world) === 16, 4000));
-  for (const w of workers(world)) world.mute(w.machine.id);
-  world.copyTo = () => world.leader();
-  world.crash(world.leader()!);
-  for (let i = 0; i < 4; i++) world.cloud.add('a');
-  world.run(18_000);
-  for (const w of workers(world)) world.unmute(w.machine.id);
-  endsWell(world, [1]);
-});
+onEachDeployment(
+  'a report of before a start arrives at the next leader as the first one',
+  (terms) => {
+    const world = start(terms);
+    world.copyDelay = () => 13_000;
+    world.run(terms.reportEvery + 500);
+    world.copyDelay = null;
+    world.submit(job(1, { batch: 16, expected_s: 60 }), 'n-0');
+    assert.ok(world.runUntil(() => running(world) === 16, 4000));
+    for (const w of workers(world)) world.mute(w.machine.id);
+    world.copyTo = () => world.leader();
+    world.crash(world.leader()!);
+    for (let i = 0; i < 4; i++) world.cloud.add('a');
+    world.run(18_000);
+    for (const w of workers(world)) world.unmute(w.machine.id);
+    endsWell(world, [1]);
+  },
+);
 
-meeting('transactions without an answer are carried out late, after newer ones', (terms) => {
-  const world = start(terms, { runTime: 6000, capacity: 8 });
-  const commits = (path: string) => path === '/commit';
-  world.stateFault = (_node, call) =>
-    commits(call.path) && world.random() < 0.4 ? 2000 + world.random() * 10_000 : undefined;
-  const numbers = Array.from({ length: 10 }, (_, i) => i + 1);
-  const insist = (n: number) => {
-    if (world.checker.accepted(idOf(n))) return;
-    world.submit(job(n, { batch: 3 }), world.nodes[n % 3]!);
-    world.at(4000, () => insist(n));
-  };
-  for (const n of numbers) world.at(n * 2000, () => insist(n));
-  for (const n of [2, 5]) world.at(n * 2000 + 9000, () => world.cancel(idOf(n), 'n-1'));
-  world.at(15_000, () => world.cloud.add('b'));
-  world.run(30_000);
-  world.crash(world.leader()!);
-  world.run(40_000);
-  endsWell(world, numbers);
-});
+onEachDeployment(
+  'transactions without an answer are carried out late, after newer ones',
+  (terms) => {
+    const world = start(terms, { runTime: 6000, capacity: 8 });
+    const commits = (path: string) => path === '/commit';
+    world.stateFault = (_node, call) =>
+      commits(call.path) && world.random() < 0.4 ? 2000 + world.random() * 10_000 : undefined;
+    const numbers = Array.from({ length: 10 }, (_, i) => i + 1);
+    const insist = (n: number) => {
+      if (world.checker.accepted(idOf(n))) return;
+      world.submit(job(n, { batch: 3 }), world.nodes[n % 3]!);
+      world.at(4000, () => insist(n));
+    };
+    for (const n of numbers) world.at(n * 2000, () => insist(n));
+    for (const n of [2, 5]) world.at(n * 2000 + 9000, () => world.cancel(idOf(n), 'n-1'));
+    world.at(15_000, () => world.cloud.add('b'));
+    world.run(30_000);
+    world.crash(world.leader()!);
+    world.run(40_000);
+    endsWell(world, numbers);
+  },
+);
 
 for (const how of ['reached', 'told'] as const) {
   const name = how === 'reached' ? 'can not be reached' : "don't hear the new leader's answers";
-  meeting(`a leader ends while machines with long tasks ${name}`, (terms) => {
+  onEachDeployment(`a leader ends while machines with long tasks ${name}`, (terms) => {
     for (const length of [10_000, terms.lease + 20_000, 100_000]) {
       const world = busy(terms, 2, 6);
       const victim = workers(world)[0]!.machine.id;
--- a/packages/testing/src/rolls.test.ts
+++ b/packages/testing/src/rolls.test.ts
@@ -9,7 +9,7 @@
   type PeerMessage,
 } from '@tealdock/wire';
 import { World, job, type WorldOptions } from './index.js';
-import { A, ask, finished, keepsRules, settled, status } from './story.js';
+import { A, ask, finished, idOf, keepsRules, settled, status } from './story.js';
 
 /** What an older version stored and sent, made by running it. */
 interface Recorded {
@@ -35,8 +35,6 @@
   }
 }
 
-const idOf = (n: number): string => `run-${String(n).padStart(6, '0')}`;
-
 /** A state service that holds what the older version left, its leader's lease over. */
 function inherited(recorded: Recorded, options: WorldOptions = {}): World {
   const world = new World({ capacity: 4, cpuLimit: 100, ...options });
--- a/packages/testing/src/story.ts
+++ b/packages/testing/src/story.ts
@@ -4,6 +4,8 @@
 
 export const A = 'run-000001';
 
+export const idOf = (n: number): string => `run-${String(n).padStart(6, '0')}`;
+
 /** A world with machines up and a leader that knows them. */
 export function settled(options: WorldOptions = {}, machines = 2): World {
   const world = new World(options);
--- a/packages/testing/src/upgrades.test.ts
+++ b/packages/testing/src/upgrades.test.ts
@@ -1,14 +1,10 @@
 import assert from 'node:assert/strict';
-import { test } from 'node:test';
 import { World, job, type Terms } from './index.js';
-import { keepsRules, running } from './story.js';
+import { onEachDeployment } from './deployments.js';
+import { idOf, keepsRules, running } from './story.js';
 
 // Rolling upgrades, older and current versions side by side, that meet other faults. The
 // times are those of both deployments.
-const DEPLOYMENTS: Record<string, Terms> = {
-  Kelisa: { reportEvery: 5000, lease: 27_000, cancelWithin: 47_000, leaderLease: 5000 },
-  Noordzee: { reportEvery: 4000, lease: 26_000, cancelWithin: 56_000, leaderLease: 5000 },
-};
 const SEEDS = [1, 2, 3];
 const LIMIT = 400_000;
 /** How long a replaced process is away. */
@@ -17,8 +13,6 @@
 const FIRST_CHAIN = 101;
 const LAST_CHAIN = 112;
 
-const idOf = (n: number): string => `run-${String(n).padStart(6, '0')}`;
-
 interface Roll {
   world: World;
   /** Nodes in the order in which they are replaced; the one that led first is named. */
@@ -217,23 +211,21 @@
 ];
 
 for (const { name, faults, order = usualOrder, away } of MEETINGS) {
-  for (const [site, terms] of Object.entries(DEPLOYMENTS)) {
-    test(`rolling upgrade: ${name} (${site})`, () => {
-      for (const seed of SEEDS) {
-        const world = olderCluster(terms, seed);
-        const leader = world.leader()!;
-        const others = world.nodes.filter((n) => n !== leader);
-        const roll = { world, leader, order: order(leader, others) };
-        replaceAll(roll, away);
-        faults(roll);
-        world.run(4 * BETWEEN + AWAY);
-        world.lowerLimits();
-        submitChains(world);
-        world.at(4000, () => cancelElsewhere(world, FIRST_CHAIN + 4));
-        world.run(20_000);
-        endsWell(world);
-        assert.equal(world.tooLarge, 0, 'transactions larger than the limits to come');
-      }
-    });
-  }
+  onEachDeployment(`rolling upgrade: ${name}`, (terms) => {
+    for (const seed of SEEDS) {
+      const world = olderCluster(terms, seed);
+      const leader = world.leader()!;
+      const others = world.nodes.filter((n) => n !== leader);
+      const roll = { world, leader, order: order(leader, others) };
+      replaceAll(roll, away);
+      faults(roll);
+      world.run(4 * BETWEEN + AWAY);
+      world.lowerLimits();
+      submitChains(world);
+      world.at(4000, () => cancelElsewhere(world, FIRST_CHAIN + 4));
+      world.run(20_000);
+      endsWell(world);
+      assert.equal(world.tooLarge, 0, 'transactions larger than the limits to come');
+    }
+  });
 }
--- a/packages/testing/src/world.ts
+++ b/packages/testing/src/world.ts
@@ -614,9 +614,20 @@
   }
 
   /** Any body at all, for what must be refused. */
+  request(
+    node: string,
+    method: string,
+    path: string,
+    body: Buffer,
+    done: (reply: Reply | null) => void,
+  ): void {
+    this.ask(node, 'public', method, path, body, done);
+  }
+
+  /** The answer to such a request, if it comes at once. */
   raw(node: string, method: string, path: string, body: Buffer): Reply | null {
     let answer: Reply | null = null;
-    this.ask(node, 'public', method, path, body, (reply) => (answer = reply));
+    this.request(node, method, path, body, (reply) => (answer = reply));
     this.run(500);
     return answer;
   }
