--- a/packages/controller/src/catalog.ts
+++ b/packages/controller/src/catalog.ts
@@ -18,7 +18,7 @@
   private stored = '';
 
   constructor(
-    private readonly rt: Runtime,
+    private readonly runtime: Runtime,
     private readonly state: StateStore,
     private readonly leadership: Leadership,
   ) {}
@@ -40,12 +40,15 @@
       path: CATALOG_PATH,
       body: null,
     };
-    this.rt.call({ ...call, priority: PRIORITY.background, writes: 0, timeout: TIMEOUT }, (r) => {
-      const types =
-        r.kind === 'answer' && r.status === 200 ? attempt(() => parseCatalog(r.body)) : null;
-      if (types && types.length > 0) this.take(types);
-      this.rt.after(types ? REFRESH : RETRY, () => this.refresh());
-    });
+    this.runtime.call(
+      { ...call, priority: PRIORITY.background, writes: 0, timeout: TIMEOUT },
+      (r) => {
+        const types =
+          r.kind === 'answer' && r.status === 200 ? attempt(() => parseCatalog(r.body)) : null;
+        if (types && types.length > 0) this.take(types);
+        this.runtime.after(types ? REFRESH : RETRY, () => this.refresh());
+      },
+    );
   }
 
   private take(types: MachineType[]): void {
@@ -54,7 +57,7 @@
     // Prices move all the time; only a change of what is offered is kept.
     const shape = types.map((t) => `${t.name}:${t.cpus}:${t.memoryGb}:${t.zones.join()}`).join();
     if (shape === this.stored) return;
-    const most = this.rt.settings.state.txnOps;
+    const most = this.runtime.settings.state.txnOps;
     const writes = types.slice(0, most).map((t) => ({ put: typeKey(t.name), value: t }));
     this.state.commit([this.leadership.guard()], writes, PRIORITY.background, (committed) => {
       if (committed.kind === 'ok') this.stored = shape;
@@ -64,7 +67,7 @@
   private readStored(): void {
     this.state.readAll(CATALOG_PREFIX, PRIORITY.leader, (all) => {
       if (this.known) return;
-      if (!all || all.items.length === 0) return this.rt.after(RETRY, () => this.readStored());
+      if (!all || all.items.length === 0) return this.runtime.after(RETRY, () => this.readStored());
       this.types = all.items.map((i) => i.value as MachineType);
     });
   }
--- a/packages/controller/src/completer.ts
+++ b/packages/controller/src/completer.ts
@@ -34,7 +34,7 @@
   private readonly completed = new Set<LiveJob>();
 
   constructor(
-    private readonly rt: Runtime,
+    private readonly runtime: Runtime,
     private readonly state: StateStore,
     private readonly leadership: Leadership,
     private readonly term: Term,
@@ -46,7 +46,7 @@
   }
 
   private repeat(period: number, run: () => void): void {
-    this.rt.every(period, () => {
+    this.runtime.every(period, () => {
       if (!this.term.closed && this.term.loaded && this.leadership.held()) run();
       return !this.term.closed;
     });
@@ -73,7 +73,7 @@
 
   /** As many as one transaction takes. */
   private endings(): Ending[] {
-    const most = Math.floor(this.rt.settings.state.txnOps / 2);
+    const most = Math.floor(this.runtime.settings.state.txnOps / 2);
     return this.jobsToEnd()
       .slice(0, most)
       .map((job) => this.ending(job));
@@ -141,9 +141,9 @@
 
   /** A job whose tasks are all done, or one that needs a cancelled job and never started. */
   private ending(job: LiveJob): Ending {
-    const { valueBytes } = this.rt.settings.state;
+    const { valueBytes } = this.runtime.settings.state;
     const state = job.doomed ? 'cancelled' : 'done';
-    const value = endedValue(state, job.accepted, this.rt.today, valueBytes);
+    const value = endedValue(state, job.accepted, this.runtime.today, valueBytes);
     return {
       job,
       value,
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -49,7 +49,7 @@
  * `process`; what is to be done outside goes out as effects.
  */
 export class Controller {
-  private readonly rt: Runtime;
+  private readonly runtime: Runtime;
   private readonly state: StateStore;
   private readonly leadership: Leadership;
   private readonly catalog: Catalog;
@@ -63,66 +63,66 @@
   private startedAt: Instant | null = null;
 
   constructor(env: Environment) {
-    this.rt = new Runtime(env);
-    this.state = new StateStore(this.rt);
+    this.runtime = new Runtime(env);
+    this.state = new StateStore(this.runtime);
     this.leadership = new Leadership(
-      this.rt,
+      this.runtime,
       this.state,
       (token) => this.begin(token),
       () => this.endTerm(),
     );
-    this.catalog = new Catalog(this.rt, this.state, this.leadership);
-    this.peers = new Peers(this.rt);
+    this.catalog = new Catalog(this.runtime, this.state, this.leadership);
+    this.peers = new Peers(this.runtime);
     this.requests = new Requests(
-      this.rt,
+      this.runtime,
       this.state,
       this.catalog,
       this.peers,
       (id) => this.peers.countsOf(id),
       (id) => this.spreadCancellation(id),
     );
-    this.keeper = new Keeper(this.rt, this.state, this.leadership, this.peers, (job, done) =>
+    this.keeper = new Keeper(this.runtime, this.state, this.leadership, this.peers, (job, done) =>
       this.requests.prove(job, done),
     );
   }
 
   process(commands: Command[], now: Instant, today: Date): Effect[] {
-    this.rt.now = now;
-    this.rt.today = today;
+    this.runtime.now = now;
+    this.runtime.today = today;
     if (this.startedAt === null) this.start();
     for (const command of commands) this.apply(command);
-    this.rt.runDue();
+    this.runtime.runDue();
     this.unpark();
     this.held?.release();
-    return this.rt.takeEffects();
+    return this.runtime.takeEffects();
   }
 
   /** When the next batch is due even if no command comes. */
   nextDue(): Instant {
-    return this.rt.nextDue();
+    return this.runtime.nextDue();
   }
 
   private start(): void {
-    this.startedAt = this.rt.now;
+    this.startedAt = this.runtime.now;
     this.leadership.start();
     this.catalog.start();
     this.peers.start(() => this.tellPeers());
-    this.rt.every(CHECK_EVERY, () => {
+    this.runtime.every(CHECK_EVERY, () => {
       this.resignIfDeaf();
       return true;
     });
-    this.rt.every(COUNTS_EVERY, () => {
+    this.runtime.every(COUNTS_EVERY, () => {
       this.tellCounts();
       return true;
     });
-    this.rt.every(HINTS_EVERY, () => {
+    this.runtime.every(HINTS_EVERY, () => {
       this.tellHints();
       return true;
     });
   }
 
   private apply(command: Command): void {
-    if (command.kind === 'result') this.rt.settle(command.id, command.result);
+    if (command.kind === 'result') this.runtime.settle(command.id, command.result);
     else if (command.kind === 'beat') this.peers.hear(command);
     else if (command.kind === 'told') this.peers.hearTold(command.message);
     else if (command.kind === 'refused') this.peers.noteRefused(command.member);
@@ -130,7 +130,7 @@
   }
 
   private tellPeers(): void {
-    this.rt.beat(this.leadership.leader ?? '', this.term?.token ?? 0, this.state.ok);
+    this.runtime.beat(this.leadership.leader ?? '', this.term?.token ?? 0, this.state.ok);
   }
 
   /** Counts for display: the leader tells the others, and users as well. */
@@ -151,7 +151,7 @@
   }
 
   private tell(message: Told): void {
-    this.rt.tell(message);
+    this.runtime.tell(message);
     this.peers.hearTold(message);
   }
 
@@ -160,14 +160,14 @@
   private begin(token: number): void {
     this.term?.close();
     this.held?.release();
-    const term = new Term(this.rt, this.state, this.leadership, token);
+    const term = new Term(this.runtime, this.state, this.leadership, token);
     if (this.peers.hints) useHints(this.peers.hints, term);
     this.term = term;
-    this.held = new HeldAnswers(this.rt, term, () => this.entitled());
+    this.held = new HeldAnswers(this.runtime, term, () => this.entitled());
     const types = () => this.catalog.types;
-    const fleet = new FleetKeeper(this.rt, this.state, this.leadership, term, types);
+    const fleet = new FleetKeeper(this.runtime, this.state, this.leadership, term, types);
     const placer = new Placer(
-      this.rt,
+      this.runtime,
       term,
       types,
       (m, type) => fleet.price(m, type),
@@ -175,14 +175,14 @@
       () => fleet.policy() === 'frugal',
     );
     term.start();
-    new Completer(this.rt, this.state, this.leadership, term).start();
-    new DirectStops(this.rt, term, () => this.entitled() !== null).start();
+    new Completer(this.runtime, this.state, this.leadership, term).start();
+    new DirectStops(this.runtime, term, () => this.entitled() !== null).start();
     placer.start();
     fleet.start();
   }
 
   private endTerm(): void {
-    this.rt.env.log('info', { token: this.term?.token }, 'no longer leading');
+    this.runtime.env.log('info', { token: this.term?.token }, 'no longer leading');
     this.term?.close();
     this.held?.release();
     this.term = null;
@@ -195,7 +195,7 @@
    */
   private entitled(): Held | null {
     const held = this.leadership.held();
-    if (!held || !this.term?.loaded || this.term.knowsUntil <= this.rt.now) return null;
+    if (!held || !this.term?.loaded || this.term.knowsUntil <= this.runtime.now) return null;
     return { ...held, validUntil: Math.min(held.validUntil, this.term.knowsUntil) };
   }
 
@@ -208,9 +208,10 @@
   private resignIfDeaf(): void {
     const term = this.term;
     if (!term || !this.leadership.held() || this.state.doubtful || !term.loaded) return;
-    const silence = this.rt.now - term.lastReport;
-    const young = this.rt.now - term.acquired < DEAF_GRACE;
-    if (young || term.machines.size < 2 || silence < this.rt.operator.leadership.resignDeaf) return;
+    const silence = this.runtime.now - term.lastReport;
+    const young = this.runtime.now - term.acquired < DEAF_GRACE;
+    if (young || term.machines.size < 2 || silence < this.runtime.operator.leadership.resignDeaf)
+      return;
     this.leadership.resign('no reports arrive');
   }
 
@@ -224,29 +225,29 @@
       return this.hearCancellations(request);
     }
     if (this.requests.handle(request)) return;
-    this.rt.reply(request.id, { status: 404, body: { error: 'no such path' } });
+    this.runtime.reply(request.id, { status: 404, body: { error: 'no such path' } });
   }
 
   private notAllowed(request: Request, allow: string): void {
-    this.rt.reply(request.id, { status: 405, body: { error: 'method not allowed' }, allow });
+    this.runtime.reply(request.id, { status: 405, body: { error: 'method not allowed' }, allow });
   }
 
   private health(request: Request): void {
     if (request.method !== 'GET') return this.notAllowed(request, 'GET');
     const healthy = this.healthy();
-    this.rt.reply(request.id, { status: healthy ? 200 : 503, body: { healthy } });
+    this.runtime.reply(request.id, { status: healthy ? 200 : 503, body: { healthy } });
   }
 
   private tellStats(request: Request): void {
     if (request.method !== 'GET') return this.notAllowed(request, 'GET');
-    this.rt.reply(request.id, { status: 200, body: this.rt.stats.view() });
+    this.runtime.reply(request.id, { status: 200, body: this.runtime.stats.view() });
   }
 
   private hearCancellations(request: Request): void {
     try {
       const jobs = parseCancellations(unpackBody(request.body));
       for (const id of jobs) this.term?.cancelled(id);
-      this.rt.reply(request.id, { status: 200, body: {} });
+      this.runtime.reply(request.id, { status: 200, body: {} });
     } catch (error) {
       this.malformed(request, error);
     }
@@ -254,7 +255,7 @@
 
   private malformed(request: Request, error: unknown): void {
     if (!(error instanceof WireError)) throw error;
-    this.rt.reply(request.id, { status: 400, body: { error: error.message } });
+    this.runtime.reply(request.id, { status: 400, body: { error: error.message } });
   }
 
   /**
@@ -262,7 +263,7 @@
    * the load balancer's pause. A node cut off from everything says so.
    */
   private healthy(): boolean {
-    const starting = this.rt.now - (this.startedAt ?? 0) < START_PATIENCE;
+    const starting = this.runtime.now - (this.startedAt ?? 0) < START_PATIENCE;
     if (starting && !this.catalog.known) return false;
     return this.state.ok || this.peers.anyAlive;
   }
@@ -277,18 +278,18 @@
     }
     this.leadership.outranked(report.token);
     // Also while it may not answer: a leader that an outage silenced is not deaf.
-    if (this.term) this.term.lastReport = this.rt.now;
+    if (this.term) this.term.lastReport = this.runtime.now;
     const held = this.entitled();
     if (!held || !this.term) return this.redirect(request, report);
     const { counted, answered, orders } = this.term.report(report);
     if (!answered) return this.sendOn(request.id, null);
-    this.rt.stats.count(counted ? 'reports.counted' : 'reports.ignored');
+    this.runtime.stats.count(counted ? 'reports.counted' : 'reports.ignored');
     // Only a newer report shows that the one before was given up; a late copy does not.
     if (counted) this.held?.drop(report.machine, held);
     const hold = counted && orders.length === 0 ? this.holdFor(report) : 0;
-    if (hold > 0) this.rt.stats.count('reports.held');
+    if (hold > 0) this.runtime.stats.count('reports.held');
     if (hold > 0) return this.held?.hold(report.machine, request.id, hold);
-    this.rt.reply(request.id, {
+    this.runtime.reply(request.id, {
       status: 200,
       body: renderReportAnswer(held.token, orders),
       validUntil: held.validUntil,
@@ -314,7 +315,7 @@
 
   private keep(request: Request, report: WorkerReport): void {
     this.keeper.keep(report, (status, body, validUntil) =>
-      this.rt.reply(request.id, {
+      this.runtime.reply(request.id, {
         status,
         body,
         ...(validUntil === undefined ? {} : { validUntil }),
@@ -328,19 +329,19 @@
   }
 
   private sendOn(request: number, leader: string | null): void {
-    this.rt.stats.count('reports.redirected');
-    this.rt.reply(request, { status: 421, body: renderRedirect(leader) });
+    this.runtime.stats.count('reports.redirected');
+    this.runtime.reply(request, { status: 421, body: renderRedirect(leader) });
   }
 
   /** A node without the state service will not know of the election, nor win it. */
   private mayPark(): boolean {
-    return !this.state.doubtful && this.parked.size < this.rt.settings.maxConnections / 2;
+    return !this.state.doubtful && this.parked.size < this.runtime.settings.maxConnections / 2;
   }
 
   private park(request: Request, report: WorkerReport): void {
     this.parked.set(request.id, { request, report });
-    this.rt.stats.count('reports.parked');
-    this.rt.after(PARK, () => {
+    this.runtime.stats.count('reports.parked');
+    this.runtime.after(PARK, () => {
       if (this.parked.delete(request.id)) this.sendOn(request.id, this.liveLeader());
     });
   }
@@ -362,6 +363,6 @@
       else if (keeps) this.keep(request, report);
       else this.sendOn(request.id, leader);
     }
-    if (this.parked.size > 0) this.rt.after(0, () => undefined);
+    if (this.parked.size > 0) this.runtime.after(0, () => undefined);
   }
 }
--- a/packages/controller/src/direct-stops.ts
+++ b/packages/controller/src/direct-stops.ts
@@ -23,13 +23,13 @@
   private underWay = 0;
 
   constructor(
-    private readonly rt: Runtime,
+    private readonly runtime: Runtime,
     private readonly term: Term,
     private readonly answers: () => boolean,
   ) {}
 
   start(): void {
-    this.rt.every(LOOK_EVERY, () => {
+    this.runtime.every(LOOK_EVERY, () => {
       if (!this.term.closed) this.look();
       return !this.term.closed;
     });
@@ -41,7 +41,7 @@
       if (this.underWay >= MOST_UNDER_WAY) return;
       if (m.addr === '' || m.bindings.size === 0) continue;
       if (answers && !this.misses(m)) continue;
-      if (this.rt.now - (this.told.get(m.id) ?? -Infinity) < AGAIN) continue;
+      if (this.runtime.now - (this.told.get(m.id) ?? -Infinity) < AGAIN) continue;
       const orders = this.stopsFor(m);
       if (orders.length > 0) this.send(m, orders);
     }
@@ -49,7 +49,7 @@
 
   private misses(m: Machine): boolean {
     const heard = m.lastCounted ?? this.term.acquired;
-    return this.rt.now - heard > this.rt.settings.reportEvery * MISSED_REPORTS;
+    return this.runtime.now - heard > this.runtime.settings.reportEvery * MISSED_REPORTS;
   }
 
   private stopsFor(m: Machine): Order[] {
@@ -62,9 +62,9 @@
   }
 
   private send(m: Machine, orders: Order[]): void {
-    this.told.set(m.id, this.rt.now);
+    this.told.set(m.id, this.runtime.now);
     this.underWay++;
-    this.rt.stats.count('stops.direct', orders.length);
+    this.runtime.stats.count('stops.direct', orders.length);
     const call = {
       target: 'worker' as const,
       to: m.addr,
@@ -75,6 +75,6 @@
       writes: 0,
       timeout: TIMEOUT,
     };
-    this.rt.call(call, () => this.underWay--);
+    this.runtime.call(call, () => this.underWay--);
   }
 }
--- a/packages/controller/src/fleet-keeper.ts
+++ b/packages/controller/src/fleet-keeper.ts
@@ -89,7 +89,7 @@
   private returning = false;
 
   constructor(
-    private readonly rt: Runtime,
+    private readonly runtime: Runtime,
     private readonly state: StateStore,
     private readonly leadership: Leadership,
     private readonly term: Term,
@@ -104,7 +104,7 @@
   }
 
   private repeat(period: number, run: () => void): void {
-    this.rt.every(period, () => {
+    this.runtime.every(period, () => {
       if (!this.term.closed && this.leadership.held()) run();
       return !this.term.closed;
     });
@@ -158,7 +158,7 @@
       writes: 0,
       timeout: CALL_TIMEOUT,
     };
-    this.rt.call(call, (r) => {
+    this.runtime.call(call, (r) => {
       if (!this.term.closed) done(r);
     });
   }
@@ -168,7 +168,7 @@
   private readOwned(): void {
     if (this.term.closed) return;
     this.state.get(OWNED_KEY, PRIORITY.leader, (got) => {
-      if (got.kind === 'failed') return this.rt.after(1000, () => this.readOwned());
+      if (got.kind === 'failed') return this.runtime.after(1000, () => this.readOwned());
       if (got.kind === 'found') this.owned = (got.item.value as { last: string }).last;
     });
   }
@@ -186,10 +186,10 @@
   }
 
   private refreshList(): void {
-    const fresh = this.rt.now - (this.listBegun ?? -Infinity) < LIST_EVERY;
+    const fresh = this.runtime.now - (this.listBegun ?? -Infinity) < LIST_EVERY;
     if (fresh && this.term.loaded && this.term.ready) return;
-    this.listBegun = this.rt.now;
-    this.list('', new Map(), this.rt.now);
+    this.listBegun = this.runtime.now;
+    this.list('', new Map(), this.runtime.now);
   }
 
   private list(after: string, found: Map<string, ListedMachine>, asked: Instant): void {
@@ -215,12 +215,12 @@
           type: m.type,
           zone: m.zone,
           spot: m.spot,
-          asked: this.rt.now - m.age,
+          asked: this.runtime.now - m.age,
         });
       }
     }
     // Taken before it ever reported: no longer listed, nor coming.
-    const lag = this.rt.settings.cloud.listLag * 2;
+    const lag = this.runtime.settings.cloud.listLag * 2;
     for (const [id, c] of this.coming) {
       const old = this.listAsked! - lag > c.asked + lag;
       if (this.term.machines.has(id) || (old && !this.listed.has(id))) this.coming.delete(id);
@@ -236,19 +236,19 @@
   }
 
   private offers() {
-    return offerings(this.types(), (p) => (this.refused.get(placeKey(p)) ?? 0) > this.rt.now);
+    return offerings(this.types(), (p) => (this.refused.get(placeKey(p)) ?? 0) > this.runtime.now);
   }
 
   private backlog(): Backlog[] {
-    const inside = guaranteedJobs(this.term.jobs.values(), this.rt.settings);
+    const inside = guaranteedJobs(this.term.jobs.values(), this.runtime.settings);
     const jobs = [...this.term.jobs.values()]
-      .filter((j) => j.waiting > 0 && j.backoffUntil <= this.rt.now)
+      .filter((j) => j.waiting > 0 && j.backoffUntil <= this.runtime.now)
       .map((job) => ({ job, latest: this.latest(job, inside.has(job.id)) }))
       .sort((a, b) => a.latest - b.latest);
     const all = offerings(this.types(), () => false);
     const rest = new Map<string, number>();
     return jobs.map(({ job, latest }) => {
-      const team = this.rt.settings.teams.find((t) => t.name === job.spec.team);
+      const team = this.runtime.settings.teams.find((t) => t.name === job.spec.team);
       const room =
         rest.get(job.spec.team) ??
         (team?.cpusMax ?? 0) - this.term.ledger.teamUse(job.spec.team).cpus;
@@ -261,7 +261,7 @@
 
   private latest(job: LiveJob, guaranteed: boolean): Instant {
     const ratio = this.term.ratios.get(job.spec.jobClass) ?? 1;
-    const latest = latestStart(job, ratio, guaranteed, this.rt.settings);
+    const latest = latestStart(job, ratio, guaranteed, this.runtime.settings);
     return latest === Infinity ? job.since + AIMLESS_WAIT : latest;
   }
 
@@ -271,14 +271,14 @@
     const slowest = Math.min(...this.types().map((t) => t.fetchGbPerS));
     const boot = Math.max(...this.types().map((t) => t.boot));
     const lead = boot * BOOT_LEAD + (job.spec.imageGb / Math.max(0.01, slowest)) * 1000;
-    if (this.rt.now >= latest - lead) return Infinity;
+    if (this.runtime.now >= latest - lead) return Infinity;
     return leastSlotPrice(all, job.spec) * CHEAP_ENOUGH;
   }
 
   /** Where starts count more than money, room for a burst is kept beside the work at hand. */
   private headroom(): Backlog[] {
     if (this.policy() !== 'fast') return [];
-    const share = this.rt.operator.fleet.headroom;
+    const share = this.runtime.operator.fleet.headroom;
     return [...this.term.jobs.values()].map((job) => ({
       spec: job.spec,
       tasks: Math.ceil(share * (job.waiting + job.bound.size)),
@@ -307,14 +307,15 @@
   }
 
   private usable(m: Machine): boolean {
-    if (m.returning || m.noticeUntil !== null || m.asideUntil > this.rt.now) return false;
+    if (m.returning || m.noticeUntil !== null || m.asideUntil > this.runtime.now) return false;
     return !m.resolved || (m.lastCounted !== null && !this.deaf(m));
   }
 
   /** Its reports arrive, or did, but none has counted for a whole lease. */
   private deaf(m: Machine): boolean {
-    const since = m.lastCounted ?? Math.max(this.term.acquired, Math.min(m.since, this.rt.now));
-    return m.bindings.size === 0 && this.rt.now > this.term.silence.leaseEnd(since);
+    const since =
+      m.lastCounted ?? Math.max(this.term.acquired, Math.min(m.since, this.runtime.now));
+    return m.bindings.size === 0 && this.runtime.now > this.term.silence.leaseEnd(since);
   }
 
   private rent(): void {
@@ -340,14 +341,14 @@
   private placesLeft(): number {
     let taken = this.term.machines.size + this.coming.size;
     for (const r of this.rentals.values()) taken += r.count;
-    const left = socketShares(this.rt.settings).workers - taken;
-    this.rt.stats.gauge('fleet.places_left', left);
+    const left = socketShares(this.runtime.settings).workers - taken;
+    this.runtime.stats.gauge('fleet.places_left', left);
     return Math.max(0, left);
   }
 
   /** Before the roster is accounted for, tasks that run look like tasks that wait. */
   private knowsWhatRuns(): boolean {
-    return this.term.ready || this.rt.now - this.term.acquired > REBUILD_PATIENCE;
+    return this.term.ready || this.runtime.now - this.term.acquired > REBUILD_PATIENCE;
   }
 
   /** One request a kind at a time: its answer tells whether there is more. */
@@ -357,7 +358,7 @@
 
   private ask({ type, zone, spot }: Place, count: number): void {
     const request = `${this.term.token}-${++this.requests}`;
-    this.rentals.set(request, { request, type, zone, spot, count, asked: this.rt.now });
+    this.rentals.set(request, { request, type, zone, spot, count, asked: this.runtime.now });
     this.askRental(request);
   }
 
@@ -369,14 +370,14 @@
   /** Without an answer the same name is asked for again, so nothing is rented twice. */
   private repeatRentals(): void {
     for (const [request, r] of this.rentals) {
-      if (this.rt.now - r.asked > CALL_TIMEOUT + 1000) this.askRental(request);
+      if (this.runtime.now - r.asked > CALL_TIMEOUT + 1000) this.askRental(request);
     }
   }
 
   private askRental(request: string): void {
     const rental = this.rentals.get(request);
     if (!rental) return;
-    rental.asked = this.rt.now;
+    rental.asked = this.runtime.now;
     this.call('POST', MACHINES_PATH, renderRent(rental), PRIORITY.leader, (r) =>
       this.rented(rental, r),
     );
@@ -393,14 +394,18 @@
         type: rental.type,
         zone: rental.zone,
         spot: rental.spot,
-        asked: this.rt.now,
+        asked: this.runtime.now,
       });
     }
     if ((hosts?.length ?? 0) < rental.count) {
-      this.refused.set(placeKey(rental), this.rt.now + REFUSED_FOR);
+      this.refused.set(placeKey(rental), this.runtime.now + REFUSED_FOR);
     }
-    if (this.rentals.size === 0) this.rt.after(0, () => this.rentAgain());
-    this.rt.env.log('info', { ...rental, hosts: hosts ?? [], status: r.status }, 'rental answered');
+    if (this.rentals.size === 0) this.runtime.after(0, () => this.rentAgain());
+    this.runtime.env.log(
+      'info',
+      { ...rental, hosts: hosts ?? [], status: r.status },
+      'rental answered',
+    );
   }
 
   // --- returning -------------------------------------------------------------
@@ -414,7 +419,11 @@
     const heldUp = this.termHeldUp();
     for (const m of this.term.machines.values()) {
       if (m.returning || !this.shouldReturn(m, heldUp)) continue;
-      this.rt.env.log('info', { machine: m.id, type: m.type, spot: m.spot }, 'returning machine');
+      this.runtime.env.log(
+        'info',
+        { machine: m.id, type: m.type, spot: m.spot },
+        'returning machine',
+      );
       this.term.markReturning(m);
     }
     if (this.returning) return;
@@ -444,7 +453,7 @@
     this.call('POST', RETURN_PATH, renderReturn(ids), PRIORITY.leader, (r) => {
       this.returning = false;
       if (r.kind !== 'answer' || r.status !== 200) return;
-      this.rt.env.log('info', { machines: ids }, 'machines returned');
+      this.runtime.env.log('info', { machines: ids }, 'machines returned');
       for (const id of ids) {
         this.term.machineGone(id);
         this.coming.delete(id);
@@ -456,7 +465,7 @@
   private neverCame(c: Coming): boolean {
     const boot = this.types().find((t) => t.name === c.type)?.boot;
     if (boot === undefined) return false;
-    return this.rt.now - c.asked > boot * this.rt.operator.fleet.bootPatience + 5000;
+    return this.runtime.now - c.asked > boot * this.runtime.operator.fleet.bootPatience + 5000;
   }
 
   private shouldReturn(m: Machine, heldUp: boolean): boolean {
@@ -476,9 +485,10 @@
     if (this.listAsked === null || this.listed.has(m.id)) return false;
     // A new term's machines are silent until they have found it.
     const heard = m.lastHeard !== null;
-    const silence = this.rt.now - (heard ? m.lastHeard! : this.term.acquired);
-    if (silence < (heard ? this.rt.settings.reportEvery * 1.5 : NEW_TERM_PATIENCE)) return false;
-    return this.listAsked - this.rt.settings.cloud.listLag * 2 > m.since;
+    const silence = this.runtime.now - (heard ? m.lastHeard! : this.term.acquired);
+    if (silence < (heard ? this.runtime.settings.reportEvery * 1.5 : NEW_TERM_PATIENCE))
+      return false;
+    return this.listAsked - this.runtime.settings.cloud.listLag * 2 > m.since;
   }
 
   /**
@@ -486,7 +496,7 @@
    * their return proves them gone sooner than the end of their lease would.
    */
   private termHeldUp(): boolean {
-    const age = this.rt.now - this.term.acquired;
+    const age = this.runtime.now - this.term.acquired;
     if (age < FEW_PATIENCE) return false;
     const silent = this.term.unresolved().length;
     const all = this.term.machines.size;
@@ -498,13 +508,13 @@
   private idleLongEnough(m: Machine): boolean {
     if (m.idleSince === null || m.noticeUntil !== null) return false;
     const fast = this.policy() === 'fast';
-    const least = fast ? FAST_IDLE : this.rt.operator.fleet.idleReturn;
+    const least = fast ? FAST_IDLE : this.runtime.operator.fleet.idleReturn;
     const age = this.listed.get(m.id)?.age ?? Infinity;
-    return this.rt.now - m.idleSince >= least && age >= LEAST_CHARGE;
+    return this.runtime.now - m.idleSince >= least && age >= LEAST_CHARGE;
   }
 
   policy(): 'frugal' | 'fast' {
-    const set = this.rt.operator.fleet.policy;
+    const set = this.runtime.operator.fleet.policy;
     if (set !== 'auto') return set;
     return this.owned !== null && this.owned !== '' ? 'fast' : 'frugal';
   }
--- a/packages/controller/src/held-answers.ts
+++ b/packages/controller/src/held-answers.ts
@@ -12,14 +12,14 @@
   private readonly open = new Map<string, number>();
 
   constructor(
-    private readonly rt: Runtime,
+    private readonly runtime: Runtime,
     private readonly term: Term,
     private readonly held: () => Held | null,
   ) {}
 
   hold(machine: string, request: number, duration: Duration): void {
     this.open.set(machine, request);
-    this.rt.after(duration, () => {
+    this.runtime.after(duration, () => {
       if (this.open.get(machine) === request) this.answer(machine, request);
     });
   }
@@ -29,7 +29,7 @@
     const request = this.open.get(machine);
     if (request === undefined) return;
     this.open.delete(machine);
-    this.rt.reply(request, { status: 503, body: renderReportAnswer(held.token, []) });
+    this.runtime.reply(request, { status: 503, body: renderReportAnswer(held.token, []) });
   }
 
   /** Lets go what has got orders since; everything once the term is over. */
@@ -50,8 +50,8 @@
   private answer(machine: string, request: number): void {
     this.open.delete(machine);
     const held = this.held();
-    if (!held || this.term.closed) return this.rt.reply(request, { status: 503, body: {} });
+    if (!held || this.term.closed) return this.runtime.reply(request, { status: 503, body: {} });
     const body = renderReportAnswer(held.token, this.term.ordersOf(machine));
-    this.rt.reply(request, { status: 200, body, validUntil: held.validUntil });
+    this.runtime.reply(request, { status: 200, body, validUntil: held.validUntil });
   }
 }
--- a/packages/controller/src/job-graph.ts
+++ b/packages/controller/src/job-graph.ts
@@ -37,7 +37,7 @@
   private changed = false;
 
   constructor(
-    private readonly rt: Runtime,
+    private readonly runtime: Runtime,
     private readonly state: StateStore,
     private readonly term: Jobs,
   ) {}
@@ -117,7 +117,7 @@
   }
 
   private askLater(id: string): void {
-    this.rt.after(RETRY, () => {
+    this.runtime.after(RETRY, () => {
       if (!this.term.closed && this.dependents.has(id)) this.ask(id);
     });
   }
@@ -139,12 +139,12 @@
     job.startableSince = Math.max(job.startableSince, end.revision);
     if (job.waitsFor.size > 0 || job.doomed) return;
     job.released = Math.max(job.submitted, job.lastDone);
-    const ago = Math.round(this.rt.now - job.released);
-    this.rt.env.log('debug', { job: job.id, ago }, 'job released');
+    const ago = Math.round(this.runtime.now - job.released);
+    this.runtime.env.log('debug', { job: job.id, ago }, 'job released');
   }
 
   private steady(at: number): Instant {
-    return this.rt.now - Math.max(0, this.rt.today.getTime() - at);
+    return this.runtime.now - Math.max(0, this.runtime.today.getTime() - at);
   }
 
   private doom(first: LiveJob): void {
--- a/packages/controller/src/keeper.ts
+++ b/packages/controller/src/keeper.ts
@@ -48,7 +48,7 @@
   private readonly proven = new Map<string, Instant>();
 
   constructor(
-    private readonly rt: Runtime,
+    private readonly runtime: Runtime,
     private readonly state: StateStore,
     private readonly leadership: Leadership,
     private readonly peers: Peers,
@@ -59,8 +59,8 @@
   get mayKeep(): boolean {
     const { leader, leaderVersion } = this.leadership;
     if (leader === null || leaderVersion === null || this.state.doubtful) return false;
-    if (leader === this.rt.settings.member || this.peers.refusedLately(leader)) return false;
-    return this.rt.now - this.peers.lastHeard(leader) > SILENCE;
+    if (leader === this.runtime.settings.member || this.peers.refusedLately(leader)) return false;
+    return this.runtime.now - this.peers.lastHeard(leader) > SILENCE;
   }
 
   keep(report: WorkerReport, answer: Answer): void {
@@ -69,7 +69,7 @@
       const present = report.tasks.filter((t) => t.state !== 'exited');
       this.proveAll([...new Set(present.map(jobOf))], (ended) => {
         if (!ended) return answer(421, {});
-        this.rt.stats.count('reports.kept');
+        this.runtime.stats.count('reports.kept');
         const over = present.filter((t) => ended.has(jobOf(t)));
         answer(200, renderReportAnswer(grant.token, over.map(killOf)), grant.until);
       });
@@ -80,7 +80,7 @@
 
   private withGrant(use: (grant: Grant | null) => void): void {
     const current = this.grant?.token === this.leadership.leaderVersion ? this.grant : null;
-    const left = (current?.until ?? -Infinity) - this.rt.now;
+    const left = (current?.until ?? -Infinity) - this.runtime.now;
     if (left < RENEW_AT) this.ask();
     if (left > 0) return use(current);
     this.waiting.push(() => use(this.grant));
@@ -90,16 +90,20 @@
     if (this.asking) return;
     this.asking = true;
     const token = this.leadership.leaderVersion ?? 0;
-    const sent = this.rt.now;
-    const value: GrantValue = { token, at: this.rt.today.getTime() };
-    const write = { put: `${KEEPER_PREFIX}${this.rt.settings.member}`, value };
+    const sent = this.runtime.now;
+    const value: GrantValue = { token, at: this.runtime.today.getTime() };
+    const write = { put: `${KEEPER_PREFIX}${this.runtime.settings.member}`, value };
     const guards = [{ key: LEADER_KEY, version: token }];
     this.state.commit(guards, [write], PRIORITY.lease, (committed) => {
       this.asking = false;
       // Counted from the send, so that it ends here before it ends for any leader.
       const until = sent + GRANT_LIFE * (1 - DRIFT) - GRANT_MARGIN;
       this.grant = committed.kind === 'ok' ? { token, until } : null;
-      this.rt.env.log('info', { token, granted: this.grant !== null }, 'grant to keep workers');
+      this.runtime.env.log(
+        'info',
+        { token, granted: this.grant !== null },
+        'grant to keep workers',
+      );
       for (const go of this.waiting.splice(0)) go();
     });
   }
@@ -114,7 +118,7 @@
     if (left === 0) return done(ended);
     let sure = true;
     for (const job of open) {
-      const asked = this.rt.now;
+      const asked = this.runtime.now;
       this.prove(job, (proof) => {
         if (proof === 'live') this.noteProven(job, asked);
         if (proof === 'ended') ended.add(job);
@@ -135,8 +139,8 @@
   private provenLately(job: string): boolean {
     const at = this.proven.get(job);
     if (at === undefined) return false;
-    const life = Math.min(PROOF_LIFE, newsLife(this.rt.settings));
-    if (this.rt.now - at <= life) return true;
+    const life = Math.min(PROOF_LIFE, newsLife(this.runtime.settings));
+    if (this.runtime.now - at <= life) return true;
     this.proven.delete(job);
     return false;
   }
--- a/packages/controller/src/leadership.ts
+++ b/packages/controller/src/leadership.ts
@@ -37,7 +37,7 @@
   private standBackUntil: Instant = 0;
 
   constructor(
-    private readonly rt: Runtime,
+    private readonly runtime: Runtime,
     private readonly state: StateStore,
     private readonly onGained: (token: number) => void,
     private readonly onLost: () => void,
@@ -45,7 +45,7 @@
 
   start(): void {
     this.follow();
-    this.rt.every(this.rt.operator.leadership.lease / RENEW_PART, () => {
+    this.runtime.every(this.runtime.operator.leadership.lease / RENEW_PART, () => {
       this.renew();
       return true;
     });
@@ -53,7 +53,7 @@
 
   /** Set only while the lease is surely valid. */
   held(): Held | null {
-    if (this.token === null || this.rt.now >= this.leaseUntil) return null;
+    if (this.token === null || this.runtime.now >= this.leaseUntil) return null;
     return { token: this.token, validUntil: this.leaseUntil };
   }
 
@@ -65,8 +65,8 @@
   /** Gives leadership up for the others to take. */
   resign(reason: string): void {
     if (this.token === null) return;
-    this.rt.env.log('info', { token: this.token, reason }, 'resigning leadership');
-    this.standBackUntil = this.rt.now + STAND_BACK;
+    this.runtime.env.log('info', { token: this.token, reason }, 'resigning leadership');
+    this.standBackUntil = this.runtime.now + STAND_BACK;
     if (this.lease !== null) this.state.release(this.lease);
     this.dropLease();
     this.lose();
@@ -75,7 +75,7 @@
   /** A higher token exists: some other node leads. */
   outranked(token: number): void {
     if (this.token === null || token <= this.token) return;
-    this.rt.env.log('info', { token: this.token, seen: token }, 'outranked');
+    this.runtime.env.log('info', { token: this.token, seen: token }, 'outranked');
     this.lose();
   }
 
@@ -96,7 +96,7 @@
   private renew(): void {
     const lease = this.lease;
     if (lease === null) return;
-    const sent = this.rt.now;
+    const sent = this.runtime.now;
     this.state.renew(lease, (renewed) => {
       if (this.lease !== lease) return;
       if (renewed === 'ok') this.extend(sent);
@@ -107,27 +107,28 @@
   }
 
   private extend(sent: Instant): void {
-    const life = this.rt.operator.leadership.lease;
+    const life = this.runtime.operator.leadership.lease;
     this.leaseUntil = Math.max(this.leaseUntil, sent + life * (1 - DRIFT) - LEASE_MARGIN);
   }
 
   /** Reads the key, acts on it, then watches for its next change. */
   private follow(): void {
     this.state.get(LEADER_KEY, PRIORITY.lease, (got) => {
-      if (got.kind === 'failed') return this.rt.after(RETRY, () => this.follow());
+      if (got.kind === 'failed') return this.runtime.after(RETRY, () => this.follow());
       if (got.kind === 'missing') this.seeVacant();
       else this.seeHolder(got.item.value as LeaderValue, got.item.version);
       const version = got.kind === 'found' ? got.item.version : null;
-      if (version === null || this.electing) return this.rt.after(RETRY / 2, () => this.follow());
+      if (version === null || this.electing)
+        return this.runtime.after(RETRY / 2, () => this.follow());
       this.watchFrom(version);
     });
   }
 
   private watchFrom(revision: number): void {
-    const opened = this.rt.now;
+    const opened = this.runtime.now;
     this.state.watch(LEADER_KEY, revision, WATCH_HOLD, (watched) => {
-      const quick = this.rt.now - opened < READ_EVERY && watched.kind !== 'events';
-      this.rt.after(quick ? RETRY : 0, () => this.follow());
+      const quick = this.runtime.now - opened < READ_EVERY && watched.kind !== 'events';
+      this.runtime.after(quick ? RETRY : 0, () => this.follow());
     });
   }
 
@@ -135,12 +136,12 @@
     this.leader = null;
     this.leaderVersion = null;
     if (this.token !== null) this.lose();
-    if (this.electing || this.rt.now < this.standBackUntil) return;
-    this.elect(0, this.rt.env.random() * 200);
+    if (this.electing || this.runtime.now < this.standBackUntil) return;
+    this.elect(0, this.runtime.env.random() * 200);
   }
 
   private seeHolder(value: LeaderValue, version: number): void {
-    const own = value.member === this.rt.settings.member;
+    const own = value.member === this.runtime.settings.member;
     this.leader = value.member;
     this.leaderVersion = version;
     if (version === this.token) return;
@@ -153,13 +154,13 @@
 
   private elect(version: number, delay: number): void {
     this.electing = true;
-    this.rt.after(delay, () => this.obtainLease(version));
+    this.runtime.after(delay, () => this.obtainLease(version));
   }
 
   private obtainLease(version: number): void {
-    if (this.lease !== null && this.rt.now < this.leaseUntil) return this.campaign(version);
-    const sent = this.rt.now;
-    this.state.grant(this.rt.operator.leadership.lease, (lease) => {
+    if (this.lease !== null && this.runtime.now < this.leaseUntil) return this.campaign(version);
+    const sent = this.runtime.now;
+    this.state.grant(this.runtime.operator.leadership.lease, (lease) => {
       if (lease === null) {
         this.electing = false;
         return;
@@ -173,8 +174,8 @@
 
   private campaign(version: number): void {
     // Kept after an unanswered commit: the next read recognises it as our own.
-    this.nonce = `${this.rt.today.getTime()}-${Math.floor(this.rt.env.random() * 2 ** 31)}`;
-    const value: LeaderValue = { member: this.rt.settings.member, nonce: this.nonce };
+    this.nonce = `${this.runtime.today.getTime()}-${Math.floor(this.runtime.env.random() * 2 ** 31)}`;
+    const value: LeaderValue = { member: this.runtime.settings.member, nonce: this.nonce };
     const lease = this.lease!;
     const write = { put: LEADER_KEY, value, lease };
     this.state.commit([{ key: LEADER_KEY, version }], [write], PRIORITY.lease, (committed) => {
@@ -187,8 +188,8 @@
   private gain(token: number): void {
     if (this.lease === null) return;
     this.token = token;
-    this.leader = this.rt.settings.member;
-    this.rt.env.log('info', { token }, 'leading');
+    this.leader = this.runtime.settings.member;
+    this.runtime.env.log('info', { token }, 'leading');
     this.onGained(token);
   }
 }
--- a/packages/controller/src/lineage.ts
+++ b/packages/controller/src/lineage.ts
@@ -36,7 +36,7 @@
   private readonly liveAt = new Map<string, Instant>();
 
   constructor(
-    private readonly rt: Runtime,
+    private readonly runtime: Runtime,
     private readonly jobs: Jobs,
   ) {}
 
@@ -58,7 +58,7 @@
 
   private locateAll(ids: string[], done: (kinds: Set<string>) => void): void {
     const kinds = new Set<string>();
-    const asked = this.rt.now;
+    const asked = this.runtime.now;
     let left = ids.length;
     for (const id of ids) {
       this.jobs.locate(id, (known) => {
@@ -89,8 +89,8 @@
   }
 
   private liveLately(id: string): boolean {
-    const life: Duration = Math.min(USUAL_LIFE, this.rt.settings.cancelWithin / LIFE_PART);
-    return this.rt.now - (this.liveAt.get(id) ?? -Infinity) <= life;
+    const life: Duration = Math.min(USUAL_LIFE, this.runtime.settings.cancelWithin / LIFE_PART);
+    return this.runtime.now - (this.liveAt.get(id) ?? -Infinity) <= life;
   }
 
   private note(id: string, at: Instant): void {
--- a/packages/controller/src/live-proofs.ts
+++ b/packages/controller/src/live-proofs.ts
@@ -41,7 +41,7 @@
   private planned = false;
 
   constructor(
-    private readonly rt: Runtime,
+    private readonly runtime: Runtime,
     private readonly state: StateStore,
   ) {}
 
@@ -75,7 +75,7 @@
   private plan(): void {
     if (this.planned) return;
     this.planned = true;
-    this.rt.after(GATHER, () => {
+    this.runtime.after(GATHER, () => {
       this.planned = false;
       this.prove();
     });
@@ -84,7 +84,7 @@
   private prove(): void {
     const all = [...this.waiting.values()];
     this.waiting = new Map();
-    const most = this.rt.settings.state.txnOps * GUARDS_A_WRITE;
+    const most = this.runtime.settings.state.txnOps * GUARDS_A_WRITE;
     for (let at = 0; at < all.length; at += most) this.compare(all.slice(at, at + most));
   }
 
--- a/packages/controller/src/packed-table.ts
+++ b/packages/controller/src/packed-table.ts
@@ -52,7 +52,7 @@
   private restUntil: Instant = -Infinity;
 
   constructor(
-    private readonly rt: Runtime,
+    private readonly runtime: Runtime,
     private readonly state: StateStore,
     private readonly leadership: Leadership,
     private readonly prefix: string,
@@ -76,7 +76,7 @@
     for (const item of [...items].sort((a, b) => a.version - b.version)) {
       const entries = (item.value as ShardValue<V> | null)?.entries;
       if (typeof entries !== 'object' || entries === null) {
-        this.rt.env.log('error', { key: item.key }, 'stored value can not be read');
+        this.runtime.env.log('error', { key: item.key }, 'stored value can not be read');
         continue;
       }
       const shard = this.addShard(item.key, item.version);
@@ -158,7 +158,7 @@
   // --- shards ----------------------------------------------------------------
 
   private get most(): number {
-    return this.rt.settings.state.valueBytes * FILL;
+    return this.runtime.settings.state.valueBytes * FILL;
   }
 
   private newShard(): Shard<V> {
@@ -209,8 +209,8 @@
     if (this.planned) return;
     this.planned = true;
     // What can't wait must not be planned behind what can.
-    const rest = this.shards.some((s) => s.dirty) ? 0 : this.restUntil - this.rt.now;
-    this.rt.after(Math.max(delay, Math.min(rest, MOST_REST)), () => {
+    const rest = this.shards.some((s) => s.dirty) ? 0 : this.restUntil - this.runtime.now;
+    this.runtime.after(Math.max(delay, Math.min(rest, MOST_REST)), () => {
       this.planned = false;
       this.flush();
     });
@@ -221,7 +221,7 @@
     const lost = this.shards.find((s) => unstored(s) && s.version === null);
     if (lost) return this.reread(lost);
     const urgent = this.nextBatch((s) => s.dirty);
-    const rests = this.rt.now < this.restUntil;
+    const rests = this.runtime.now < this.restUntil;
     const batch = urgent.length > 0 || rests ? urgent : this.nextBatch((s) => s.stale);
     if (batch.length > 0 && this.leadership.held()) this.write(batch, urgent.length > 0);
     else if (this.shards.some(unstored)) this.plan(RETRY);
@@ -232,15 +232,15 @@
     const all = this.shards.filter(wanted);
     const order = [...all.filter((s) => !s.shrunk), ...all.filter((s) => s.shrunk)];
     let bytes = 0;
-    const batch = order.slice(0, this.rt.settings.state.txnOps);
+    const batch = order.slice(0, this.runtime.settings.state.txnOps);
     return batch.filter((s, at) => (bytes += s.bytes) <= MOST_BYTES || at === 0);
   }
 
   private write(batch: Shard<V>[], urgent: boolean): void {
     this.busy = true;
-    const { writeRps } = this.rt.settings.state;
+    const { writeRps } = this.runtime.settings.state;
     const pause = (batch.length / (writeRps * LAZY_SHARE)) * 1000;
-    if (!urgent) this.restUntil = this.rt.now + pause;
+    if (!urgent) this.restUntil = this.runtime.now + pause;
     const stored = batch.flatMap((s) => [...s.entries]);
     for (const s of batch) s.dirty = s.stale = false;
     const guards: Guard[] = batch.map((s) => ({ key: s.key, version: s.version ?? 0 }));
--- a/packages/controller/src/peers.ts
+++ b/packages/controller/src/peers.ts
@@ -29,18 +29,18 @@
   private started: Instant = 0;
   private counts = new Map<string, JobCounts>();
 
-  constructor(private readonly rt: Runtime) {}
+  constructor(private readonly runtime: Runtime) {}
 
   start(tell: () => void): void {
-    this.started = this.rt.now;
-    this.rt.every(BEAT_EVERY, () => {
+    this.started = this.runtime.now;
+    this.runtime.every(BEAT_EVERY, () => {
       tell();
       return true;
     });
   }
 
   hear(beat: Beat): void {
-    this.beats.set(beat.member, { beat, heard: this.rt.now });
+    this.beats.set(beat.member, { beat, heard: this.runtime.now });
   }
 
   /** The leader's counts for display, and what it has learnt. */
@@ -55,11 +55,11 @@
 
   /** A connection to it was refused: its host answers, so no cut lies between. */
   noteRefused(member: string): void {
-    this.refused.set(member, this.rt.now);
+    this.refused.set(member, this.runtime.now);
   }
 
   refusedLately(member: string): boolean {
-    return this.rt.now - (this.refused.get(member) ?? -Infinity) < REFUSED_FRESH;
+    return this.runtime.now - (this.refused.get(member) ?? -Infinity) < REFUSED_FRESH;
   }
 
   lastHeard(member: string): Instant {
@@ -68,16 +68,16 @@
 
   alive(member: string): boolean {
     const known = this.beats.get(member);
-    return known !== undefined && this.rt.now - known.heard <= FRESH;
+    return known !== undefined && this.runtime.now - known.heard <= FRESH;
   }
 
   get anyAlive(): boolean {
-    return this.rt.settings.peers.some((p) => this.alive(p.member));
+    return this.runtime.settings.peers.some((p) => this.alive(p.member));
   }
 
   /** A peer that reaches the state service, if any. */
   get served(): string | null {
-    const peer = this.rt.settings.peers.find(
+    const peer = this.runtime.settings.peers.find(
       (p) => this.alive(p.member) && this.beats.get(p.member)!.beat.stateOk,
     );
     return peer?.member ?? null;
@@ -86,7 +86,7 @@
   /** Whichever of them leads can have the tasks stopped at once; nothing rests on its arriving. */
   tellCancelled(jobs: string[]): void {
     const body = packBody(renderCancellations(jobs));
-    for (const { member } of this.rt.settings.peers) {
+    for (const { member } of this.runtime.settings.peers) {
       this.send(member, 'POST', CANCELLATIONS_PATH, body, PRIORITY.leader, () => undefined);
     }
   }
@@ -108,6 +108,6 @@
     done: (r: CallResult) => void,
   ): void {
     const call = { target: 'peer' as const, to, method, path, body, priority };
-    this.rt.call({ ...call, writes: 0, timeout: ASK_TIMEOUT }, done);
+    this.runtime.call({ ...call, writes: 0, timeout: ASK_TIMEOUT }, done);
   }
 }
--- a/packages/controller/src/placer.ts
+++ b/packages/controller/src/placer.ts
@@ -68,7 +68,7 @@
   private unaccounted: Resources = NOTHING;
 
   constructor(
-    private readonly rt: Runtime,
+    private readonly runtime: Runtime,
     private readonly term: Term,
     private readonly types: () => MachineType[],
     private readonly priceOf: (m: Machine, type: MachineType) => number,
@@ -77,7 +77,7 @@
   ) {}
 
   start(): void {
-    this.rt.every(PASS_EVERY, () => {
+    this.runtime.every(PASS_EVERY, () => {
       if (!this.term.closed) this.pass();
       return !this.term.closed;
     });
@@ -86,10 +86,10 @@
   private pass(): void {
     if (!this.term.loaded) return;
     // A thousand reports come first: until they are in, only new jobs can be placed.
-    if (!this.term.ready && this.rt.now - this.lastPass < REBUILD_PASS_EVERY) return;
-    this.lastPass = this.rt.now;
+    if (!this.term.ready && this.runtime.now - this.lastPass < REBUILD_PASS_EVERY) return;
+    this.lastPass = this.runtime.now;
     this.term.graph.weigh();
-    for (const job of this.term.jobs.values()) job.openWindows(this.rt.now);
+    for (const job of this.term.jobs.values()) job.openWindows(this.runtime.now);
     if (!this.term.settled) return;
     this.rescue();
     this.promised.clear();
@@ -102,20 +102,20 @@
   }
 
   private notePass(pass: Pass, waiting: number): void {
-    this.rt.stats.count('passes');
-    this.rt.stats.count('passes.bookings', pass.bookings);
-    this.rt.stats.count('passes.room_plans', pass.roomPlans);
-    this.rt.stats.record('passes.waiting_jobs', waiting);
+    this.runtime.stats.count('passes');
+    this.runtime.stats.count('passes.bookings', pass.bookings);
+    this.runtime.stats.count('passes.room_plans', pass.roomPlans);
+    this.runtime.stats.record('passes.waiting_jobs', waiting);
   }
 
   private waitingJobs(): LiveJob[] {
     const ready = this.term.ready;
     const waiting = [...this.term.jobs.values()].filter(
       (job) =>
-        job.open.size > 0 && job.backoffUntil <= this.rt.now && this.term.mayPlace(job, ready),
+        job.open.size > 0 && job.backoffUntil <= this.runtime.now && this.term.mayPlace(job, ready),
     );
     if (waiting.length === 0) return waiting;
-    this.inside = guaranteedJobs(this.term.jobs.values(), this.rt.settings);
+    this.inside = guaranteedJobs(this.term.jobs.values(), this.runtime.settings);
     const ranked = waiting.map((job) => ({ job, key: this.rankOf(job) }));
     return ranked.sort((a, b) => compareJobs(a.key, b.key)).map((r) => r.job);
   }
@@ -132,11 +132,11 @@
 
   private starves(job: LiveJob): boolean {
     const begun = job.doneCount > 0 || job.bound.size > 0;
-    return !begun && this.rt.now - job.since > STARVING;
+    return !begun && this.runtime.now - job.since > STARVING;
   }
 
   private belowGuarantee(job: LiveJob): boolean {
-    const team = this.rt.settings.teams.find((t) => t.name === job.spec.team);
+    const team = this.runtime.settings.teams.find((t) => t.name === job.spec.team);
     if (!team) return false;
     const promised = this.promised.get(team.name) ?? NOTHING;
     const after = plus(plus(this.term.ledger.teamUse(team.name), promised), need(job.spec));
@@ -145,13 +145,16 @@
 
   /** Machines whose reports are recent enough to count as volunteers. */
   private desks(): Desk[] {
-    const recent = Math.max(this.rt.operator.window.lambda, this.rt.settings.reportEvery * 1.5);
+    const recent = Math.max(
+      this.runtime.operator.window.lambda,
+      this.runtime.settings.reportEvery * 1.5,
+    );
     const types = this.types();
     const desks: Desk[] = [];
     for (const m of this.term.machines.values()) {
-      const heard = m.lastCounted !== null && this.rt.now - m.lastCounted <= recent;
+      const heard = m.lastCounted !== null && this.runtime.now - m.lastCounted <= recent;
       if (!heard || !m.inRoster || m.returning) continue;
-      if (m.noticeUntil !== null || m.asideUntil > this.rt.now) continue;
+      if (m.noticeUntil !== null || m.asideUntil > this.runtime.now) continue;
       const type = typeOf(types, m);
       if (type) desks.push(deskOf(m, type));
     }
@@ -178,14 +181,14 @@
       if (pass.bookedOut || !this.withinTeamLimit(job)) return;
       const chosen = volunteers.choose();
       if (!chosen) {
-        this.lastFull = this.rt.now;
+        this.lastFull = this.runtime.now;
         // Where there is room, other fetches are in the way: another job may use it.
         if (volunteers.tooSlow === 0) pass.full.add(demand);
         return this.noFit(search, waiting.slice(at), pass);
       }
       if (this.waitsForHolder(search, chosen, pass)) continue;
       if (this.holderMayCome(search, chosen)) return;
-      if (chosen.machine.images.has(job.spec.image)) job.holderWait = this.rt.now;
+      if (chosen.machine.images.has(job.spec.image)) job.holderWait = this.runtime.now;
       this.term.book(job, task.index, chosen.machine, sheltered);
       pass.bookings++;
       job.starvedSince = null;
@@ -203,16 +206,16 @@
     const shared = this.term.fetchSharing.shared;
     const limits = {
       slowdown: any ? Infinity : MOST_SLOWDOWN,
-      patience: this.rt.operator.window.lambda,
+      patience: this.runtime.operator.window.lambda,
     };
-    const ranks = new ImageRanks(job.spec, this.rt.now, shared, limits);
+    const ranks = new ImageRanks(job.spec, this.runtime.now, shared, limits);
     return { job, demand: demandOf(job), ranks, holders: new Holders(job, pass) };
   }
 
   /** A gang is booked only when one window fits all its tasks; nothing is held for part of it. */
   private gangFits(job: LiveJob, allowed: Desk[]): boolean {
     const zones = job.spec.oneZone ? [...new Set(allowed.map((d) => d.machine.zone))] : [null];
-    const team = this.rt.settings.teams.find((t) => t.name === job.spec.team);
+    const team = this.runtime.settings.teams.find((t) => t.name === job.spec.team);
     const rest = { cpus: job.spec.cpus * job.open.size, gpus: job.spec.gpus * job.open.size };
     if (!team || !withinLimit(team, this.limitUse(team.name), { ...rest, memoryGb: 0 })) {
       return false;
@@ -228,17 +231,20 @@
 
   /** λ is over, or it may close early since standing volunteers are known. */
   private windowCloses(task: OpenTask): boolean {
-    const open = this.rt.now - task.opened;
-    return open >= Math.min(this.rt.operator.window.closeEarly, this.rt.operator.window.lambda);
+    const open = this.runtime.now - task.opened;
+    return (
+      open >= Math.min(this.runtime.operator.window.closeEarly, this.runtime.operator.window.lambda)
+    );
   }
 
   /** Without a fit the timers start again, and room may be made. */
   private noFit(search: Search, waiting: OpenTask[], pass: Pass): void {
     if (waiting.length === 0) return;
     const { job } = search;
-    job.starvedSince ??= this.rt.now;
+    job.starvedSince ??= this.runtime.now;
     for (const task of waiting) {
-      if (this.rt.now - task.opened >= this.rt.operator.window.lambda) task.opened = this.rt.now;
+      if (this.runtime.now - task.opened >= this.runtime.operator.window.lambda)
+        task.opened = this.runtime.now;
     }
     this.reserveRoom(search, waiting.length, pass);
   }
@@ -268,18 +274,18 @@
 
   private mayMakeRoom(job: LiveJob, maker: RoomMaker | null, pass: Pass): boolean {
     if (maker) return true;
-    if (!pass.mayPlanRoom || job.roomPlanAt > this.rt.now) return false;
+    if (!pass.mayPlanRoom || job.roomPlanAt > this.runtime.now) return false;
     if (!pass.hasLowerWork(job) && !(pass.hasOtherTeams(job) && this.reclaims(job))) return false;
-    const waited = this.rt.now - (job.starvedSince ?? this.rt.now);
+    const waited = this.runtime.now - (job.starvedSince ?? this.runtime.now);
     return !this.rentable() || waited >= this.patience(job);
   }
 
   private roomMaker({ job, ranks }: Search, desks: Desk[], pass: Pass): RoomMaker {
     pass.notePlan(desks.length);
-    job.roomPlanAt = this.rt.now + ROOM_PLAN_EVERY;
+    job.roomPlanAt = this.runtime.now + ROOM_PLAN_EVERY;
     const reclaims = this.reclaims(job);
     const guaranteed = () => reclaims && this.belowGuarantee(job);
-    return new RoomMaker(this.rt, this.term, job, guaranteed, desks, ranks);
+    return new RoomMaker(this.runtime, this.term, job, guaranteed, desks, ranks);
   }
 
   /** Rented room is preferred to another task's while it can come in time. */
@@ -287,16 +293,16 @@
     if (rank(job.spec) >= 2) return 0;
     const boots = this.types().map((t) => t.boot);
     const boot = boots.length > 0 ? Math.min(...boots) : 0;
-    return this.dueOf(job, this.inside.has(job.id)) - this.rt.now < boot ? 0 : boot;
+    return this.dueOf(job, this.inside.has(job.id)) - this.runtime.now < boot ? 0 : boot;
   }
 
   private dueOf(job: LiveJob, guaranteed: boolean): Instant {
     const ratio = this.term.ratios.get(job.spec.jobClass) ?? 1;
-    return nextDue(job, ratio, guaranteed, this.rt.settings, this.rt.now);
+    return nextDue(job, ratio, guaranteed, this.runtime.settings, this.runtime.now);
   }
 
   private withinTeamLimit(job: LiveJob): boolean {
-    const team = this.rt.settings.teams.find((t) => t.name === job.spec.team);
+    const team = this.runtime.settings.teams.find((t) => t.name === job.spec.team);
     return !!team && withinLimit(team, this.limitUse(team.name), need(job.spec));
   }
 
@@ -321,7 +327,7 @@
     const { job, holders } = search;
     if (chosen.machine.images.has(job.spec.image)) return false;
     const fetch = fetchTime(job.spec.imageGb, chosen.type);
-    const left = this.aimFor(job) - (this.rt.now - job.since);
+    const left = this.aimFor(job) - (this.runtime.now - job.since);
     if (fetch < left || left < STOP_TIME) return false;
     const wanted = need(job.spec);
     const coming = () => holders.desks.find((d) => fits(wanted, d.coming));
@@ -343,19 +349,19 @@
     const { image, imageGb } = job.spec;
     if (images.has(image) || fetching.has(image)) return false;
     // With room to spare, a start that fetches takes nothing from others.
-    if (this.rt.now - this.lastFull > SCARCE_FOR) return false;
-    job.holderWait ??= this.rt.now;
+    if (this.runtime.now - this.lastFull > SCARCE_FOR) return false;
+    job.holderWait ??= this.runtime.now;
     const fetch = fetchTime(imageGb, chosen.type);
-    const window = Math.min(this.rt.operator.window.lambda, fetch * HOLDER_PART);
-    if (this.rt.now - job.holderWait >= window) return false;
-    if (this.dueOf(job, this.inside.has(job.id)) - this.rt.now < fetch + window) return false;
+    const window = Math.min(this.runtime.operator.window.lambda, fetch * HOLDER_PART);
+    if (this.runtime.now - job.holderWait >= window) return false;
+    if (this.dueOf(job, this.inside.has(job.id)) - this.runtime.now < fetch + window) return false;
     return holders.slots >= job.open.size;
   }
 
   /** Within what time tasks of the class should start. */
   private aimFor(job: LiveJob): number {
     let least = Infinity;
-    for (const o of this.rt.settings.objectives) {
+    for (const o of this.runtime.settings.objectives) {
       const own = o.kind === 'wait' && o.jobClass === job.spec.jobClass;
       if (own && o.within !== null) least = Math.min(least, o.within);
     }
@@ -375,8 +381,8 @@
    */
   private reclaims(job: LiveJob): boolean {
     const due = this.dueOf(job, true);
-    const starved = this.rt.now - (job.starvedSince ?? this.rt.now);
-    return due - this.rt.now < RECLAIM_AHEAD || starved > RECLAIM_PATIENCE;
+    const starved = this.runtime.now - (job.starvedSince ?? this.runtime.now);
+    return due - this.runtime.now < RECLAIM_AHEAD || starved > RECLAIM_PATIENCE;
   }
 
   // --- machines that are about to be taken -----------------------------------
@@ -392,10 +398,10 @@
   private rescueTask(m: Machine, b: Binding): void {
     const job = this.term.jobs.get(b.job);
     if (!job || b.stop || b.phase !== 'seen') return;
-    const ran = this.rt.now - (b.runningSince ?? this.rt.now);
+    const ran = this.runtime.now - (b.runningSince ?? this.runtime.now);
     const ratio = this.term.ratios.get(job.spec.jobClass) ?? 1;
     const left = job.spec.estimate * ratio - ran;
-    const notice = m.noticeUntil! - this.rt.now;
+    const notice = m.noticeUntil! - this.runtime.now;
     if (b.state === 'running' && left < notice) return;
     this.term.stop(b, { grace: job.spec.save, reason: 'notice' });
   }
--- a/packages/controller/src/requests.ts
+++ b/packages/controller/src/requests.ts
@@ -78,15 +78,15 @@
   private pending = 0;
 
   constructor(
-    private readonly rt: Runtime,
+    private readonly runtime: Runtime,
     private readonly state: StateStore,
     private readonly catalog: Catalog,
     private readonly peers: Peers,
     private readonly counts: (id: string) => JobCounts | undefined,
     private readonly onCancelled: (id: string) => void,
   ) {
-    this.proofs = new LiveProofs(rt, state);
-    this.lineage = new Lineage(rt, {
+    this.proofs = new LiveProofs(runtime, state);
+    this.lineage = new Lineage(runtime, {
       finalState: (id) => this.ended.get(id)?.state,
       predecessorsOf: (id) => this.proofs.predecessorsOf(id),
       locate: (id, done) => this.locate(id, done),
@@ -108,9 +108,12 @@
 
   private only(request: Request, method: string, run: (answer: Answer) => void): void {
     if (request.method !== method) {
-      return this.rt.reply(request.id, { ...refuse(405, 'method not allowed'), allow: method });
+      return this.runtime.reply(request.id, {
+        ...refuse(405, 'method not allowed'),
+        allow: method,
+      });
     }
-    if (this.pending >= MOST_PENDING) return this.rt.reply(request.id, unsure());
+    if (this.pending >= MOST_PENDING) return this.runtime.reply(request.id, unsure());
     this.pending++;
     run((reply) => this.finish(request, reply));
   }
@@ -129,7 +132,7 @@
 
   private answer(request: Request, reply: Reply): void {
     this.pending--;
-    this.rt.reply(request.id, reply);
+    this.runtime.reply(request.id, reply);
   }
 
   // --- reading ---------------------------------------------------------------
@@ -187,7 +190,7 @@
       if (got.kind === 'missing') return this.lookEnded(id, done);
       const { key, version } = got.item;
       const value = readLive(got.item.value);
-      if (!value) this.rt.env.log('error', { key }, 'stored value can not be read');
+      if (!value) this.runtime.env.log('error', { key }, 'stored value can not be read');
       this.proofs.note(id, version, value ? predecessorsOf(value.spec) : []);
       done({ kind: 'live', value, version });
     });
@@ -225,9 +228,9 @@
       return this.judge(submissionId(body), refuse(400, error.message), answer);
     }
     if (!this.catalog.known) return this.judge(spec.id, unsure(), answer);
-    const never = whyNever(spec, this.rt.settings.teams, this.catalog.types) ?? misnames(spec);
+    const never = whyNever(spec, this.runtime.settings.teams, this.catalog.types) ?? misnames(spec);
     if (never) return this.judge(spec.id, refuse(422, never), answer);
-    if (!fitsValue(spec, this.rt.settings.state.valueBytes)) {
+    if (!fitsValue(spec, this.runtime.settings.state.valueBytes)) {
       return this.judge(spec.id, refuse(400, tooLong(spec)), answer);
     }
     this.checkPredecessors(spec, answer);
@@ -264,7 +267,7 @@
       { key: specKey(spec.id), version: 0 },
       { key: endedKey(spec.id), version: 0 },
     ];
-    const { today, settings } = this.rt;
+    const { today, settings } = this.runtime;
     const live: LiveValue = { spec, submitted: today.getTime() };
     const write = doomed
       ? {
@@ -274,7 +277,7 @@
       : { put: specKey(spec.id), value: live };
     this.state.commit(guards, [write], PRIORITY.user, (committed) => {
       if (committed.kind === 'ok') {
-        this.rt.env.log('info', { job: spec.id, tasks: spec.taskCount }, 'job accepted');
+        this.runtime.env.log('info', { job: spec.id, tasks: spec.taskCount }, 'job accepted');
         if (doomed) return answer(shown(this.remember(spec.id, 'cancelled', 0), 201));
         this.proofs.note(spec.id, committed.revision, predecessorsOf(spec));
         return answer(shown({ id: spec.id, state: 'queued' }, 201));
@@ -304,8 +307,8 @@
     tries: number,
     answer: Answer,
   ): void {
-    const { valueBytes } = this.rt.settings.state;
-    const value = endedValue('cancelled', live.spec, this.rt.today, valueBytes);
+    const { valueBytes } = this.runtime.settings.state;
+    const value = endedValue('cancelled', live.spec, this.runtime.today, valueBytes);
     const guards = [
       { key: specKey(id), version },
       { key: endedKey(id), version: 0 },
@@ -314,7 +317,7 @@
     this.state.commit(guards, writes, PRIORITY.user, (committed) => {
       if (committed.kind === 'conflict') return this.cancel(id, tries - 1, answer);
       if (committed.kind !== 'ok') return answer(unsure());
-      this.rt.env.log('info', { job: id }, 'job cancelled');
+      this.runtime.env.log('info', { job: id }, 'job cancelled');
       this.onCancelled(id);
       answer(shown({ id, state: 'cancelled' }));
     });
--- a/packages/controller/src/room-maker.ts
+++ b/packages/controller/src/room-maker.ts
@@ -34,7 +34,7 @@
   private readonly wanted: Resources;
 
   constructor(
-    private readonly rt: Runtime,
+    private readonly runtime: Runtime,
     private readonly term: Term,
     private readonly job: LiveJob,
     private readonly guaranteed: () => boolean,
@@ -84,7 +84,7 @@
     for (const b of desk.machine.bindings.values()) {
       if (!this.mayStop(b, guaranteed)) continue;
       const other = this.term.jobs.get(b.job)!;
-      victims.push({ of: b, size: b.size, lost: lost(b, other, this.rt.now) });
+      victims.push({ of: b, size: b.size, lost: lost(b, other, this.runtime.now) });
     }
     return victims;
   }
@@ -94,7 +94,7 @@
     const reason = `room for ${this.job.id}`;
     this.term.stop(b, { grace: this.term.jobs.get(b.job)?.spec.save ?? 0, reason });
     desk.coming = plus(desk.coming, victim.size);
-    this.rt.env.log('debug', { task: b.task, machine: b.machine, reason }, 'preempting');
+    this.runtime.env.log('debug', { task: b.task, machine: b.machine, reason }, 'preempting');
   }
 
   /**
@@ -115,7 +115,7 @@
    * what the task needs. Were less enough, it would reclaim the rest at once.
    */
   private borrows(other: LiveJob): boolean {
-    const team = this.rt.settings.teams.find((t) => t.name === other.spec.team);
+    const team = this.runtime.settings.teams.find((t) => t.name === other.spec.team);
     if (!team) return false;
     const left = minus(this.term.ledger.teamStaying(team.name), this.wanted);
     return left.cpus >= team.cpus && left.gpus >= team.gpus;
--- a/packages/controller/src/silence.ts
+++ b/packages/controller/src/silence.ts
@@ -41,7 +41,7 @@
   private lastRead: Instant = -Infinity;
 
   constructor(
-    private readonly rt: Runtime,
+    private readonly runtime: Runtime,
     private readonly state: StateStore,
     private readonly roster: Roster,
     private readonly found: (silent: Machine[]) => void,
@@ -50,7 +50,7 @@
   look(): void {
     if (this.reading || !this.mustRead()) return;
     this.reading = true;
-    const asked = this.rt.now;
+    const asked = this.runtime.now;
     this.lastRead = asked;
     this.state.readAll(KEEPER_PREFIX, PRIORITY.leader, (grants) => {
       this.reading = false;
@@ -62,31 +62,32 @@
   }
 
   private mustRead(): boolean {
-    if (this.silentSince(this.rt.now).length > 0) return true;
-    return this.rt.now - this.lastRead >= READ_GRANTS_EVERY && this.missesReports();
+    if (this.silentSince(this.runtime.now).length > 0) return true;
+    return this.runtime.now - this.lastRead >= READ_GRANTS_EVERY && this.missesReports();
   }
 
   /** Some machine that matters is late, or has not been heard at all in this term. */
   private missesReports(): boolean {
-    const late = this.rt.settings.reportEvery * MISSED_REPORTS;
+    const late = this.runtime.settings.reportEvery * MISSED_REPORTS;
     for (const m of this.roster.machines.values()) {
       if (!m.resolved) return true;
-      if (m.bindings.size > 0 && this.rt.now - (m.lastHeard ?? this.rt.now) > late) return true;
+      if (m.bindings.size > 0 && this.runtime.now - (m.lastHeard ?? this.runtime.now) > late)
+        return true;
     }
     return false;
   }
 
   /** The end of a worker's lease if its last answered report was sent at `sent`. */
   leaseEnd(sent: Instant): Instant {
-    return sent + this.rt.settings.workerLease * LEASE_STRETCH + LEASE_MARGIN;
+    return sent + this.runtime.settings.workerLease * LEASE_STRETCH + LEASE_MARGIN;
   }
 
   private noteGrant({ key, value, version }: StateItem): void {
     if (this.grantsSeen.get(key) === version) return;
     this.grantsSeen.set(key, version);
-    const age = this.rt.today.getTime() - ((value as GrantValue | null)?.at ?? Infinity);
-    if (age > GRANT_STALE + 2 * this.rt.settings.clockError) return;
-    this.keptUntil = Math.max(this.keptUntil, this.rt.now + GRANT_LIFE * LEASE_STRETCH);
+    const age = this.runtime.today.getTime() - ((value as GrantValue | null)?.at ?? Infinity);
+    if (age > GRANT_STALE + 2 * this.runtime.settings.clockError) return;
+    this.keptUntil = Math.max(this.keptUntil, this.runtime.now + GRANT_LIFE * LEASE_STRETCH);
   }
 
   /** Machines whose lease was over at that instant, where something depends on it. */
--- a/packages/controller/src/state-store.ts
+++ b/packages/controller/src/state-store.ts
@@ -57,11 +57,11 @@
 export class StateStore {
   private failingSince: Instant | null = null;
 
-  constructor(private readonly rt: Runtime) {}
+  constructor(private readonly runtime: Runtime) {}
 
   /** False once the service has been refusing or silent for a while. */
   get ok(): boolean {
-    return this.failingSince === null || this.rt.now - this.failingSince < LOST_AFTER;
+    return this.failingSince === null || this.runtime.now - this.failingSince < LOST_AFTER;
   }
 
   /** True as soon as the newest call has failed. */
@@ -171,7 +171,7 @@
       writes,
       timeout,
     };
-    this.rt.call(call, (result) => {
+    this.runtime.call(call, (result) => {
       this.note(result);
       done(result);
     });
@@ -180,7 +180,8 @@
   private note(result: CallResult): void {
     const served = result.kind === 'answer' && result.status < 500 && result.status !== 429;
     if (served) this.failingSince = null;
-    else if (result.kind !== 'answer' || result.status >= 500) this.failingSince ??= this.rt.now;
+    else if (result.kind !== 'answer' || result.status >= 500)
+      this.failingSince ??= this.runtime.now;
   }
 }
 
--- a/packages/controller/src/term.ts
+++ b/packages/controller/src/term.ts
@@ -106,22 +106,22 @@
   private readonly lookups = new Map<string, Binding[]>();
 
   constructor(
-    private readonly rt: Runtime,
+    private readonly runtime: Runtime,
     private readonly state: StateStore,
     private readonly leadership: Leadership,
     readonly token: number,
   ) {
-    this.acquired = rt.now;
-    this.lastReport = rt.now;
-    this.silence = new Silence(rt, state, this, (silent) => this.endSilent(silent));
-    this.graph = new JobGraph(rt, state, this);
-    this.writeShare = new WriteShare(rt, () => !this.closed);
-    this.roster = new PackedTable(rt, state, leadership, ROSTER_PREFIX, {
+    this.acquired = runtime.now;
+    this.lastReport = runtime.now;
+    this.silence = new Silence(runtime, state, this, (silent) => this.endSilent(silent));
+    this.graph = new JobGraph(runtime, state, this);
+    this.writeShare = new WriteShare(runtime, () => !this.closed);
+    this.roster = new PackedTable(runtime, state, leadership, ROSTER_PREFIX, {
       gather: JOIN_GATHER,
       lazy: false,
       stored: (entries) => this.enrolled(entries),
     });
-    this.progress = new PackedTable(rt, state, leadership, PROGRESS_PREFIX, {
+    this.progress = new PackedTable(runtime, state, leadership, PROGRESS_PREFIX, {
       gather: 0,
       lazy: true,
       stored: (entries) => this.progressStored(entries),
@@ -133,7 +133,7 @@
    * them, and what was cancelled since is so recent that leases end in time (safety.md).
    */
   get knowsUntil(): Instant {
-    return this.knownTo + newsLife(this.rt.settings);
+    return this.knownTo + newsLife(this.runtime.settings);
   }
 
   /** Each machine of the roster is accounted for. */
@@ -164,7 +164,7 @@
   start(): void {
     this.load();
     this.writeShare.start();
-    this.rt.every(1000, () => {
+    this.runtime.every(1000, () => {
       if (!this.closed) this.sweep();
       return !this.closed;
     });
@@ -180,10 +180,10 @@
 
   private load(): void {
     if (this.closed) return;
-    const retry = () => this.rt.after(RETRY, () => this.load());
+    const retry = () => this.runtime.after(RETRY, () => this.load());
     this.readTables((roster, progress) => {
       if (!roster || !progress) return retry();
-      const asked = this.rt.now;
+      const asked = this.runtime.now;
       this.state.readAll(LIVE_PREFIX, PRIORITY.leader, (live) => {
         if (!live) return retry();
         if (this.closed) return;
@@ -210,8 +210,8 @@
 
   private finishLoad(revision: number): void {
     this.loaded = true;
-    this.rt.stats.record('takeover.load_ms', this.rt.now - this.acquired);
-    this.rt.env.log(
+    this.runtime.stats.record('takeover.load_ms', this.runtime.now - this.acquired);
+    this.runtime.env.log(
       'info',
       { token: this.token, jobs: this.jobs.size, machines: this.machines.size },
       'term loaded',
@@ -223,7 +223,7 @@
     const m = this.machines.get(id) ?? this.newMachine(id, { type, zone, spot: spot === 1 });
     m.inRoster = true;
     m.returning = m.returnCommitted = returning === 1;
-    m.since = this.rt.now - Math.max(0, this.rt.today.getTime() - since * 1000);
+    m.since = this.runtime.now - Math.max(0, this.runtime.today.getTime() - since * 1000);
     m.resolved = m.lastCounted !== null;
     this.machines.set(id, m);
   }
@@ -249,24 +249,28 @@
   private addJob(id: string, stored: unknown, version: number): void {
     if (this.jobs.has(id) || this.over.has(id)) return;
     const value = readLive(stored);
-    if (!value) return this.rt.env.log('error', { job: id }, 'stored job can not be read');
-    const age = Math.max(0, this.rt.today.getTime() - value.submitted);
-    const job = new LiveJob(value.spec, version, this.rt.now - age);
+    if (!value) return this.runtime.env.log('error', { job: id }, 'stored job can not be read');
+    const age = Math.max(0, this.runtime.today.getTime() - value.submitted);
+    const job = new LiveJob(value.spec, version, this.runtime.now - age);
     this.jobs.set(id, job);
     this.graph.add(job);
     if (this.loaded) this.graph.readEnds(job);
     const { jobClass, taskCount, image, imageGb } = value.spec;
-    this.rt.env.log('debug', { job: id, jobClass, tasks: taskCount, image, imageGb }, 'job live');
+    this.runtime.env.log(
+      'debug',
+      { job: id, jobClass, tasks: taskCount, image, imageGb },
+      'job live',
+    );
   }
 
   // --- news of jobs ----------------------------------------------------------
 
   private watch(revision: number): void {
     if (this.closed) return;
-    const asked = this.rt.now;
+    const asked = this.runtime.now;
     this.state.watch(LIVE_PREFIX, revision, WATCH_HOLD, (watched) => {
       if (this.closed) return;
-      if (watched.kind === 'failed') return this.rt.after(RETRY, () => this.watch(revision));
+      if (watched.kind === 'failed') return this.runtime.after(RETRY, () => this.watch(revision));
       if (watched.kind === 'too_old') return this.reread();
       this.knownTo = asked;
       for (const event of watched.events) this.jobEvent(event);
@@ -277,10 +281,10 @@
   /** The watch fell too far behind: compare with everything that is live now. */
   private reread(): void {
     if (this.closed) return;
-    const asked = this.rt.now;
+    const asked = this.runtime.now;
     this.state.readAll(LIVE_PREFIX, PRIORITY.leader, (live) => {
       if (this.closed) return;
-      if (!live) return this.rt.after(RETRY, () => this.reread());
+      if (!live) return this.runtime.after(RETRY, () => this.reread());
       this.knownTo = asked;
       const specs = live.items.filter((i) => i.key.endsWith('/spec'));
       const alive = new Set(specs.map((i) => splitLiveKey(i.key)?.job));
@@ -313,7 +317,7 @@
     if (!job) return;
     this.jobs.delete(id);
     remember(this.over, id);
-    this.rt.env.log('info', { job: id, done: job.doneCount }, 'job ended');
+    this.runtime.env.log('info', { job: id, done: job.doneCount }, 'job ended');
     for (const b of job.bound.values()) this.discard(b, 'job ended');
     this.graph.ended(job, end);
   }
@@ -345,7 +349,7 @@
     const m = this.machineOf(report);
     if (this.deafToTerm(m, report)) return UNANSWERED;
     // Its lease is renewed by the answer, whatever the report is worth otherwise.
-    m.lastHeard = this.rt.now;
+    m.lastHeard = this.runtime.now;
     // Tasks of a report sent before the worker saw this token may be outdated by
     // a start of the term before; a late report is outdated by a newer one.
     if (report.token !== this.token || !m.isNews(report)) return IGNORED;
@@ -360,8 +364,8 @@
    */
   private deafToTerm(m: Machine, report: WorkerReport): boolean {
     if (m.resolved || report.token === this.token) return false;
-    m.answeredFrom ??= this.rt.now;
-    return this.rt.now - m.answeredFrom > DEAF_PATIENCE;
+    m.answeredFrom ??= this.runtime.now;
+    return this.runtime.now - m.answeredFrom > DEAF_PATIENCE;
   }
 
   private machineOf(report: WorkerReport): Machine {
@@ -372,7 +376,7 @@
       m.resolved = true;
       this.machines.set(m.id, m);
     }
-    m.since = Math.min(m.since, this.rt.now);
+    m.since = Math.min(m.since, this.runtime.now);
     return m;
   }
 
@@ -388,9 +392,9 @@
     m.session = report.session;
     m.seq = report.seq;
     m.addr = report.addr;
-    m.lastHeard ??= this.rt.now;
-    m.lastCounted = this.rt.now;
-    m.noticeUntil = report.notice === null ? null : this.rt.now + report.notice;
+    m.lastHeard ??= this.runtime.now;
+    m.lastCounted = this.runtime.now;
+    m.noticeUntil = report.notice === null ? null : this.runtime.now + report.notice;
     m.resolved = true;
     m.exited = report.tasks.filter((t) => t.state === 'exited');
     for (const t of report.tasks) this.absorbTask(m, t);
@@ -415,8 +419,12 @@
    */
   private noteLostStart(m: Machine): void {
     const aside = Math.min(ASIDE, LOST_START_ASIDE * 4 ** m.lostStarts++);
-    m.asideUntil = Math.max(m.asideUntil, this.rt.now + aside);
-    this.rt.env.log('info', { machine: m.id, lostStarts: m.lostStarts, aside }, 'start was lost');
+    m.asideUntil = Math.max(m.asideUntil, this.runtime.now + aside);
+    this.runtime.env.log(
+      'info',
+      { machine: m.id, lostStarts: m.lostStarts, aside },
+      'start was lost',
+    );
     this.unbookAll(m);
   }
 
@@ -428,7 +436,7 @@
     m.lostStarts = 0;
     b.phase = 'seen';
     if (t.state !== 'fetching') this.noteStart(m, b);
-    else if (this.jobs.get(b.job)?.spec.kind === 'array') m.noteMissing(b, this.rt.now);
+    else if (this.jobs.get(b.job)?.spec.kind === 'array') m.noteMissing(b, this.runtime.now);
     b.state = t.state;
     m.touch();
   }
@@ -436,15 +444,15 @@
   private noteStart(m: Machine, b: Binding): void {
     if (b.image !== null) this.noteImage(m, b.image, b.imageGb);
     if (b.runningSince !== null) return;
-    b.runningSince = this.rt.now;
+    b.runningSince = this.runtime.now;
     if (b.phase === 'seen' && b.sentSeq > 0) {
-      this.rt.stats.record('starts.booked_to_running_ms', this.rt.now - b.bookedAt);
+      this.runtime.stats.record('starts.booked_to_running_ms', this.runtime.now - b.bookedAt);
     }
-    this.rt.env.log('debug', { task: b.task, machine: m.id }, 'task runs');
+    this.runtime.env.log('debug', { task: b.task, machine: m.id }, 'task runs');
   }
 
   private noteImage(m: Machine, image: string, gb: number): void {
-    const fetch = m.fetches.end(image, this.rt.now);
+    const fetch = m.fetches.end(image, this.runtime.now);
     if (fetch) this.fetchSharing.note(fetch);
     m.noteImage(image, gb);
   }
@@ -474,21 +482,21 @@
   private learn(job: LiveJob, b: Binding): void {
     job.failures = 0;
     if (b.runningSince === null || job.spec.estimate <= 0) return;
-    const ratio = (this.rt.now - b.runningSince) / job.spec.estimate;
+    const ratio = (this.runtime.now - b.runningSince) / job.spec.estimate;
     const known = this.ratios.get(job.spec.jobClass) ?? 1;
     this.ratios.set(job.spec.jobClass, known * 0.9 + Math.min(ratio, 10) * 0.1);
   }
 
   /** Mostly the machine is at fault; a job with a mistake fails on every machine. */
   private noteFailure(m: Machine, job: LiveJob | undefined, t: TaskReport): void {
-    this.rt.env.log('info', { machine: m.id, task: t.task, reason: t.reason }, 'task failed');
+    this.runtime.env.log('info', { machine: m.id, task: t.task, reason: t.reason }, 'task failed');
     if (t.reason === 'error' && (job?.failures ?? 0) < MACHINE_FAILURES) m.failures++;
-    if (m.failures >= MACHINE_FAILURES) m.asideUntil = this.rt.now + ASIDE;
+    if (m.failures >= MACHINE_FAILURES) m.asideUntil = this.runtime.now + ASIDE;
     if (!job) return;
     job.failures++;
     if (job.failures < MACHINE_FAILURES) return;
     job.backoffUntil =
-      this.rt.now + Math.min(60_000, 1000 * 2 ** (job.failures - MACHINE_FAILURES));
+      this.runtime.now + Math.min(60_000, 1000 * 2 ** (job.failures - MACHINE_FAILURES));
   }
 
   /** A task found on a machine without a binding of this term. */
@@ -512,7 +520,7 @@
       image: job?.spec.image ?? null,
       imageGb: job?.spec.imageGb ?? 0,
       phase: 'seen',
-      bookedAt: this.rt.now,
+      bookedAt: this.runtime.now,
       sentSession: 0,
       sentSeq: 0,
       state: null,
@@ -541,7 +549,7 @@
   private askFor(job: string): void {
     this.state.get(endedKey(job), PRIORITY.leader, (got) => {
       if (this.closed) return;
-      if (got.kind === 'failed') return this.rt.after(RETRY, () => this.askFor(job));
+      if (got.kind === 'failed') return this.runtime.after(RETRY, () => this.askFor(job));
       const bindings = this.lookups.get(job) ?? [];
       this.lookups.delete(job);
       if (got.kind === 'found') {
@@ -598,7 +606,7 @@
   holdFor(machine: string, type: MachineType): Duration {
     const m = this.machines.get(machine);
     if (!m || m.returning || m.noticeUntil !== null) return 0;
-    return fits(this.smallest, m.free(type)) ? this.rt.operator.window.holdAnswer : 0;
+    return fits(this.smallest, m.free(type)) ? this.runtime.operator.window.holdAnswer : 0;
   }
 
   /** Orders that the worker's newest report calls for; starts leave only here. */
@@ -617,10 +625,14 @@
       b.phase = 'sent';
       b.sentSession = m.session;
       b.sentSeq = m.seq;
-      m.noteStartSent(b, this.rt.now);
+      m.noteStartSent(b, this.runtime.now);
       orders.push({ op: 'start', task: b.task, attempt: b.attempt });
-      this.rt.stats.record('starts.booked_to_sent_ms', this.rt.now - b.bookedAt);
-      this.rt.env.log('debug', { task: b.task, attempt: b.attempt, machine: m.id }, 'start sent');
+      this.runtime.stats.record('starts.booked_to_sent_ms', this.runtime.now - b.bookedAt);
+      this.runtime.env.log(
+        'debug',
+        { task: b.task, attempt: b.attempt, machine: m.id },
+        'start sent',
+      );
     }
     return orders;
   }
@@ -644,7 +656,7 @@
       m.resolved &&
       !m.returning &&
       this.settled &&
-      this.rt.now - this.knownTo <= START_NEWS &&
+      this.runtime.now - this.knownTo <= START_NEWS &&
       this.leadership.held() !== null
     );
   }
@@ -665,7 +677,7 @@
       image: job.spec.image,
       imageGb: job.spec.imageGb,
       phase: 'booked',
-      bookedAt: this.rt.now,
+      bookedAt: this.runtime.now,
       sentSession: 0,
       sentSeq: 0,
       state: null,
@@ -690,7 +702,7 @@
     const m = this.machines.get(b.machine);
     if (m?.bindings.delete(bindingKey(b.task, b.attempt))) {
       m.touch();
-      m.fetches.keepOnly(m.fetching, this.rt.now);
+      m.fetches.keepOnly(m.fetching, this.runtime.now);
       this.ledger.remove(b, m.zone);
     }
     const job = this.jobs.get(b.job);
@@ -702,12 +714,12 @@
 
   /** Only with proof that the task is not on the machine any more. */
   private end(b: Binding, proof: string): void {
-    this.rt.env.log(
+    this.runtime.env.log(
       'debug',
       { task: b.task, attempt: b.attempt, machine: b.machine, proof },
       'binding ended',
     );
-    this.rt.stats.count(`bindings.ended.${proof}`);
+    this.runtime.stats.count(`bindings.ended.${proof}`);
     this.unbind(b);
   }
 
@@ -725,9 +737,13 @@
   private noteReady(): void {
     if (this.wasReady || !this.ready) return;
     this.wasReady = true;
-    const took = this.rt.now - this.acquired;
-    this.rt.stats.record('takeover.ready_ms', took);
-    this.rt.env.log('info', { token: this.token, took: Math.round(took) }, 'roster accounted for');
+    const took = this.runtime.now - this.acquired;
+    this.runtime.stats.record('takeover.ready_ms', took);
+    this.runtime.env.log(
+      'info',
+      { token: this.token, took: Math.round(took) },
+      'roster accounted for',
+    );
   }
 
   private sweep(): void {
@@ -739,18 +755,18 @@
     if (this.loaded) this.silence.look();
     for (const m of this.machines.values()) {
       m.accumulate(1000);
-      const patience = this.rt.settings.reportEvery * BOOKING_PATIENCE;
-      const silent = this.rt.now - (m.lastCounted ?? this.acquired) > patience;
+      const patience = this.runtime.settings.reportEvery * BOOKING_PATIENCE;
+      const silent = this.runtime.now - (m.lastCounted ?? this.acquired) > patience;
       if (silent || m.returning || m.noticeUntil !== null) this.unbookAll(m);
       const idle = m.bindings.size === 0;
-      m.idleSince = idle ? (m.idleSince ?? this.rt.now) : null;
+      m.idleSince = idle ? (m.idleSince ?? this.runtime.now) : null;
     }
   }
 
   /** Their leases are surely over: the workers have killed all they had. */
   private endSilent(silent: Machine[]): void {
     const machines = silent.map((m) => m.id);
-    this.rt.env.log('info', { machines }, 'leases of silent machines ran out');
+    this.runtime.env.log('info', { machines }, 'leases of silent machines ran out');
     for (const m of silent) {
       this.endAll(m, 'lease ran out');
       m.resolved = true;
@@ -765,8 +781,8 @@
   }
 
   private enroll(m: Machine): void {
-    const age = this.rt.now - Math.min(m.since, this.rt.now);
-    const since = Math.round((this.rt.today.getTime() - age) / 1000);
+    const age = this.runtime.now - Math.min(m.since, this.runtime.now);
+    const since = Math.round((this.runtime.today.getTime() - age) / 1000);
     this.roster.set(m.id, [m.type, m.zone, m.spot ? 1 : 0, m.returning ? 1 : 0, since]);
   }
 
--- a/packages/controller/src/write-share.ts
+++ b/packages/controller/src/write-share.ts
@@ -24,12 +24,12 @@
   private part = USUAL_PART;
 
   constructor(
-    private readonly rt: Runtime,
+    private readonly runtime: Runtime,
     private readonly leads: () => boolean,
   ) {}
 
   start(): void {
-    this.rt.every(ADJUST_EVERY, () => {
+    this.runtime.every(ADJUST_EVERY, () => {
       this.apply(this.leads() ? this.affordable() : USUAL_PART);
       return this.leads();
     });
@@ -38,22 +38,22 @@
   /** Notes an event that this leader has not caused; its own submissions count as well. */
   note(event: StateEvent): void {
     const count = event.removed ? CHANGES_PER_CANCELLATION : CHANGES_PER_SUBMISSION;
-    this.changes.push({ at: this.rt.now, count });
+    this.changes.push({ at: this.runtime.now, count });
   }
 
   private affordable(): number {
-    while (this.changes[0] && this.rt.now - this.changes[0].at > AVERAGED_OVER) {
+    while (this.changes[0] && this.runtime.now - this.changes[0].at > AVERAGED_OVER) {
       this.changes.shift();
     }
     const seen = this.changes.reduce((sum, { count }) => sum + count, 0);
     const perSecond = seen / (AVERAGED_OVER / 1000);
-    const left = 1 - RESERVED_PART - perSecond / this.rt.settings.state.writeRps;
+    const left = 1 - RESERVED_PART - perSecond / this.runtime.settings.state.writeRps;
     return Math.max(USUAL_PART, Math.min(MOST_PART, left));
   }
 
   private apply(part: number): void {
     if (part === this.part) return;
     this.part = part;
-    this.rt.shareWrites(part);
+    this.runtime.shareWrites(part);
   }
 }
