--- a/packages/controller/src/fleet-keeper.ts
+++ b/packages/controller/src/autoscaling/autoscaler.ts
@@ -20,18 +20,18 @@
   type Offering,
   type Place,
   type Resources,
-  type Room,
+  type FreeCapacity,
 } from '@tealdock/scheduler';
-import { OWNED_KEY } from './keys.js';
-import type { Leadership } from './leadership.js';
-import type { LiveJob } from './live-job.js';
-import type { Machine } from './machine.js';
-import { PRIORITY, type CallPriority, type CallResult } from './ports.js';
-import type { Runtime } from './runtime.js';
-import { attempt, type StateStore } from './state-store.js';
-import { guaranteedJobs, latestStart } from './slack.js';
-import { socketShares } from './sockets.js';
-import type { Term } from './term.js';
+import { OWNED_KEY } from '../state/keys.js';
+import type { Leadership } from '../leadership/leadership.js';
+import type { LiveJob } from '../jobs/live-job.js';
+import type { Machine } from '../machines/machine.js';
+import { PRIORITY, type CallPriority, type CallResult } from '../runtime/ports.js';
+import type { Runtime } from '../runtime/runtime.js';
+import { attempt, type StateStore } from '../state/state-store.js';
+import { guaranteedJobs, latestStart } from '../placement/start-deadlines.js';
+import { socketShares } from '../runtime/sockets.js';
+import type { Term } from '../term/term.js';
 
 const LIST_EVERY = 5000;
 /** While a new term waits for its roster: lists tell what has vanished. */
@@ -64,11 +64,11 @@
 /** A rented machine that loses this many starts in a row is of no use. */
 const MOST_LOST_STARTS = 3;
 
-interface Coming extends Place {
+interface Provisioning extends Place {
   asked: Instant;
 }
 
-interface Rental extends Place {
+interface ProvisioningRequest extends Place {
   request: string;
   count: number;
   asked: Instant;
@@ -77,15 +77,15 @@
 const placeKey = (p: Place): string => `${p.type} ${p.zone} ${p.spot}`;
 
 /** Rents for the backlog, returns what is idle, failed or never came up. */
-export class FleetKeeper {
-  private readonly rentals = new Map<string, Rental>();
-  private readonly coming = new Map<string, Coming>();
+export class Autoscaler {
+  private readonly requests = new Map<string, ProvisioningRequest>();
+  private readonly provisioning = new Map<string, Provisioning>();
   private readonly refused = new Map<string, Instant>();
   private listed = new Map<string, ListedMachine>();
   private listAsked: Instant | null = null;
   private listBegun: Instant | null = null;
   private owned: string | null = null;
-  private requests = 0;
+  private lastRequest = 0;
   private returning = false;
 
   constructor(
@@ -100,7 +100,7 @@
     this.readOwned();
     this.repeat(LIST_SOON, () => this.refreshList());
     this.repeat(GIVE_BACK_EVERY, () => this.giveBack());
-    this.repeat(RENT_EVERY, () => this.keep());
+    this.repeat(RENT_EVERY, () => this.scale());
   }
 
   private repeat(period: number, run: () => void): void {
@@ -210,8 +210,8 @@
   private seeList(): void {
     for (const [id, m] of this.listed) {
       const known = this.term.machines.has(id);
-      if (m.state === 'booting' && !known && !this.coming.has(id)) {
-        this.coming.set(id, {
+      if (m.state === 'booting' && !known && !this.provisioning.has(id)) {
+        this.provisioning.set(id, {
           type: m.type,
           zone: m.zone,
           spot: m.spot,
@@ -221,15 +221,15 @@
     }
     // Taken before it ever reported: no longer listed, nor coming.
     const lag = this.runtime.settings.cloud.listLag * 2;
-    for (const [id, c] of this.coming) {
+    for (const [id, c] of this.provisioning) {
       const old = this.listAsked! - lag > c.asked + lag;
-      if (this.term.machines.has(id) || (old && !this.listed.has(id))) this.coming.delete(id);
+      if (this.term.machines.has(id) || (old && !this.listed.has(id))) this.provisioning.delete(id);
     }
   }
 
   // --- renting ---------------------------------------------------------------
 
-  private keep(): void {
+  private scale(): void {
     if (!this.term.loaded || this.owned === null || this.types().length === 0) return;
     this.repeatRentals();
     this.rent();
@@ -286,12 +286,12 @@
   }
 
   /** Room on machines that answer, and on those that are on their way. */
-  private rooms(): Room[] {
-    const rooms: Room[] = [];
+  private capacities(): FreeCapacity[] {
+    const capacities: FreeCapacity[] = [];
     const types = new Map(this.types().map((t) => [t.name, t]));
     const add = (place: Place, free: Resources | undefined) => {
       if (free && free.cpus > 0 && free.memoryGb > 0) {
-        rooms.push({ type: place.type, zone: place.zone, spot: place.spot, free });
+        capacities.push({ type: place.type, zone: place.zone, spot: place.spot, free });
       }
     };
     for (const m of this.term.machines.values()) {
@@ -299,15 +299,16 @@
       const usable = type && this.usable(m);
       if (usable) add(m, m.free(type));
     }
-    for (const c of this.coming.values()) add(c, types.get(c.type));
-    for (const r of this.rentals.values()) {
+    for (const c of this.provisioning.values()) add(c, types.get(c.type));
+    for (const r of this.requests.values()) {
       for (let i = 0; i < r.count; i++) add(r, types.get(r.type));
     }
-    return rooms;
+    return capacities;
   }
 
   private usable(m: Machine): boolean {
-    if (m.returning || m.noticeUntil !== null || m.asideUntil > this.runtime.now) return false;
+    if (m.returning || m.noticeUntil !== null || m.quarantinedUntil > this.runtime.now)
+      return false;
     return !m.resolved || (m.lastCounted !== null && !this.deaf(m));
   }
 
@@ -315,14 +316,14 @@
   private deaf(m: Machine): boolean {
     const since =
       m.lastCounted ?? Math.max(this.term.acquired, Math.min(m.since, this.runtime.now));
-    return m.bindings.size === 0 && this.runtime.now > this.term.silence.leaseEnd(since);
+    return m.bindings.size === 0 && this.runtime.now > this.term.leaseExpiry.leaseEnd(since);
   }
 
   private rent(): void {
     if (!this.knowsWhatRuns()) return;
     const backlog = [...this.backlog(), ...this.headroom()];
     const most = Math.min(MOST_PLANNED, this.placesLeft());
-    const plan = planRentals(backlog, this.rooms(), this.offers(), most);
+    const plan = planRentals(backlog, this.capacities(), this.offers(), most);
     const groups = new Map<string, { place: Place; count: number }>();
     for (const p of plan) {
       const group = groups.get(placeKey(p)) ?? { place: p, count: 0 };
@@ -339,8 +340,8 @@
    * and never heard, and its tries to get in would cost those that are.
    */
   private placesLeft(): number {
-    let taken = this.term.machines.size + this.coming.size;
-    for (const r of this.rentals.values()) taken += r.count;
+    let taken = this.term.machines.size + this.provisioning.size;
+    for (const r of this.requests.values()) taken += r.count;
     const left = socketShares(this.runtime.settings).workers - taken;
     this.runtime.stats.gauge('fleet.places_left', left);
     return Math.max(0, left);
@@ -353,29 +354,29 @@
 
   /** One request a kind at a time: its answer tells whether there is more. */
   private asked(place: Place): boolean {
-    return [...this.rentals.values()].some((r) => placeKey(r) === placeKey(place));
+    return [...this.requests.values()].some((r) => placeKey(r) === placeKey(place));
   }
 
   private ask({ type, zone, spot }: Place, count: number): void {
-    const request = `${this.term.token}-${++this.requests}`;
-    this.rentals.set(request, { request, type, zone, spot, count, asked: this.runtime.now });
+    const request = `${this.term.fencingToken}-${++this.lastRequest}`;
+    this.requests.set(request, { request, type, zone, spot, count, asked: this.runtime.now });
     this.askRental(request);
   }
 
   /** What was not rented yet is asked for at once, elsewhere if it was refused. */
   private rentAgain(): void {
-    if (!this.term.closed && this.leadership.held() && this.rentals.size === 0) this.rent();
+    if (!this.term.closed && this.leadership.held() && this.requests.size === 0) this.rent();
   }
 
   /** Without an answer the same name is asked for again, so nothing is rented twice. */
   private repeatRentals(): void {
-    for (const [request, r] of this.rentals) {
+    for (const [request, r] of this.requests) {
       if (this.runtime.now - r.asked > CALL_TIMEOUT + 1000) this.askRental(request);
     }
   }
 
   private askRental(request: string): void {
-    const rental = this.rentals.get(request);
+    const rental = this.requests.get(request);
     if (!rental) return;
     rental.asked = this.runtime.now;
     this.call('POST', MACHINES_PATH, renderRent(rental), PRIORITY.leader, (r) =>
@@ -383,14 +384,14 @@
     );
   }
 
-  private rented(rental: Rental, r: CallResult): void {
-    if (r.kind !== 'answer' || !this.rentals.has(rental.request)) return;
+  private rented(rental: ProvisioningRequest, r: CallResult): void {
+    if (r.kind !== 'answer' || !this.requests.has(rental.request)) return;
     const hosts = r.status === 200 ? attempt(() => parseRented(r.body)) : null;
     const full = r.status === 503 && /capacity/.test(JSON.stringify(r.body));
     if (!hosts && !full && r.status !== 400) return;
-    this.rentals.delete(rental.request);
+    this.requests.delete(rental.request);
     for (const id of hosts ?? []) {
-      this.coming.set(id, {
+      this.provisioning.set(id, {
         type: rental.type,
         zone: rental.zone,
         spot: rental.spot,
@@ -400,7 +401,7 @@
     if ((hosts?.length ?? 0) < rental.count) {
       this.refused.set(placeKey(rental), this.runtime.now + REFUSED_FOR);
     }
-    if (this.rentals.size === 0) this.runtime.after(0, () => this.rentAgain());
+    if (this.requests.size === 0) this.runtime.after(0, () => this.rentAgain());
     this.runtime.env.log(
       'info',
       { ...rental, hosts: hosts ?? [], status: r.status },
@@ -444,7 +445,7 @@
       const unknown = !this.term.machines.has(id) && !this.term.isGone(id);
       if (m.state === 'failed' && unknown) ids.push(id);
     }
-    for (const [id, c] of this.coming) if (this.neverCame(c)) ids.push(id);
+    for (const [id, c] of this.provisioning) if (this.neverCame(c)) ids.push(id);
     return ids;
   }
 
@@ -456,13 +457,13 @@
       this.runtime.env.log('info', { machines: ids }, 'machines returned');
       for (const id of ids) {
         this.term.machineGone(id);
-        this.coming.delete(id);
+        this.provisioning.delete(id);
         this.listed.delete(id);
       }
     });
   }
 
-  private neverCame(c: Coming): boolean {
+  private neverCame(c: Provisioning): boolean {
     const boot = this.types().find((t) => t.name === c.type)?.boot;
     if (boot === undefined) return false;
     return this.runtime.now - c.asked > boot * this.runtime.operator.fleet.bootPatience + 5000;
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -13,21 +13,21 @@
   type Told,
   type WorkerReport,
 } from '@tealdock/wire';
-import { Catalog } from './catalog.js';
-import { Completer } from './completer.js';
-import { DirectStops } from './direct-stops.js';
-import { FleetKeeper } from './fleet-keeper.js';
-import { HeldAnswers } from './held-answers.js';
-import { hintsOf, useHints } from './hints.js';
-import { Keeper } from './keeper.js';
-import { Leadership, type Held } from './leadership.js';
-import { Peers } from './peers.js';
-import { Placer } from './placer.js';
-import type { Command, Effect } from './ports.js';
-import { Requests } from './requests.js';
-import { Runtime, type Environment } from './runtime.js';
-import { StateStore } from './state-store.js';
-import { Term } from './term.js';
+import { Catalog } from './machines/catalog.js';
+import { JobCompletion } from './jobs/job-completion.js';
+import { DirectStops } from './machines/direct-stops.js';
+import { Autoscaler } from './autoscaling/autoscaler.js';
+import { LongPolls } from './requests/long-polls.js';
+import { hintsOf, useHints } from './peers/successor-hints.js';
+import { DelegatedRenewal } from './leadership/delegated-renewal.js';
+import { Leadership, type Held } from './leadership/leadership.js';
+import { Peers } from './peers/peers.js';
+import { Scheduler } from './placement/scheduler.js';
+import type { Command, Effect } from './runtime/ports.js';
+import { JobRequests } from './requests/job-requests.js';
+import { Runtime, type Environment } from './runtime/runtime.js';
+import { StateStore } from './state/state-store.js';
+import { Term } from './term/term.js';
 
 const STATS_PATH = '/metrics';
 /** A new node is healthy once it can judge submissions, or after this long anyway. */
@@ -54,10 +54,10 @@
   private readonly leadership: Leadership;
   private readonly catalog: Catalog;
   private readonly peers: Peers;
-  private readonly requests: Requests;
-  private readonly keeper: Keeper;
+  private readonly requests: JobRequests;
+  private readonly delegatedRenewal: DelegatedRenewal;
   private term: Term | null = null;
-  private held: HeldAnswers | null = null;
+  private longPolls: LongPolls | null = null;
   /** Reports that wait for an election. */
   private readonly parked = new Map<number, { request: Request; report: WorkerReport }>();
   private startedAt: Instant | null = null;
@@ -73,7 +73,7 @@
     );
     this.catalog = new Catalog(this.runtime, this.state, this.leadership);
     this.peers = new Peers(this.runtime);
-    this.requests = new Requests(
+    this.requests = new JobRequests(
       this.runtime,
       this.state,
       this.catalog,
@@ -81,8 +81,12 @@
       (id) => this.peers.countsOf(id),
       (id) => this.spreadCancellation(id),
     );
-    this.keeper = new Keeper(this.runtime, this.state, this.leadership, this.peers, (job, done) =>
-      this.requests.prove(job, done),
+    this.delegatedRenewal = new DelegatedRenewal(
+      this.runtime,
+      this.state,
+      this.leadership,
+      this.peers,
+      (job, done) => this.requests.prove(job, done),
     );
   }
 
@@ -93,7 +97,7 @@
     for (const command of commands) this.apply(command);
     this.runtime.runDue();
     this.unpark();
-    this.held?.release();
+    this.longPolls?.release();
     return this.runtime.takeEffects();
   }
 
@@ -130,7 +134,7 @@
   }
 
   private tellPeers(): void {
-    this.runtime.beat(this.leadership.leader ?? '', this.term?.token ?? 0, this.state.ok);
+    this.runtime.beat(this.leadership.leader ?? '', this.term?.fencingToken ?? 0, this.state.ok);
   }
 
   /** Counts for display: the leader tells the others, and users as well. */
@@ -159,34 +163,34 @@
 
   private begin(token: number): void {
     this.term?.close();
-    this.held?.release();
+    this.longPolls?.release();
     const term = new Term(this.runtime, this.state, this.leadership, token);
     if (this.peers.hints) useHints(this.peers.hints, term);
     this.term = term;
-    this.held = new HeldAnswers(this.runtime, term, () => this.entitled());
+    this.longPolls = new LongPolls(this.runtime, term, () => this.entitled());
     const types = () => this.catalog.types;
-    const fleet = new FleetKeeper(this.runtime, this.state, this.leadership, term, types);
-    const placer = new Placer(
+    const autoscaler = new Autoscaler(this.runtime, this.state, this.leadership, term, types);
+    const scheduler = new Scheduler(
       this.runtime,
       term,
       types,
-      (m, type) => fleet.price(m, type),
-      () => fleet.rentable(),
-      () => fleet.policy() === 'frugal',
+      (m, type) => autoscaler.price(m, type),
+      () => autoscaler.rentable(),
+      () => autoscaler.policy() === 'frugal',
     );
     term.start();
-    new Completer(this.runtime, this.state, this.leadership, term).start();
+    new JobCompletion(this.runtime, this.state, this.leadership, term).start();
     new DirectStops(this.runtime, term, () => this.entitled() !== null).start();
-    placer.start();
-    fleet.start();
+    scheduler.start();
+    autoscaler.start();
   }
 
   private endTerm(): void {
-    this.runtime.env.log('info', { token: this.term?.token }, 'no longer leading');
+    this.runtime.env.log('info', { token: this.term?.fencingToken }, 'no longer leading');
     this.term?.close();
-    this.held?.release();
+    this.longPolls?.release();
     this.term = null;
-    this.held = null;
+    this.longPolls = null;
   }
 
   /**
@@ -195,8 +199,8 @@
    */
   private entitled(): Held | null {
     const held = this.leadership.held();
-    if (!held || !this.term?.loaded || this.term.knowsUntil <= this.runtime.now) return null;
-    return { ...held, validUntil: Math.min(held.validUntil, this.term.knowsUntil) };
+    if (!held || !this.term?.loaded || this.term.freshUntil <= this.runtime.now) return null;
+    return { ...held, validUntil: Math.min(held.validUntil, this.term.freshUntil) };
   }
 
   private spreadCancellation(id: string): void {
@@ -285,13 +289,13 @@
     if (!answered) return this.sendOn(request.id, null);
     this.runtime.stats.count(counted ? 'reports.counted' : 'reports.ignored');
     // Only a newer report shows that the one before was given up; a late copy does not.
-    if (counted) this.held?.drop(report.machine, held);
+    if (counted) this.longPolls?.drop(report.machine, held);
     const hold = counted && orders.length === 0 ? this.holdFor(report) : 0;
     if (hold > 0) this.runtime.stats.count('reports.held');
-    if (hold > 0) return this.held?.hold(report.machine, request.id, hold);
+    if (hold > 0) return this.longPolls?.hold(report.machine, request.id, hold);
     this.runtime.reply(request.id, {
       status: 200,
-      body: renderReportAnswer(held.token, orders),
+      body: renderReportAnswer(held.fencingToken, orders),
       validUntil: held.validUntil,
     });
   }
@@ -308,13 +312,14 @@
    */
   private redirect(request: Request, report: WorkerReport): void {
     const leader = this.liveLeader();
-    if (leader === null && this.keeper.mayKeep) return this.keep(request, report);
+    if (leader === null && this.delegatedRenewal.mayRenew)
+      return this.renewForLeader(request, report);
     if (leader === null && this.mayPark()) return this.park(request, report);
     this.sendOn(request.id, leader);
   }
 
-  private keep(request: Request, report: WorkerReport): void {
-    this.keeper.keep(report, (status, body, validUntil) =>
+  private renewForLeader(request: Request, report: WorkerReport): void {
+    this.delegatedRenewal.renew(report, (status, body, validUntil) =>
       this.runtime.reply(request.id, {
         status,
         body,
@@ -354,13 +359,13 @@
     if (this.parked.size === 0) return;
     const leads = this.entitled() !== null;
     const leader = this.liveLeader();
-    const keeps = !leads && leader === null && this.keeper.mayKeep;
+    const keeps = !leads && leader === null && this.delegatedRenewal.mayRenew;
     if (!leads && !keeps && leader === null && !this.state.doubtful) return;
     const waiting = [...this.parked.values()].slice(0, MOST_UNPARKED);
     for (const { request, report } of waiting) {
       this.parked.delete(request.id);
       if (leads) this.hello(request);
-      else if (keeps) this.keep(request, report);
+      else if (keeps) this.renewForLeader(request, report);
       else this.sendOn(request.id, leader);
     }
     if (this.parked.size > 0) this.runtime.after(0, () => undefined);
--- a/packages/controller/src/index.ts
+++ b/packages/controller/src/index.ts
@@ -1,6 +1,6 @@
-export * from './ports.js';
+export * from './runtime/ports.js';
 export * from './controller.js';
-export * from './stats.js';
-export type { Environment } from './runtime.js';
-export * from './sockets.js';
-export { whyTooShort } from './news.js';
+export * from './runtime/stats.js';
+export type { Environment } from './runtime/runtime.js';
+export * from './runtime/sockets.js';
+export { cancelLimitProblem as whyTooShort } from './leadership/freshness.js';
--- a/packages/controller/src/lineage.ts
+++ b/packages/controller/src/jobs/ancestor-check.ts
@@ -1,6 +1,6 @@
 import type { Duration, Instant, JobState } from '@tealdock/wire';
-import type { Located } from './requests.js';
-import type { Runtime } from './runtime.js';
+import type { Located } from '../requests/job-requests.js';
+import type { Runtime } from '../runtime/runtime.js';
 
 /** `unsure`: it can't be told yet; what was learnt is kept, so that asking again helps. */
 export type Verdict = 'clear' | 'cancelled' | 'unsure';
@@ -32,7 +32,7 @@
  * that was proven live counts as not cancelled for a part of the time in which the end of
  * its dependents has to show.
  */
-export class Lineage {
+export class AncestorCheck {
   private readonly liveAt = new Map<string, Instant>();
 
   constructor(
--- a/packages/controller/src/job-graph.ts
+++ b/packages/controller/src/jobs/dependency-graph.ts
@@ -1,10 +1,10 @@
 import { predecessorsOf, type Instant, type StateItem } from '@tealdock/wire';
-import { chainDemands, type ChainJob } from '@tealdock/scheduler';
-import { endedKey, type EndedValue } from './keys.js';
+import { dependentDemands, type GraphJob } from '@tealdock/scheduler';
+import { endedKey, type EndedValue } from '../state/keys.js';
 import type { LiveJob } from './live-job.js';
-import { PRIORITY } from './ports.js';
-import type { Runtime } from './runtime.js';
-import type { StateStore } from './state-store.js';
+import { PRIORITY } from '../runtime/ports.js';
+import type { Runtime } from '../runtime/runtime.js';
+import type { StateStore } from '../state/state-store.js';
 
 const RETRY = 400;
 /** Reads of ends at a time: a new term may need hundreds, and has other things to read. */
@@ -28,7 +28,7 @@
  * committed by this leader, says `done` for each predecessor; nothing else releases
  * (docs/safety.md). One that says `cancelled` dooms all that need that job.
  */
-export class JobGraph {
+export class DependencyGraph {
   /** Jobs that wait for a job, by that job. */
   private readonly dependents = new Map<string, Set<LiveJob>>();
   /** Ends that are to be read, in that order. */
@@ -72,18 +72,20 @@
   }
 
   /** Priorities and deadlines along the chains, made anew where a chain has changed. */
-  weigh(): void {
+  updateDemands(): void {
     if (!this.changed) return;
     this.changed = false;
     const all = [...this.term.jobs.values()];
-    const demands = chainDemands(all.filter((j) => !j.doomed).map((j) => this.chainJob(j)));
+    const demands = dependentDemands(
+      all.filter((j) => !j.predecessorCancelled).map((j) => this.graphJob(j)),
+    );
     for (const job of all) {
       const demand = demands.get(job.id);
       if (demand) job.demand(demand);
     }
   }
 
-  private chainJob(job: LiveJob): ChainJob {
+  private graphJob(job: LiveJob): GraphJob {
     const { id, priority, estimate, jobClass } = job.accepted;
     return {
       id,
@@ -127,7 +129,7 @@
     this.dependents.delete(id);
     this.changed = true;
     for (const job of waiting ?? []) {
-      if (end.state === 'cancelled') this.doom(job);
+      if (end.state === 'cancelled') this.cancelWithDependents(job);
       else this.noteDone(job, id, end);
     }
   }
@@ -137,7 +139,7 @@
     job.waitsFor.delete(predecessor);
     job.lastDone = Math.max(job.lastDone, this.steady(end.at ?? -Infinity));
     job.startableSince = Math.max(job.startableSince, end.revision);
-    if (job.waitsFor.size > 0 || job.doomed) return;
+    if (job.waitsFor.size > 0 || job.predecessorCancelled) return;
     job.released = Math.max(job.submitted, job.lastDone);
     const ago = Math.round(this.runtime.now - job.released);
     this.runtime.env.log('debug', { job: job.id, ago }, 'job released');
@@ -147,11 +149,11 @@
     return this.runtime.now - Math.max(0, this.runtime.today.getTime() - at);
   }
 
-  private doom(first: LiveJob): void {
+  private cancelWithDependents(first: LiveJob): void {
     const next = [first];
     for (let job = next.pop(); job; job = next.pop()) {
-      if (job.doomed) continue;
-      job.doomed = true;
+      if (job.predecessorCancelled) continue;
+      job.predecessorCancelled = true;
       next.push(...(this.dependents.get(job.id) ?? []));
     }
   }
--- a/packages/controller/src/completer.ts
+++ b/packages/controller/src/jobs/job-completion.ts
@@ -1,18 +1,18 @@
 import type { Guard, Write } from '@tealdock/wire';
 import { rank } from '@tealdock/scheduler';
-import { endOf, type JobEnd } from './job-graph.js';
-import { endedKey, endedValue, progressEntry, specKey, type EndedValue } from './keys.js';
-import type { Leadership } from './leadership.js';
+import { endOf, type JobEnd } from './dependency-graph.js';
+import { endedKey, endedValue, progressEntry, specKey, type EndedValue } from '../state/keys.js';
+import type { Leadership } from '../leadership/leadership.js';
 import type { LiveJob } from './live-job.js';
-import { PRIORITY } from './ports.js';
-import type { Runtime } from './runtime.js';
-import type { StateStore } from './state-store.js';
-import type { Term } from './term.js';
+import { PRIORITY } from '../runtime/ports.js';
+import type { Runtime } from '../runtime/runtime.js';
+import type { StateStore } from '../state/state-store.js';
+import type { Term } from '../term/term.js';
 
 const FLUSH_EVERY = 250;
 /** Progress of jobs that go on: one change holds that of many jobs, so it is gathered. */
 const PROGRESS_EVERY = 1000;
-const MOST_ORPHANS = 4;
+const MAX_STRAY_KEYS = 4;
 
 /** The end of one job, to be committed. */
 interface Ending {
@@ -28,7 +28,7 @@
  * the live keys to the ended ones in one transaction; the version of its spec
  * decides between that and a cancellation.
  */
-export class Completer {
+export class JobCompletion {
   private busy = false;
   /** Jobs whose tasks are all done, in the order in which that was seen. */
   private readonly completed = new Set<LiveJob>();
@@ -55,7 +55,7 @@
   private flush(): void {
     if (this.busy) return;
     const batch = this.endings();
-    if (batch.length === 0) return this.removeOrphans();
+    if (batch.length === 0) return this.removeStrayKeys();
     this.busy = true;
     const guards = [this.leadership.guard(), ...batch.map((e) => e.guard)];
     const writes = batch.flatMap((e) => e.writes);
@@ -88,7 +88,7 @@
   private jobsToEnd(): LiveJob[] {
     const cancelled: LiveJob[] = [];
     for (const job of this.term.jobs.values()) {
-      if (job.doomed) cancelled.push(job);
+      if (job.predecessorCancelled) cancelled.push(job);
       else if (job.complete) this.completed.add(job);
     }
     const awaited: LiveJob[] = [];
@@ -116,14 +116,14 @@
   }
 
   /** Keys that belong to no job, a few at a time when nothing else is to be done. */
-  private removeOrphans(): void {
-    const keys = this.term.orphans.splice(0, MOST_ORPHANS);
+  private removeStrayKeys(): void {
+    const keys = this.term.strayKeys.splice(0, MAX_STRAY_KEYS);
     if (keys.length === 0) return;
     this.busy = true;
     const writes = keys.map((key) => ({ remove: key }));
     this.state.commit([this.leadership.guard()], writes, PRIORITY.background, (committed) => {
       this.busy = false;
-      if (committed.kind !== 'ok') this.term.orphans.push(...keys);
+      if (committed.kind !== 'ok') this.term.strayKeys.push(...keys);
     });
   }
 
@@ -142,7 +142,7 @@
   /** A job whose tasks are all done, or one that needs a cancelled job and never started. */
   private ending(job: LiveJob): Ending {
     const { valueBytes } = this.runtime.settings.state;
-    const state = job.doomed ? 'cancelled' : 'done';
+    const state = job.predecessorCancelled ? 'cancelled' : 'done';
     const value = endedValue(state, job.accepted, this.runtime.today, valueBytes);
     return {
       job,
--- a/packages/controller/src/live-job.ts
+++ b/packages/controller/src/jobs/live-job.ts
@@ -1,7 +1,7 @@
 import { predecessorsOf, type Instant, type JobSpec } from '@tealdock/wire';
-import type { ChainDemand } from '@tealdock/scheduler';
-import { CHUNK_TASKS } from './keys.js';
-import type { Binding } from './machine.js';
+import type { DependentDemand } from '@tealdock/scheduler';
+import { CHUNK_TASKS } from '../state/keys.js';
+import type { Binding } from '../machines/machine.js';
 
 /** A task that has opened its window. */
 export interface OpenTask {
@@ -27,7 +27,7 @@
   /** Since when its tasks wait for a holder of the image; starts anew with each that got one. */
   holderWait: Instant | null = null;
   /** When room may be made for it next: plans for that are dear. */
-  roomPlanAt: Instant = 0;
+  nextPreemptionPlan: Instant = 0;
   /** The zone that was found to fit all of a gang that may use only one. */
   gangZone: string | null = null;
   /** Jobs that are not known to be done, and that it waits for. */
@@ -42,7 +42,7 @@
    */
   startableSince: number;
   /** A job that it needs was cancelled: it never starts and ends as cancelled. */
-  doomed = false;
+  predecessorCancelled = false;
   /** When its end is due for the sake of all that need it, and for its own. */
   finishBy: Instant;
   /** As accepted, but with the highest priority among itself and all that need it. */
@@ -77,7 +77,7 @@
     return this.released ?? Infinity;
   }
 
-  demand({ priority, finishBy }: ChainDemand): void {
+  demand({ priority, finishBy }: DependentDemand): void {
     this.finishBy = finishBy;
     if (priority !== this.spec.priority) this.spec = { ...this.accepted, priority };
   }
@@ -151,7 +151,7 @@
 
   /** Opens windows for the tasks once the job is released. */
   openWindows(now: Instant): void {
-    if (this.released === null || this.doomed) return;
+    if (this.released === null || this.predecessorCancelled) return;
     const most = this.spec.kind === 'gang' ? Infinity : MOST_OPEN;
     while (this.open.size < most) {
       const index = this.returned.pop() ?? this.takeNext();
--- a/packages/controller/src/live-proofs.ts
+++ b/packages/controller/src/jobs/liveness-proofs.ts
@@ -1,7 +1,7 @@
 import type { Guard } from '@tealdock/wire';
-import { specKey } from './keys.js';
-import type { Runtime } from './runtime.js';
-import type { StateStore } from './state-store.js';
+import { specKey } from '../state/keys.js';
+import type { Runtime } from '../runtime/runtime.js';
+import type { StateStore } from '../state/state-store.js';
 
 /** Polls that arrive within this time share a proof. */
 const GATHER = 40;
@@ -23,7 +23,7 @@
  * Polls about one job, and the version that its key had when the first of them came. The
  * job may be forgotten before they are compared: a key that is gone must not look the same.
  */
-interface Asked {
+interface PendingProof {
   job: string;
   version: number;
   polls: ((proof: Proof) => void)[];
@@ -34,10 +34,10 @@
  * changes compares the versions of their keys. It is sent after the polls have
  * arrived, so its answer is never older than what any user was told before.
  */
-export class LiveProofs {
+export class LivenessProofs {
   /** Live jobs' keys, as this node last read or wrote them. */
   private readonly known = new Map<string, Known>();
-  private waiting = new Map<string, Asked>();
+  private waiting = new Map<string, PendingProof>();
   private planned = false;
 
   constructor(
@@ -88,7 +88,7 @@
     for (let at = 0; at < all.length; at += most) this.compare(all.slice(at, at + most));
   }
 
-  private compare(batch: Asked[]): void {
+  private compare(batch: PendingProof[]): void {
     const guards: Guard[] = batch.map(({ job, version }) => ({ key: specKey(job), version }));
     this.state.compare(guards, TIMEOUT, (compared) => {
       if (compared.kind === 'equal') return this.settle(batch, 'live');
@@ -105,7 +105,7 @@
     });
   }
 
-  private settle(batch: Asked[], proof: Proof): void {
+  private settle(batch: PendingProof[], proof: Proof): void {
     for (const { polls } of batch) for (const done of polls) done(proof);
   }
 }
--- a/packages/controller/src/keeper.ts
+++ b/packages/controller/src/leadership/delegated-renewal.ts
@@ -6,26 +6,26 @@
   type TaskReport,
   type WorkerReport,
 } from '@tealdock/wire';
-import { KEEPER_PREFIX, LEADER_KEY, type GrantValue } from './keys.js';
+import { GRANT_PREFIX, LEADER_KEY, type GrantValue } from '../state/keys.js';
 import type { Leadership } from './leadership.js';
-import type { Peers } from './peers.js';
-import { newsLife } from './news.js';
-import { PRIORITY } from './ports.js';
-import type { Liveness } from './requests.js';
-import type { Runtime } from './runtime.js';
-import type { StateStore } from './state-store.js';
+import type { Peers } from '../peers/peers.js';
+import { maxStaleness } from './freshness.js';
+import { PRIORITY } from '../runtime/ports.js';
+import type { Liveness } from '../requests/job-requests.js';
+import type { Runtime } from '../runtime/runtime.js';
+import type { StateStore } from '../state/state-store.js';
 
 /** A grant allows answers for this long from the moment it was asked for. */
-export const GRANT_LIFE = 6000;
+export const GRANT_DURATION = 6000;
 const GRANT_MARGIN = 100;
 const DRIFT = 0.001;
 /** It is renewed when less than this is left. */
-const RENEW_AT = 3000;
+const RENEW_GRANT_BEFORE_END = 3000;
 /** How long a leader's beats must be missing; a dead one's key is mostly gone by then. */
-const SILENCE = 6500;
+const LEADER_UNREACHABLE_AFTER = 6500;
 /** A job that was live at most this long ago may keep its workers. */
-const PROOF_LIFE = 2000;
-const MOST_PROVEN = 5000;
+const PROOF_VALIDITY = 2000;
+const MAX_REMEMBERED_PROOFS = 5000;
 
 type Answer = (status: 200 | 421, body: unknown, validUntil?: Instant) => void;
 
@@ -41,7 +41,7 @@
  * for grants before they call a machine silent (docs/safety.md). Each task on a kept
  * worker is of a job proven live just now, or is stopped by the same answer.
  */
-export class Keeper {
+export class DelegatedRenewal {
   private grant: Grant | null = null;
   private asking = false;
   private readonly waiting: (() => void)[] = [];
@@ -56,14 +56,14 @@
   ) {}
 
   /** The leader's key stands though nothing has been heard of it for a while. */
-  get mayKeep(): boolean {
+  get mayRenew(): boolean {
     const { leader, leaderVersion } = this.leadership;
     if (leader === null || leaderVersion === null || this.state.doubtful) return false;
     if (leader === this.runtime.settings.member || this.peers.refusedLately(leader)) return false;
-    return this.runtime.now - this.peers.lastHeard(leader) > SILENCE;
+    return this.runtime.now - this.peers.lastHeard(leader) > LEADER_UNREACHABLE_AFTER;
   }
 
-  keep(report: WorkerReport, answer: Answer): void {
+  renew(report: WorkerReport, answer: Answer): void {
     this.withGrant((grant) => {
       if (!grant || report.token > grant.token) return answer(421, {});
       const present = report.tasks.filter((t) => t.state !== 'exited');
@@ -81,7 +81,7 @@
   private withGrant(use: (grant: Grant | null) => void): void {
     const current = this.grant?.token === this.leadership.leaderVersion ? this.grant : null;
     const left = (current?.until ?? -Infinity) - this.runtime.now;
-    if (left < RENEW_AT) this.ask();
+    if (left < RENEW_GRANT_BEFORE_END) this.ask();
     if (left > 0) return use(current);
     this.waiting.push(() => use(this.grant));
   }
@@ -92,12 +92,12 @@
     const token = this.leadership.leaderVersion ?? 0;
     const sent = this.runtime.now;
     const value: GrantValue = { token, at: this.runtime.today.getTime() };
-    const write = { put: `${KEEPER_PREFIX}${this.runtime.settings.member}`, value };
+    const write = { put: `${GRANT_PREFIX}${this.runtime.settings.member}`, value };
     const guards = [{ key: LEADER_KEY, version: token }];
     this.state.commit(guards, [write], PRIORITY.lease, (committed) => {
       this.asking = false;
       // Counted from the send, so that it ends here before it ends for any leader.
-      const until = sent + GRANT_LIFE * (1 - DRIFT) - GRANT_MARGIN;
+      const until = sent + GRANT_DURATION * (1 - DRIFT) - GRANT_MARGIN;
       this.grant = committed.kind === 'ok' ? { token, until } : null;
       this.runtime.env.log(
         'info',
@@ -133,13 +133,14 @@
     this.proven.delete(job);
     this.proven.set(job, asked);
     const oldest = this.proven.keys().next().value;
-    if (this.proven.size > MOST_PROVEN && oldest !== undefined) this.proven.delete(oldest);
+    if (this.proven.size > MAX_REMEMBERED_PROOFS && oldest !== undefined)
+      this.proven.delete(oldest);
   }
 
   private provenLately(job: string): boolean {
     const at = this.proven.get(job);
     if (at === undefined) return false;
-    const life = Math.min(PROOF_LIFE, newsLife(this.runtime.settings));
+    const life = Math.min(PROOF_VALIDITY, maxStaleness(this.runtime.settings));
     if (this.runtime.now - at <= life) return true;
     this.proven.delete(job);
     return false;
--- a/packages/controller/src/leadership.ts
+++ b/packages/controller/src/leadership/leadership.ts
@@ -1,8 +1,8 @@
 import type { Instant } from '@tealdock/wire';
-import { LEADER_KEY, type LeaderValue } from './keys.js';
-import { PRIORITY } from './ports.js';
-import type { Runtime } from './runtime.js';
-import type { StateStore } from './state-store.js';
+import { LEADER_KEY, type LeaderValue } from '../state/keys.js';
+import { PRIORITY } from '../runtime/ports.js';
+import type { Runtime } from '../runtime/runtime.js';
+import type { StateStore } from '../state/state-store.js';
 
 /** Steady clocks drift apart by up to 0.05%; twice that, and a little for rounding. */
 const DRIFT = 0.001;
@@ -15,7 +15,7 @@
 const STAND_BACK = 12_000;
 
 export interface Held {
-  token: number;
+  fencingToken: number;
   validUntil: Instant;
 }
 
@@ -54,7 +54,7 @@
   /** Set only while the lease is surely valid. */
   held(): Held | null {
     if (this.token === null || this.runtime.now >= this.leaseUntil) return null;
-    return { token: this.token, validUntil: this.leaseUntil };
+    return { fencingToken: this.token, validUntil: this.leaseUntil };
   }
 
   /** Every transaction of a leader is guarded by this. */
--- a/packages/controller/src/catalog.ts
+++ b/packages/controller/src/machines/catalog.ts
@@ -1,9 +1,9 @@
 import { CATALOG_PATH, parseCatalog, type MachineType } from '@tealdock/wire';
-import { CATALOG_PREFIX, typeKey } from './keys.js';
-import type { Leadership } from './leadership.js';
-import { PRIORITY } from './ports.js';
-import type { Runtime } from './runtime.js';
-import { attempt, type StateStore } from './state-store.js';
+import { CATALOG_PREFIX, typeKey } from '../state/keys.js';
+import type { Leadership } from '../leadership/leadership.js';
+import { PRIORITY } from '../runtime/ports.js';
+import type { Runtime } from '../runtime/runtime.js';
+import { attempt, type StateStore } from '../state/state-store.js';
 
 const REFRESH = 30_000;
 const RETRY = 2000;
--- a/packages/controller/src/direct-stops.ts
+++ b/packages/controller/src/machines/direct-stops.ts
@@ -1,8 +1,8 @@
 import { COMMANDS_PATH, renderCommands, type Instant, type Order } from '@tealdock/wire';
 import type { Machine } from './machine.js';
-import { PRIORITY } from './ports.js';
-import type { Runtime } from './runtime.js';
-import type { Term } from './term.js';
+import { PRIORITY } from '../runtime/ports.js';
+import type { Runtime } from '../runtime/runtime.js';
+import type { Term } from '../term/term.js';
 
 const LOOK_EVERY = 500;
 const TIMEOUT = 2000;
@@ -70,7 +70,7 @@
       to: m.addr,
       method: 'POST',
       path: COMMANDS_PATH,
-      body: renderCommands(this.term.token, m.session, orders),
+      body: renderCommands(this.term.fencingToken, m.session, orders),
       priority: PRIORITY.leader,
       writes: 0,
       timeout: TIMEOUT,
--- a/packages/controller/src/silence.ts
+++ b/packages/controller/src/machines/lease-expiry.ts
@@ -1,16 +1,16 @@
 import type { Instant, StateItem } from '@tealdock/wire';
-import { GRANT_LIFE } from './keeper.js';
-import { KEEPER_PREFIX, type GrantValue } from './keys.js';
+import { GRANT_DURATION } from '../leadership/delegated-renewal.js';
+import { GRANT_PREFIX, type GrantValue } from '../state/keys.js';
 import type { Machine } from './machine.js';
-import { PRIORITY } from './ports.js';
-import type { Runtime } from './runtime.js';
-import type { StateStore } from './state-store.js';
+import { PRIORITY } from '../runtime/ports.js';
+import type { Runtime } from '../runtime/runtime.js';
+import type { StateStore } from '../state/state-store.js';
 
 /** Clock drift of twice 0.05%, and a margin for answers under way. */
 const LEASE_STRETCH = 1.001;
 const LEASE_MARGIN = 1500;
 /** A grant that was asked for this long ago is over; the rest is for clocks that are off. */
-const GRANT_STALE = 60_000;
+const GRANT_STALE_AFTER = 60_000;
 
 /**
  * Grants are read this often while some machine has not been heard for a while: one that is
@@ -21,7 +21,7 @@
 const MISSED_REPORTS = 2;
 
 /** What it has to know of a term. */
-interface Roster {
+interface RegisteredMachines {
   readonly machines: ReadonlyMap<string, Machine>;
   readonly acquired: Instant;
   readonly closed: boolean;
@@ -33,9 +33,9 @@
  * grants are read first. One that this read does not show was given after the lease
  * was over (docs/safety.md).
  */
-export class Silence {
+export class LeaseExpiry {
   /** Until when any node may have kept workers under a grant. */
-  private keptUntil: Instant = -Infinity;
+  private delegatedUntil: Instant = -Infinity;
   private readonly grantsSeen = new Map<string, number>();
   private reading = false;
   private lastRead: Instant = -Infinity;
@@ -43,26 +43,26 @@
   constructor(
     private readonly runtime: Runtime,
     private readonly state: StateStore,
-    private readonly roster: Roster,
-    private readonly found: (silent: Machine[]) => void,
+    private readonly roster: RegisteredMachines,
+    private readonly onExpired: (silent: Machine[]) => void,
   ) {}
 
-  look(): void {
+  check(): void {
     if (this.reading || !this.mustRead()) return;
     this.reading = true;
     const asked = this.runtime.now;
     this.lastRead = asked;
-    this.state.readAll(KEEPER_PREFIX, PRIORITY.leader, (grants) => {
+    this.state.readAll(GRANT_PREFIX, PRIORITY.leader, (grants) => {
       this.reading = false;
       if (!grants || this.roster.closed) return;
       for (const item of grants.items) this.noteGrant(item);
-      const silent = this.silentSince(asked);
-      if (silent.length > 0) this.found(silent);
+      const silent = this.expiredAt(asked);
+      if (silent.length > 0) this.onExpired(silent);
     });
   }
 
   private mustRead(): boolean {
-    if (this.silentSince(this.runtime.now).length > 0) return true;
+    if (this.expiredAt(this.runtime.now).length > 0) return true;
     return this.runtime.now - this.lastRead >= READ_GRANTS_EVERY && this.missesReports();
   }
 
@@ -86,16 +86,19 @@
     if (this.grantsSeen.get(key) === version) return;
     this.grantsSeen.set(key, version);
     const age = this.runtime.today.getTime() - ((value as GrantValue | null)?.at ?? Infinity);
-    if (age > GRANT_STALE + 2 * this.runtime.settings.clockError) return;
-    this.keptUntil = Math.max(this.keptUntil, this.runtime.now + GRANT_LIFE * LEASE_STRETCH);
+    if (age > GRANT_STALE_AFTER + 2 * this.runtime.settings.clockError) return;
+    this.delegatedUntil = Math.max(
+      this.delegatedUntil,
+      this.runtime.now + GRANT_DURATION * LEASE_STRETCH,
+    );
   }
 
   /** Machines whose lease was over at that instant, where something depends on it. */
-  private silentSince(instant: Instant): Machine[] {
+  private expiredAt(instant: Instant): Machine[] {
     const silent: Machine[] = [];
     for (const m of this.roster.machines.values()) {
-      const matters = !m.resolved || m.bindings.size > 0 || !m.inRoster;
-      const answered = Math.max(m.lastHeard ?? this.roster.acquired, this.keptUntil);
+      const matters = !m.resolved || m.bindings.size > 0 || !m.registered;
+      const answered = Math.max(m.lastHeard ?? this.roster.acquired, this.delegatedUntil);
       if (matters && instant >= this.leaseEnd(answered)) silent.push(m);
     }
     return silent;
--- a/packages/controller/src/machine.ts
+++ b/packages/controller/src/machines/machine.ts
@@ -6,7 +6,7 @@
   TaskState,
   WorkerReport,
 } from '@tealdock/wire';
-import { Fetches } from './fetches.js';
+import { Fetches } from './image-fetches.js';
 import { NOTHING, minus, plus, type Place, type Resources } from '@tealdock/scheduler';
 
 export interface StopWish {
@@ -73,7 +73,7 @@
   /** Its tasks are known in this term, or it is proven to have none of older terms. */
   resolved = false;
   /** The roster in the state service has it; no start goes out before. */
-  inRoster = false;
+  registered = false;
   returning = false;
   returnCommitted = false;
   noticeUntil: Instant | null = null;
@@ -81,7 +81,7 @@
   failures = 0;
   /** Starts in a row that never showed up: answers seem not to reach it. */
   lostStarts = 0;
-  asideUntil: Instant = 0;
+  quarantinedUntil: Instant = 0;
   recent = 0;
   /** First known to be there, on this process's steady clock. */
   since: Instant = Infinity;
--- a/packages/controller/src/ledger.ts
+++ b/packages/controller/src/machines/usage-ledger.ts
@@ -15,7 +15,7 @@
  * Sums over all bindings, kept as bindings come and go: with thousands of them,
  * adding them up for each decision would take longer than the decisions.
  */
-export class Ledger {
+export class UsageLedger {
   private readonly teams = new Map<string, TeamSums>();
   private readonly zones = new Map<string, Map<string, number>>();
 
--- a/packages/controller/src/peers.ts
+++ b/packages/controller/src/peers/peers.ts
@@ -7,8 +7,8 @@
   type JobCount,
   type Told,
 } from '@tealdock/wire';
-import { PRIORITY, type CallPriority, type CallResult, type Command } from './ports.js';
-import type { Runtime } from './runtime.js';
+import { PRIORITY, type CallPriority, type CallResult, type Command } from '../runtime/ports.js';
+import type { Runtime } from '../runtime/runtime.js';
 
 const BEAT_EVERY = 1000;
 const FRESH = 3200;
--- a/packages/controller/src/desks.ts
+++ b/packages/controller/src/placement/machine-capacity.ts
@@ -12,23 +12,23 @@
   type Volunteer,
   type ZoneCounts,
 } from '@tealdock/scheduler';
-import type { LiveJob } from './live-job.js';
-import type { Machine } from './machine.js';
+import type { LiveJob } from '../jobs/live-job.js';
+import type { Machine } from '../machines/machine.js';
 
 /** Room on one machine while a pass goes on. */
-export interface Desk {
+export interface MachineCapacity {
   machine: Machine;
   type: MachineType;
   free: Resources;
   /** Free once all that is being stopped is gone, less what higher work waits for. */
-  coming: Resources;
+  freeAfterStops: Resources;
 }
 
-export const deskOf = (machine: Machine, type: MachineType): Desk => {
+export const capacityOf = (machine: Machine, type: MachineType): MachineCapacity => {
   const free = machine.free(type);
   machine.cacheGb = type.cacheGb;
   machine.fetches.rate = type.fetchGbPerS;
-  return { machine, type, free, coming: plus(free, machine.stopping) };
+  return { machine, type, free, freeAfterStops: plus(free, machine.stopping) };
 };
 
 /** What a job's tasks ask of a machine; jobs that ask the same fit on the same machines. */
@@ -38,9 +38,13 @@
   return `${cpus} ${gpus} ${memoryGb} ${types?.join(',') ?? '*'} ${zone ?? '*'} ${spot} ${own}`;
 }
 
-export function allowedDesks(job: LiveJob, desks: Desk[], zones: ZoneCounts): Desk[] {
+export function allowedMachines(
+  job: LiveJob,
+  machines: MachineCapacity[],
+  zones: ZoneCounts,
+): MachineCapacity[] {
   const gangZone = job.bound.size > 0 ? null : job.gangZone;
-  return desks.filter(
+  return machines.filter(
     (d) =>
       placeAllowed(job.spec, d.machine, zones) &&
       (gangZone === null || d.machine.zone === gangZone),
@@ -48,31 +52,31 @@
 }
 
 /** Machines that hold the image of a job, free or not; looked for once, when first needed. */
-export class Holders {
-  private found: Desk[] | null = null;
+export class ImageHolders {
+  private found: MachineCapacity[] | null = null;
   private sum: number | null = null;
 
   constructor(
     private readonly job: LiveJob,
-    private readonly pass: { everywhere(job: LiveJob): Desk[] },
+    private readonly cycle: { everywhere(job: LiveJob): MachineCapacity[] },
   ) {}
 
-  get desks(): Desk[] {
+  get machines(): MachineCapacity[] {
     const { image } = this.job.spec;
-    this.found ??= this.pass.everywhere(this.job).filter((d) => d.machine.images.has(image));
+    this.found ??= this.cycle.everywhere(this.job).filter((d) => d.machine.images.has(image));
     return this.found;
   }
 
   /** How many of the job's tasks they could hold if they were empty. */
   get slots(): number {
     const wanted = need(this.job.spec);
-    this.sum ??= this.desks.reduce((sum, d) => sum + slots(wanted, d.type), 0);
+    this.sum ??= this.machines.reduce((sum, d) => sum + slots(wanted, d.type), 0);
     return this.sum;
   }
 }
 
 interface Candidate extends Volunteer {
-  desk: Desk;
+  capacity: MachineCapacity;
 }
 
 /**
@@ -95,7 +99,7 @@
   ) {}
 
   /** Null if the image would come too late for the machine to be a volunteer. */
-  of({ machine, type }: Desk): number | null {
+  of({ machine, type }: MachineCapacity): number | null {
     const { image, imageGb } = this.spec;
     if (machine.images.has(image)) return 0;
     if (machine.fetching.size === 0) return 2;
@@ -136,13 +140,13 @@
 
   constructor(
     private readonly job: LiveJob,
-    desks: Desk[],
+    machines: MachineCapacity[],
     private readonly rules: VolunteerRules,
   ) {
     const wanted = need(job.spec);
-    for (const desk of desks) {
-      if (!fits(wanted, desk.free)) continue;
-      const candidate = this.candidate(desk);
+    for (const capacity of machines) {
+      if (!fits(wanted, capacity.free)) continue;
+      const candidate = this.candidate(capacity);
       if (candidate) this.candidates.push(candidate);
       else this.tooSlow++;
     }
@@ -150,19 +154,19 @@
   }
 
   /** Holders of the image first, then the first point of the front. */
-  choose(): Desk | undefined {
-    return choose(this.candidates)?.desk;
+  choose(): MachineCapacity | undefined {
+    return choose(this.candidates)?.capacity;
   }
 
   /** A task was booked there. */
-  booked(desk: Desk): void {
+  booked(capacity: MachineCapacity): void {
     const wanted = need(this.job.spec);
-    desk.free = minus(desk.free, wanted);
-    desk.coming = minus(desk.coming, wanted);
-    const at = this.candidates.findIndex((c) => c.desk === desk);
+    capacity.free = minus(capacity.free, wanted);
+    capacity.freeAfterStops = minus(capacity.freeAfterStops, wanted);
+    const at = this.candidates.findIndex((c) => c.capacity === capacity);
     this.candidates.splice(at, 1);
-    if (!fits(wanted, desk.free)) return;
-    const changed = this.candidate(desk);
+    if (!fits(wanted, capacity.free)) return;
+    const changed = this.candidate(capacity);
     if (!changed) return void this.tooSlow++;
     this.candidates.splice(this.placeFor(changed, at), 0, changed);
   }
@@ -174,12 +178,12 @@
     return at;
   }
 
-  private candidate(desk: Desk): Candidate | null {
-    const { machine, type, free } = desk;
-    const imageRank = this.rules.ranks.of(desk);
+  private candidate(capacity: MachineCapacity): Candidate | null {
+    const { machine, type, free } = capacity;
+    const imageRank = this.rules.ranks.of(capacity);
     if (imageRank === null) return null;
     return {
-      desk,
+      capacity: capacity,
       load: bookedShare(type, free),
       price: this.rules.priceOf(machine, type),
       recent: machine.recent / Math.max(1, type.cpus),
--- a/packages/controller/src/room-maker.ts
+++ b/packages/controller/src/placement/preemption.ts
@@ -3,24 +3,24 @@
   fits,
   minus,
   need,
-  planRoom,
+  planPreemption,
   plus,
   rank,
   type Plan,
   type Resources,
   type Victim,
 } from '@tealdock/scheduler';
-import type { Desk, ImageRanks } from './desks.js';
-import type { LiveJob } from './live-job.js';
-import type { Binding } from './machine.js';
-import type { Runtime } from './runtime.js';
-import type { Term } from './term.js';
+import type { MachineCapacity, ImageRanks } from './machine-capacity.js';
+import type { LiveJob } from '../jobs/live-job.js';
+import type { Binding } from '../machines/machine.js';
+import type { Runtime } from '../runtime/runtime.js';
+import type { Term } from '../term/term.js';
 
 /** A start that is stopped sooner than this was in vain for whoever waited for it. */
-const FRESH_START = 30_000;
+const RECENT_START = 30_000;
 
-interface DeskPlan extends Plan<Binding> {
-  desk: Desk;
+interface MachinePlan extends Plan<Binding> {
+  capacity: MachineCapacity;
   /** Work that is lost by it, and the wait for the image after it. */
   cost: Duration;
 }
@@ -29,8 +29,8 @@
  * Makes room for the tasks of one job by stopping others, where that loses the
  * least work. Plans are made once for all machines; each use changes one machine.
  */
-export class RoomMaker {
-  private readonly plans: DeskPlan[];
+export class Preemption {
+  private readonly plans: MachinePlan[];
   private readonly wanted: Resources;
 
   constructor(
@@ -38,50 +38,50 @@
     private readonly term: Term,
     private readonly job: LiveJob,
     private readonly guaranteed: () => boolean,
-    desks: Desk[],
+    machines: MachineCapacity[],
     private readonly ranks: ImageRanks,
   ) {
     this.wanted = need(job.spec);
-    const plans = desks.map((d) => this.planFor(d)).filter((p) => p !== null);
+    const plans = machines.map((d) => this.planFor(d)).filter((p) => p !== null);
     this.plans = plans.sort((a, b) => a.cost - b.cost);
   }
 
   /** Has what is needed for one task stopped; null if nothing may be. */
-  make(): Desk | null {
+  freeOneSlot(): MachineCapacity | null {
     for (;;) {
       const plan = this.plans.shift();
       if (!plan) return null;
       // What was stopped since may have changed who borrows.
       if (!plan.victims.every((v) => this.mayStop(v.of, this.guaranteed()))) {
-        this.planAgain(plan.desk);
+        this.planAgain(plan.capacity);
         continue;
       }
-      for (const victim of plan.victims) this.stop(plan.desk, victim);
-      return plan.desk;
+      for (const victim of plan.victims) this.stop(plan.capacity, victim);
+      return plan.capacity;
     }
   }
 
   /** To be called once the room has been promised to a task. */
-  planAgain(desk: Desk): void {
-    const plan = this.planFor(desk);
+  planAgain(capacity: MachineCapacity): void {
+    const plan = this.planFor(capacity);
     if (!plan) return;
     const at = this.plans.findIndex((p) => p.cost > plan.cost);
     this.plans.splice(at < 0 ? this.plans.length : at, 0, plan);
   }
 
-  private planFor(desk: Desk): DeskPlan | null {
+  private planFor(capacity: MachineCapacity): MachinePlan | null {
     // Where room is coming already, nothing needs to be stopped.
-    if (fits(this.wanted, desk.coming)) return null;
-    const plan = planRoom(desk.coming, this.victims(desk), this.wanted);
+    if (fits(this.wanted, capacity.freeAfterStops)) return null;
+    const plan = planPreemption(capacity.freeAfterStops, this.victims(capacity), this.wanted);
     // Room where the image would come too late is no room.
-    if (!plan || this.ranks.of(desk) === null) return null;
-    return { ...plan, desk, cost: plan.lost + this.ranks.delay(desk.machine) };
+    if (!plan || this.ranks.of(capacity) === null) return null;
+    return { ...plan, capacity: capacity, cost: plan.lost + this.ranks.delay(capacity.machine) };
   }
 
-  private victims(desk: Desk): Victim<Binding>[] {
+  private victims(capacity: MachineCapacity): Victim<Binding>[] {
     const victims: Victim<Binding>[] = [];
     const guaranteed = this.guaranteed();
-    for (const b of desk.machine.bindings.values()) {
+    for (const b of capacity.machine.bindings.values()) {
       if (!this.mayStop(b, guaranteed)) continue;
       const other = this.term.jobs.get(b.job)!;
       victims.push({ of: b, size: b.size, lost: lost(b, other, this.runtime.now) });
@@ -89,11 +89,11 @@
     return victims;
   }
 
-  private stop(desk: Desk, victim: Victim<Binding>): void {
+  private stop(capacity: MachineCapacity, victim: Victim<Binding>): void {
     const b = victim.of;
     const reason = `room for ${this.job.id}`;
     this.term.stop(b, { grace: this.term.jobs.get(b.job)?.spec.save ?? 0, reason });
-    desk.coming = plus(desk.coming, victim.size);
+    capacity.freeAfterStops = plus(capacity.freeAfterStops, victim.size);
     this.runtime.env.log('debug', { task: b.task, machine: b.machine, reason }, 'preempting');
   }
 
@@ -125,6 +125,6 @@
 /** Work lost if the task is stopped now; one that saves loses only what stopping takes. */
 function lost(b: Binding, job: LiveJob, now: Instant): number {
   const ran = b.runningSince === null || b.state === 'fetching' ? 0 : now - b.runningSince;
-  const fresh = ran < FRESH_START ? FRESH_START : 0;
+  const fresh = ran < RECENT_START ? RECENT_START : 0;
   return fresh + (job.spec.checkpoint > 0 ? job.spec.save : ran);
 }
--- a/packages/controller/src/placer.ts
+++ b/packages/controller/src/placement/scheduler.ts
@@ -12,17 +12,24 @@
   type Ranked,
   type Resources,
 } from '@tealdock/scheduler';
-import { Holders, ImageRanks, Volunteers, demandOf, deskOf, type Desk } from './desks.js';
-import type { LiveJob, OpenTask } from './live-job.js';
-import type { Binding, Machine } from './machine.js';
-import { Pass } from './pass.js';
-import { RoomMaker } from './room-maker.js';
-import type { Runtime } from './runtime.js';
-import { guaranteedJobs, nextDue } from './slack.js';
-import { typeOf, type Term } from './term.js';
-
-const PASS_EVERY = 100;
-const REBUILD_PASS_EVERY = 400;
+import {
+  ImageHolders,
+  ImageRanks,
+  Volunteers,
+  demandOf,
+  capacityOf,
+  type MachineCapacity,
+} from './machine-capacity.js';
+import type { LiveJob, OpenTask } from '../jobs/live-job.js';
+import type { Binding, Machine } from '../machines/machine.js';
+import { SchedulingCycle } from './scheduling-cycle.js';
+import { Preemption } from './preemption.js';
+import type { Runtime } from '../runtime/runtime.js';
+import { guaranteedJobs, nextDue } from './start-deadlines.js';
+import { typeOf, type Term } from '../term/term.js';
+
+const CYCLE_INTERVAL = 100;
+const REBUILD_CYCLE_INTERVAL = 400;
 /** What stopping a task and starting another in its place takes. */
 const STOP_TIME = 4000;
 /** How long before an aim, or after how long without room, a guarantee is reclaimed. */
@@ -41,14 +48,14 @@
 const MOST_SLOWDOWN = 2;
 /** Part of a fetch's time that a holder is waited for. */
 const HOLDER_PART = 1 / 4;
-const ROOM_PLAN_EVERY = 500;
+const PREEMPTION_PLAN_INTERVAL = 500;
 
 /** What the tasks of one job look for in a pass. */
 interface Search {
   readonly job: LiveJob;
   readonly demand: string;
   readonly ranks: ImageRanks;
-  holders: Holders;
+  holders: ImageHolders;
 }
 
 /**
@@ -56,10 +63,10 @@
  * report showed room within it is a volunteer. Holders of the image go first,
  * then the first point of the front. Room is booked at once.
  */
-export class Placer {
+export class Scheduler {
   /** Coming room that this pass keeps for a team's tasks. */
-  private readonly promised = new Map<string, Resources>();
-  private lastPass: Instant = -Infinity;
+  private readonly reservedByTeam = new Map<string, Resources>();
+  private lastCycle: Instant = -Infinity;
   /** When a task last found no room at all. */
   private lastFull: Instant = -Infinity;
   /** Jobs within their team's guarantee. */
@@ -77,34 +84,34 @@
   ) {}
 
   start(): void {
-    this.runtime.every(PASS_EVERY, () => {
-      if (!this.term.closed) this.pass();
+    this.runtime.every(CYCLE_INTERVAL, () => {
+      if (!this.term.closed) this.runCycle();
       return !this.term.closed;
     });
   }
 
-  private pass(): void {
+  private runCycle(): void {
     if (!this.term.loaded) return;
     // A thousand reports come first: until they are in, only new jobs can be placed.
-    if (!this.term.ready && this.runtime.now - this.lastPass < REBUILD_PASS_EVERY) return;
-    this.lastPass = this.runtime.now;
-    this.term.graph.weigh();
+    if (!this.term.ready && this.runtime.now - this.lastCycle < REBUILD_CYCLE_INTERVAL) return;
+    this.lastCycle = this.runtime.now;
+    this.term.graph.updateDemands();
     for (const job of this.term.jobs.values()) job.openWindows(this.runtime.now);
     if (!this.term.settled) return;
     this.rescue();
-    this.promised.clear();
+    this.reservedByTeam.clear();
     const jobs = this.waitingJobs();
     if (jobs.length === 0) return;
     this.unaccounted = this.sumUnaccounted();
-    const pass = new Pass(this.desks(), this.term, jobs);
-    for (const job of jobs) if (!pass.bookedOut) this.placeJob(job, pass);
-    this.notePass(pass, jobs.length);
+    const cycle = new SchedulingCycle(this.machines(), this.term, jobs);
+    for (const job of jobs) if (!cycle.bookingLimitReached) this.placeJob(job, cycle);
+    this.countCycle(cycle, jobs.length);
   }
 
-  private notePass(pass: Pass, waiting: number): void {
+  private countCycle(cycle: SchedulingCycle, waiting: number): void {
     this.runtime.stats.count('passes');
-    this.runtime.stats.count('passes.bookings', pass.bookings);
-    this.runtime.stats.count('passes.room_plans', pass.roomPlans);
+    this.runtime.stats.count('passes.bookings', cycle.bookings);
+    this.runtime.stats.count('passes.room_plans', cycle.preemptionPlans);
     this.runtime.stats.record('passes.waiting_jobs', waiting);
   }
 
@@ -138,69 +145,69 @@
   private belowGuarantee(job: LiveJob): boolean {
     const team = this.runtime.settings.teams.find((t) => t.name === job.spec.team);
     if (!team) return false;
-    const promised = this.promised.get(team.name) ?? NOTHING;
+    const promised = this.reservedByTeam.get(team.name) ?? NOTHING;
     const after = plus(plus(this.term.ledger.teamUse(team.name), promised), need(job.spec));
     return after.cpus <= team.cpus && after.gpus <= team.gpus;
   }
 
   /** Machines whose reports are recent enough to count as volunteers. */
-  private desks(): Desk[] {
+  private machines(): MachineCapacity[] {
     const recent = Math.max(
       this.runtime.operator.window.lambda,
       this.runtime.settings.reportEvery * 1.5,
     );
     const types = this.types();
-    const desks: Desk[] = [];
+    const machines: MachineCapacity[] = [];
     for (const m of this.term.machines.values()) {
       const heard = m.lastCounted !== null && this.runtime.now - m.lastCounted <= recent;
-      if (!heard || !m.inRoster || m.returning) continue;
-      if (m.noticeUntil !== null || m.asideUntil > this.runtime.now) continue;
+      if (!heard || !m.registered || m.returning) continue;
+      if (m.noticeUntil !== null || m.quarantinedUntil > this.runtime.now) continue;
       const type = typeOf(types, m);
-      if (type) desks.push(deskOf(m, type));
+      if (type) machines.push(capacityOf(m, type));
     }
-    return desks;
+    return machines;
   }
 
-  private placeJob(job: LiveJob, pass: Pass): void {
+  private placeJob(job: LiveJob, cycle: SchedulingCycle): void {
     const closed = [...job.open.values()].filter((task) => this.windowCloses(task));
     const waiting = this.starves(job) ? closed.slice(0, FIRST_TASKS) : closed;
-    const search = this.searchFor(job, pass);
-    if (pass.full.has(search.demand)) return this.noFit(search, waiting, pass);
+    const search = this.searchFor(job, cycle);
+    if (cycle.full.has(search.demand)) return this.noFit(search, waiting, cycle);
     // The zone of an earlier window says nothing about this one.
     job.gangZone = null;
-    if (job.spec.kind === 'gang' && !this.gangFits(job, pass.withRoom(job))) return;
-    this.placeTasks(search, waiting, pass);
+    if (job.spec.kind === 'gang' && !this.gangFits(job, cycle.candidatesNow(job))) return;
+    this.placeTasks(search, waiting, cycle);
   }
 
-  private placeTasks(search: Search, waiting: OpenTask[], pass: Pass): void {
+  private placeTasks(search: Search, waiting: OpenTask[], cycle: SchedulingCycle): void {
     const { job, demand, ranks } = search;
     const rules = { ranks, priceOf: this.priceOf, gathers: this.gathers() };
     const sheltered = this.starves(job);
-    let volunteers = new Volunteers(job, pass.withRoom(job), rules);
+    let volunteers = new Volunteers(job, cycle.candidatesNow(job), rules);
     for (const [at, task] of waiting.entries()) {
-      if (pass.bookedOut || !this.withinTeamLimit(job)) return;
+      if (cycle.bookingLimitReached || !this.withinTeamLimit(job)) return;
       const chosen = volunteers.choose();
       if (!chosen) {
         this.lastFull = this.runtime.now;
         // Where there is room, other fetches are in the way: another job may use it.
-        if (volunteers.tooSlow === 0) pass.full.add(demand);
-        return this.noFit(search, waiting.slice(at), pass);
+        if (volunteers.tooSlow === 0) cycle.full.add(demand);
+        return this.noFit(search, waiting.slice(at), cycle);
       }
-      if (this.waitsForHolder(search, chosen, pass)) continue;
+      if (this.waitsForHolder(search, chosen, cycle)) continue;
       if (this.holderMayCome(search, chosen)) return;
       if (chosen.machine.images.has(job.spec.image)) job.holderWait = this.runtime.now;
       this.term.book(job, task.index, chosen.machine, sheltered);
-      pass.bookings++;
+      cycle.bookings++;
       job.starvedSince = null;
       volunteers.booked(chosen);
       if (!job.spec.oneZone && !job.spec.spread) continue;
       // Where the next task may go depends on where this one went.
-      search.holders = new Holders(job, pass);
-      volunteers = new Volunteers(job, pass.withRoom(job), rules);
+      search.holders = new ImageHolders(job, cycle);
+      volunteers = new Volunteers(job, cycle.candidatesNow(job), rules);
     }
   }
 
-  private searchFor(job: LiveJob, pass: Pass): Search {
+  private searchFor(job: LiveJob, cycle: SchedulingCycle): Search {
     // A gang is booked as a whole, and a job that nothing has begun of takes what there is.
     const any = job.spec.kind === 'gang' || this.starves(job);
     const shared = this.term.fetchSharing.shared;
@@ -209,11 +216,11 @@
       patience: this.runtime.operator.window.lambda,
     };
     const ranks = new ImageRanks(job.spec, this.runtime.now, shared, limits);
-    return { job, demand: demandOf(job), ranks, holders: new Holders(job, pass) };
+    return { job, demand: demandOf(job), ranks, holders: new ImageHolders(job, cycle) };
   }
 
   /** A gang is booked only when one window fits all its tasks; nothing is held for part of it. */
-  private gangFits(job: LiveJob, allowed: Desk[]): boolean {
+  private gangFits(job: LiveJob, allowed: MachineCapacity[]): boolean {
     const zones = job.spec.oneZone ? [...new Set(allowed.map((d) => d.machine.zone))] : [null];
     const team = this.runtime.settings.teams.find((t) => t.name === job.spec.team);
     const rest = { cpus: job.spec.cpus * job.open.size, gpus: job.spec.gpus * job.open.size };
@@ -238,7 +245,7 @@
   }
 
   /** Without a fit the timers start again, and room may be made. */
-  private noFit(search: Search, waiting: OpenTask[], pass: Pass): void {
+  private noFit(search: Search, waiting: OpenTask[], cycle: SchedulingCycle): void {
     if (waiting.length === 0) return;
     const { job } = search;
     job.starvedSince ??= this.runtime.now;
@@ -246,46 +253,50 @@
       if (this.runtime.now - task.opened >= this.runtime.operator.window.lambda)
         task.opened = this.runtime.now;
     }
-    this.reserveRoom(search, waiting.length, pass);
+    this.reserveCapacity(search, waiting.length, cycle);
   }
 
   /** Keeps coming room for the tasks, and has more made where that is allowed. */
-  private reserveRoom(search: Search, tasks: number, pass: Pass): void {
+  private reserveCapacity(search: Search, tasks: number, cycle: SchedulingCycle): void {
     const { job, ranks } = search;
-    const desks = pass.withComingRoom(job);
-    let maker: RoomMaker | null = null;
+    const machines = cycle.candidatesSoon(job);
+    let preemption: Preemption | null = null;
     const wanted = need(job.spec);
-    const willDo = (d: Desk) => fits(wanted, d.coming) && ranks.of(d) !== null;
+    const willDo = (d: MachineCapacity) => fits(wanted, d.freeAfterStops) && ranks.of(d) !== null;
     let at = 0;
     for (let left = tasks; left > 0; left--) {
-      while (at < desks.length && !willDo(desks[at]!)) at++;
-      if (at < desks.length) {
-        this.promise(job, desks[at]!);
+      while (at < machines.length && !willDo(machines[at]!)) at++;
+      if (at < machines.length) {
+        this.promise(job, machines[at]!);
         continue;
       }
-      if (!this.mayMakeRoom(job, maker, pass)) return;
-      maker ??= this.roomMaker(search, pass.everywhere(job), pass);
-      const made = maker.make();
+      if (!this.mayPreempt(job, preemption, cycle)) return;
+      preemption ??= this.preemptionFor(search, cycle.everywhere(job), cycle);
+      const made = preemption.freeOneSlot();
       if (!made) return;
       this.promise(job, made);
-      maker.planAgain(made);
+      preemption.planAgain(made);
     }
   }
 
-  private mayMakeRoom(job: LiveJob, maker: RoomMaker | null, pass: Pass): boolean {
-    if (maker) return true;
-    if (!pass.mayPlanRoom || job.roomPlanAt > this.runtime.now) return false;
-    if (!pass.hasLowerWork(job) && !(pass.hasOtherTeams(job) && this.reclaims(job))) return false;
+  private mayPreempt(job: LiveJob, preemption: Preemption | null, cycle: SchedulingCycle): boolean {
+    if (preemption) return true;
+    if (!cycle.mayPlanPreemption || job.nextPreemptionPlan > this.runtime.now) return false;
+    if (!cycle.hasLowerWork(job) && !(cycle.hasOtherTeams(job) && this.reclaims(job))) return false;
     const waited = this.runtime.now - (job.starvedSince ?? this.runtime.now);
     return !this.rentable() || waited >= this.patience(job);
   }
 
-  private roomMaker({ job, ranks }: Search, desks: Desk[], pass: Pass): RoomMaker {
-    pass.notePlan(desks.length);
-    job.roomPlanAt = this.runtime.now + ROOM_PLAN_EVERY;
+  private preemptionFor(
+    { job, ranks }: Search,
+    machines: MachineCapacity[],
+    cycle: SchedulingCycle,
+  ): Preemption {
+    cycle.notePlan(machines.length);
+    job.nextPreemptionPlan = this.runtime.now + PREEMPTION_PLAN_INTERVAL;
     const reclaims = this.reclaims(job);
     const guaranteed = () => reclaims && this.belowGuarantee(job);
-    return new RoomMaker(this.runtime, this.term, job, guaranteed, desks, ranks);
+    return new Preemption(this.runtime, this.term, job, guaranteed, machines, ranks);
   }
 
   /** Rented room is preferred to another task's while it can come in time. */
@@ -323,16 +334,16 @@
    * A fetch would break the class's aim for starts, while a holder of the image
    * has or can be given room in time: then the task waits for the holder.
    */
-  private waitsForHolder(search: Search, chosen: Desk, pass: Pass): boolean {
+  private waitsForHolder(search: Search, chosen: MachineCapacity, cycle: SchedulingCycle): boolean {
     const { job, holders } = search;
     if (chosen.machine.images.has(job.spec.image)) return false;
     const fetch = fetchTime(job.spec.imageGb, chosen.type);
     const left = this.aimFor(job) - (this.runtime.now - job.since);
     if (fetch < left || left < STOP_TIME) return false;
     const wanted = need(job.spec);
-    const coming = () => holders.desks.find((d) => fits(wanted, d.coming));
-    if (!coming() && this.mayMakeRoom(job, null, pass)) {
-      this.roomMaker(search, holders.desks, pass).make();
+    const coming = () => holders.machines.find((d) => fits(wanted, d.freeAfterStops));
+    if (!coming() && this.mayPreempt(job, null, cycle)) {
+      this.preemptionFor(search, holders.machines, cycle).freeOneSlot();
     }
     const holder = coming();
     if (holder) this.promise(job, holder);
@@ -344,7 +355,7 @@
    * for a part of the time that a fetch takes, the next room on one of them is worth
    * waiting for. Work whose image the other machines hold gets their room meanwhile.
    */
-  private holderMayCome({ job, holders }: Search, chosen: Desk): boolean {
+  private holderMayCome({ job, holders }: Search, chosen: MachineCapacity): boolean {
     const { images, fetching } = chosen.machine;
     const { image, imageGb } = job.spec;
     if (images.has(image) || fetching.has(image)) return false;
@@ -369,10 +380,10 @@
   }
 
   /** Keeps room that is coming for one task. */
-  private promise(job: LiveJob, desk: Desk): void {
-    desk.coming = minus(desk.coming, need(job.spec));
-    const promised = this.promised.get(job.spec.team) ?? NOTHING;
-    this.promised.set(job.spec.team, plus(promised, need(job.spec)));
+  private promise(job: LiveJob, capacity: MachineCapacity): void {
+    capacity.freeAfterStops = minus(capacity.freeAfterStops, need(job.spec));
+    const promised = this.reservedByTeam.get(job.spec.team) ?? NOTHING;
+    this.reservedByTeam.set(job.spec.team, plus(promised, need(job.spec)));
   }
 
   /**
--- a/packages/controller/src/pass.ts
+++ b/packages/controller/src/placement/scheduling-cycle.ts
@@ -1,19 +1,19 @@
 import { fits, least, need, rank, type Resources } from '@tealdock/scheduler';
-import { allowedDesks, type Desk } from './desks.js';
-import type { LiveJob } from './live-job.js';
-import type { Ledger } from './ledger.js';
+import { allowedMachines, type MachineCapacity } from './machine-capacity.js';
+import type { LiveJob } from '../jobs/live-job.js';
+import type { UsageLedger } from '../machines/usage-ledger.js';
 
 /** A pass that books more goes on in the next one: reports are answered in between. */
-const MOST_BOOKINGS = 300;
+const MAX_BOOKINGS = 300;
 /** Plans to make room look at every task of every machine that is looked at. */
-const MOST_ROOM_PLANS = 6;
+const MAX_PREEMPTION_PLANS = 6;
 /** So many machines a pass, and one plan at least: the cost must not grow with the fleet. */
-const MOST_PLANNED_DESKS = 1200;
+const MAX_PLANNED_MACHINES = 1200;
 
 /** What a pass has to know of the term. */
-interface Bound {
+interface BoundTasks {
   readonly jobs: ReadonlyMap<string, LiveJob>;
-  readonly ledger: Ledger;
+  readonly ledger: UsageLedger;
 }
 
 /**
@@ -21,26 +21,26 @@
  * hundreds of jobs wait and almost every machine is full: what no waiting task could
  * use is sorted out once, not once for each job.
  */
-export class Pass {
+export class SchedulingCycle {
   /** Demands that no machine has room for. */
   readonly full = new Set<string>();
   bookings = 0;
-  roomPlans = 0;
-  private plannedDesks = 0;
-  private readonly roomy: Desk[];
-  private readonly emptying: Desk[];
+  preemptionPlans = 0;
+  private plannedMachines = 0;
+  private readonly withFreeCapacity: MachineCapacity[];
+  private readonly withCapacitySoon: MachineCapacity[];
   /** The lowest priority of all that is bound to machines, and whose it is. */
   private readonly lowest: number;
   private readonly teams: ReadonlySet<string>;
 
   constructor(
-    private readonly desks: Desk[],
-    private readonly term: Bound,
+    private readonly machines: MachineCapacity[],
+    private readonly term: BoundTasks,
     waiting: LiveJob[],
   ) {
     const smallest = leastNeed(waiting);
-    this.roomy = desks.filter((d) => fits(smallest, d.free));
-    this.emptying = desks.filter((d) => fits(smallest, d.coming));
+    this.withFreeCapacity = machines.filter((d) => fits(smallest, d.free));
+    this.withCapacitySoon = machines.filter((d) => fits(smallest, d.freeAfterStops));
     const bound = [...term.jobs.values()].filter((job) => job.bound.size > 0);
     this.lowest = bound.reduce((low, job) => Math.min(low, rank(job.spec)), Infinity);
     this.teams = new Set(bound.map((job) => job.spec.team));
@@ -55,36 +55,38 @@
     return this.teams.size > (this.teams.has(job.spec.team) ? 1 : 0);
   }
 
-  get bookedOut(): boolean {
-    return this.bookings >= MOST_BOOKINGS;
+  get bookingLimitReached(): boolean {
+    return this.bookings >= MAX_BOOKINGS;
   }
 
-  get mayPlanRoom(): boolean {
-    return this.roomPlans < MOST_ROOM_PLANS && this.plannedDesks < MOST_PLANNED_DESKS;
+  get mayPlanPreemption(): boolean {
+    return (
+      this.preemptionPlans < MAX_PREEMPTION_PLANS && this.plannedMachines < MAX_PLANNED_MACHINES
+    );
   }
 
-  notePlan(desks: number): void {
-    this.roomPlans++;
-    this.plannedDesks += desks;
+  notePlan(machines: number): void {
+    this.preemptionPlans++;
+    this.plannedMachines += machines;
   }
 
   /** Where the job may go, and something has room now. */
-  withRoom(job: LiveJob): Desk[] {
-    return this.allowed(job, this.roomy);
+  candidatesNow(job: LiveJob): MachineCapacity[] {
+    return this.allowed(job, this.withFreeCapacity);
   }
 
   /** Where the job may go, and something will have room once all that is stopped is gone. */
-  withComingRoom(job: LiveJob): Desk[] {
-    return this.allowed(job, this.emptying);
+  candidatesSoon(job: LiveJob): MachineCapacity[] {
+    return this.allowed(job, this.withCapacitySoon);
   }
 
   /** Where the job may go. */
-  everywhere(job: LiveJob): Desk[] {
-    return this.allowed(job, this.desks);
+  everywhere(job: LiveJob): MachineCapacity[] {
+    return this.allowed(job, this.machines);
   }
 
-  private allowed(job: LiveJob, desks: Desk[]): Desk[] {
-    return allowedDesks(job, desks, this.term.ledger.zonesOf(job.id));
+  private allowed(job: LiveJob, machines: MachineCapacity[]): MachineCapacity[] {
+    return allowedMachines(job, machines, this.term.ledger.zonesOf(job.id));
   }
 }
 
--- a/packages/controller/src/slack.ts
+++ b/packages/controller/src/placement/start-deadlines.ts
@@ -1,5 +1,5 @@
 import type { Instant, Settings } from '@tealdock/wire';
-import type { LiveJob } from './live-job.js';
+import type { LiveJob } from '../jobs/live-job.js';
 
 /** Tasks of one job differ in length; a deadline is met by the longest. */
 const LONGEST_TASK = 1.4;
--- a/packages/controller/src/requests.ts
+++ b/packages/controller/src/requests/job-requests.ts
@@ -11,7 +11,7 @@
   type JobView,
 } from '@tealdock/wire';
 import { whyNever } from '@tealdock/scheduler';
-import type { Catalog } from './catalog.js';
+import type { Catalog } from '../machines/catalog.js';
 import {
   endedKey,
   endedValue,
@@ -20,13 +20,13 @@
   specKey,
   type EndedValue,
   type LiveValue,
-} from './keys.js';
-import { Lineage } from './lineage.js';
-import { LiveProofs } from './live-proofs.js';
-import type { JobCounts, Peers } from './peers.js';
-import { PRIORITY, type Command, type Reply } from './ports.js';
-import type { Runtime } from './runtime.js';
-import type { StateStore } from './state-store.js';
+} from '../state/keys.js';
+import { AncestorCheck } from '../jobs/ancestor-check.js';
+import { LivenessProofs } from '../jobs/liveness-proofs.js';
+import type { JobCounts, Peers } from '../peers/peers.js';
+import { PRIORITY, type Command, type Reply } from '../runtime/ports.js';
+import type { Runtime } from '../runtime/runtime.js';
+import type { StateStore } from '../state/state-store.js';
 
 type Request = Extract<Command, { kind: 'request' }>;
 type Answer = (reply: Reply) => void;
@@ -71,10 +71,10 @@
  * done or cancelled when its key says so, and polls read or compare keys after they
  * arrive. Only final answers are cached, since they can't change.
  */
-export class Requests {
+export class JobRequests {
   private readonly ended = new Map<string, JobView>();
-  private readonly proofs: LiveProofs;
-  private readonly lineage: Lineage;
+  private readonly proofs: LivenessProofs;
+  private readonly ancestorCheck: AncestorCheck;
   private pending = 0;
 
   constructor(
@@ -85,8 +85,8 @@
     private readonly counts: (id: string) => JobCounts | undefined,
     private readonly onCancelled: (id: string) => void,
   ) {
-    this.proofs = new LiveProofs(runtime, state);
-    this.lineage = new Lineage(runtime, {
+    this.proofs = new LivenessProofs(runtime, state);
+    this.ancestorCheck = new AncestorCheck(runtime, {
       finalState: (id) => this.ended.get(id)?.state,
       predecessorsOf: (id) => this.proofs.predecessorsOf(id),
       locate: (id, done) => this.locate(id, done),
@@ -168,7 +168,7 @@
    * can say anything older.
    */
   private replyLive(id: string, answer: Answer): void {
-    this.lineage.check(id, (verdict) => {
+    this.ancestorCheck.check(id, (verdict) => {
       if (verdict === 'clear') answer(shown(this.liveView(id)));
       else if (verdict === 'unsure') answer(unsure());
       else this.cancel(id, CANCEL_TRIES, answer);
@@ -262,14 +262,14 @@
   }
 
   /** A job that needs a cancelled one is accepted, and is over at once. */
-  private accept(spec: JobSpec, doomed: boolean, answer: Answer): void {
+  private accept(spec: JobSpec, predecessorCancelled: boolean, answer: Answer): void {
     const guards = [
       { key: specKey(spec.id), version: 0 },
       { key: endedKey(spec.id), version: 0 },
     ];
     const { today, settings } = this.runtime;
     const live: LiveValue = { spec, submitted: today.getTime() };
-    const write = doomed
+    const write = predecessorCancelled
       ? {
           put: endedKey(spec.id),
           value: endedValue('cancelled', spec, today, settings.state.valueBytes),
@@ -278,7 +278,7 @@
     this.state.commit(guards, [write], PRIORITY.user, (committed) => {
       if (committed.kind === 'ok') {
         this.runtime.env.log('info', { job: spec.id, tasks: spec.taskCount }, 'job accepted');
-        if (doomed) return answer(shown(this.remember(spec.id, 'cancelled', 0), 201));
+        if (predecessorCancelled) return answer(shown(this.remember(spec.id, 'cancelled', 0), 201));
         this.proofs.note(spec.id, committed.revision, predecessorsOf(spec));
         return answer(shown({ id: spec.id, state: 'queued' }, 201));
       }
--- a/packages/controller/src/held-answers.ts
+++ b/packages/controller/src/requests/long-polls.ts
@@ -1,14 +1,14 @@
 import { renderReportAnswer, type Duration } from '@tealdock/wire';
-import type { Held } from './leadership.js';
-import type { Runtime } from './runtime.js';
-import type { Term } from './term.js';
+import type { Held } from '../leadership/leadership.js';
+import type { Runtime } from '../runtime/runtime.js';
+import type { Term } from '../term/term.js';
 
 /**
  * An answer without orders is kept back for a short, bounded time, so that a
  * start booked meanwhile leaves at once instead of with the next report. It
  * stays the answer to the newest report, since a worker has one in flight.
  */
-export class HeldAnswers {
+export class LongPolls {
   private readonly open = new Map<string, number>();
 
   constructor(
@@ -29,7 +29,7 @@
     const request = this.open.get(machine);
     if (request === undefined) return;
     this.open.delete(machine);
-    this.runtime.reply(request, { status: 503, body: renderReportAnswer(held.token, []) });
+    this.runtime.reply(request, { status: 503, body: renderReportAnswer(held.fencingToken, []) });
   }
 
   /** Lets go what has got orders since; everything once the term is over. */
@@ -38,11 +38,11 @@
       for (const [machine, request] of this.open) this.answer(machine, request);
       return;
     }
-    for (const machine of this.term.stirred) {
+    for (const machine of this.term.dirtyMachines) {
       const request = this.open.get(machine);
       if (request !== undefined && this.term.hasOrders(machine)) this.answer(machine, request);
       if (!this.open.has(machine) || !this.term.awaitsOrders(machine)) {
-        this.term.stirred.delete(machine);
+        this.term.dirtyMachines.delete(machine);
       }
     }
   }
@@ -51,7 +51,7 @@
     this.open.delete(machine);
     const held = this.held();
     if (!held || this.term.closed) return this.runtime.reply(request, { status: 503, body: {} });
-    const body = renderReportAnswer(held.token, this.term.ordersOf(machine));
+    const body = renderReportAnswer(held.fencingToken, this.term.ordersOf(machine));
     this.runtime.reply(request, { status: 200, body, validUntil: held.validUntil });
   }
 }
--- a/packages/controller/src/keys.ts
+++ b/packages/controller/src/state/keys.ts
@@ -7,8 +7,8 @@
 export const OWNED_KEY = `${ROOT}owned`;
 export const typeKey = (type: string): string => `${CATALOG_PREFIX}${encodeURIComponent(type)}`;
 export const LIVE_PREFIX = `${ROOT}live/`;
-export const ROSTER_PREFIX = `${ROOT}roster/`;
-export const KEEPER_PREFIX = `${ROOT}keeper/`;
+export const REGISTRY_PREFIX = `${ROOT}roster/`;
+export const GRANT_PREFIX = `${ROOT}keeper/`;
 export const PROGRESS_PREFIX = `${ROOT}progress/`;
 
 export const specKey = (job: string): string => `${LIVE_PREFIX}${job}/spec`;
@@ -67,7 +67,7 @@
   return { state, spec: kept, at: at.getTime() };
 }
 /** A machine in the roster: type, zone, spot, returning, and since when it is known, in s. */
-export type RosterEntry = [
+export type RegistryEntry = [
   type: string,
   zone: string,
   spot: 0 | 1,
--- a/packages/controller/src/packed-table.ts
+++ b/packages/controller/src/state/sharded-table.ts
@@ -1,7 +1,7 @@
 import type { Guard, Instant, StateItem, Write } from '@tealdock/wire';
-import { PRIORITY } from './ports.js';
-import type { Leadership } from './leadership.js';
-import type { Runtime } from './runtime.js';
+import { PRIORITY } from '../runtime/ports.js';
+import type { Leadership } from '../leadership/leadership.js';
+import type { Runtime } from '../runtime/runtime.js';
 import type { Committed, StateStore } from './state-store.js';
 
 /** Part of a value's limit that a shard is filled to: entries may still grow. */
@@ -42,7 +42,7 @@
  * version of its own key, so that a commit which is carried out late can't undo
  * a newer one; after a commit without an answer the version is read again.
  */
-export class PackedTable<V> {
+export class ShardedTable<V> {
   private readonly shards: Shard<V>[] = [];
   private readonly home = new Map<string, Shard<V>>();
   private busy = false;
--- a/packages/controller/src/state-store.ts
+++ b/packages/controller/src/state/state-store.ts
@@ -20,8 +20,8 @@
   type StateItem,
   type Write,
 } from '@tealdock/wire';
-import { PRIORITY, type CallPriority, type CallResult } from './ports.js';
-import type { Runtime } from './runtime.js';
+import { PRIORITY, type CallPriority, type CallResult } from '../runtime/ports.js';
+import type { Runtime } from '../runtime/runtime.js';
 
 /** A read that failed says nothing about the key. */
 export type Got = { kind: 'found'; item: StateItem } | { kind: 'missing' } | { kind: 'failed' };
--- a/packages/controller/src/write-share.ts
+++ b/packages/controller/src/state/write-share.ts
@@ -1,5 +1,5 @@
 import type { Duration, StateEvent } from '@tealdock/wire';
-import type { Runtime } from './runtime.js';
+import type { Runtime } from '../runtime/runtime.js';
 
 const ADJUST_EVERY: Duration = 1000;
 /** Changes by other nodes are averaged over this time. */
--- a/packages/controller/src/term.ts
+++ b/packages/controller/src/term/term.ts
@@ -15,44 +15,44 @@
 import {
   LIVE_PREFIX,
   PROGRESS_PREFIX,
-  ROSTER_PREFIX,
+  REGISTRY_PREFIX,
   endedKey,
   readLive,
   splitLiveKey,
   splitProgressEntry,
   type EndedValue,
-  type RosterEntry,
-} from './keys.js';
-import { FetchSharing } from './fetches.js';
-import { JobGraph, type JobEnd } from './job-graph.js';
-import type { Leadership } from './leadership.js';
-import { Ledger } from './ledger.js';
-import { LiveJob } from './live-job.js';
-import { Machine, bindingKey, type Binding, type StopWish } from './machine.js';
-import { newsLife } from './news.js';
-import { PackedTable } from './packed-table.js';
-import { PRIORITY } from './ports.js';
-import type { Runtime } from './runtime.js';
-import { Silence } from './silence.js';
-import type { StateStore } from './state-store.js';
-import { WriteShare } from './write-share.js';
+  type RegistryEntry,
+} from '../state/keys.js';
+import { FetchSharing } from '../machines/image-fetches.js';
+import { DependencyGraph, type JobEnd } from '../jobs/dependency-graph.js';
+import type { Leadership } from '../leadership/leadership.js';
+import { UsageLedger } from '../machines/usage-ledger.js';
+import { LiveJob } from '../jobs/live-job.js';
+import { Machine, bindingKey, type Binding, type StopWish } from '../machines/machine.js';
+import { maxStaleness } from '../leadership/freshness.js';
+import { ShardedTable } from '../state/sharded-table.js';
+import { PRIORITY } from '../runtime/ports.js';
+import type { Runtime } from '../runtime/runtime.js';
+import { LeaseExpiry } from '../machines/lease-expiry.js';
+import type { StateStore } from '../state/state-store.js';
+import { WriteShare } from '../state/write-share.js';
 
 const RETRY = 400;
 /** Short, since the send of an answered watch is how far this term surely knows the news. */
 const WATCH_HOLD = 1000;
 /** A start leaves only while the news is at most this old. */
-const START_NEWS = 2000;
+const MAX_STALENESS_OF_STARTS = 2000;
 /** Attempts of one term to one task; their numbers never meet another term's. */
 const ATTEMPTS_A_TERM = 65_536;
 /** A booking that the machine does not come for is given to another one. */
 const BOOKING_PATIENCE = 1.8;
 const MACHINE_FAILURES = 3;
-const ASIDE = 120_000;
+const QUARANTINE = 120_000;
 const MOST_GONE = 5000;
 /** Machines that join within this time share a commit. */
 const JOIN_GATHER = 150;
 /** How long a machine is put aside whose start never showed up; fourfold each time. */
-const LOST_START_ASIDE = 3000;
+const LOST_START_QUARANTINE = 3000;
 
 /** A worker learns the token from the first answer that it hears. */
 const DEAF_PATIENCE = 8000;
@@ -85,16 +85,16 @@
   /** Images that a machine held by the word of the last leader. */
   readonly heldBefore = new Map<string, { image: string; gb: number }[]>();
   /** Keys below the live jobs that belong to none. */
-  readonly orphans: string[] = [];
-  readonly ledger = new Ledger();
+  readonly strayKeys: string[] = [];
+  readonly ledger = new UsageLedger();
   readonly fetchSharing = new FetchSharing();
-  readonly silence: Silence;
-  readonly graph: JobGraph;
+  readonly leaseExpiry: LeaseExpiry;
+  readonly graph: DependencyGraph;
   private readonly writeShare: WriteShare;
-  readonly roster: PackedTable<RosterEntry>;
-  readonly progress: PackedTable<string>;
+  readonly registry: ShardedTable<RegistryEntry>;
+  readonly progress: ShardedTable<string>;
   /** Machines whose held answer may have got orders. */
-  readonly stirred = new Set<string>();
+  readonly dirtyMachines = new Set<string>();
   /** Less than this is asked for by no task of a live job. */
   private smallest: Resources = NOTHING;
   private wasReady = false;
@@ -102,26 +102,26 @@
   /** Jobs that have ended. News of their submission may still be on its way. */
   private readonly over = new Set<string>();
   /** Every cancellation committed before this is known here. */
-  private knownTo: Instant = -Infinity;
+  private cancellationsKnownTo: Instant = -Infinity;
   private readonly lookups = new Map<string, Binding[]>();
 
   constructor(
     private readonly runtime: Runtime,
     private readonly state: StateStore,
     private readonly leadership: Leadership,
-    readonly token: number,
+    readonly fencingToken: number,
   ) {
     this.acquired = runtime.now;
     this.lastReport = runtime.now;
-    this.silence = new Silence(runtime, state, this, (silent) => this.endSilent(silent));
-    this.graph = new JobGraph(runtime, state, this);
+    this.leaseExpiry = new LeaseExpiry(runtime, state, this, (silent) => this.endExpired(silent));
+    this.graph = new DependencyGraph(runtime, state, this);
     this.writeShare = new WriteShare(runtime, () => !this.closed);
-    this.roster = new PackedTable(runtime, state, leadership, ROSTER_PREFIX, {
+    this.registry = new ShardedTable(runtime, state, leadership, REGISTRY_PREFIX, {
       gather: JOIN_GATHER,
       lazy: false,
       stored: (entries) => this.enrolled(entries),
     });
-    this.progress = new PackedTable(runtime, state, leadership, PROGRESS_PREFIX, {
+    this.progress = new ShardedTable(runtime, state, leadership, PROGRESS_PREFIX, {
       gather: 0,
       lazy: true,
       stored: (entries) => this.progressStored(entries),
@@ -132,8 +132,8 @@
    * Until when answers may renew leases: what was cancelled before `knownTo` is killed by
    * them, and what was cancelled since is so recent that leases end in time (safety.md).
    */
-  get knowsUntil(): Instant {
-    return this.knownTo + newsLife(this.runtime.settings);
+  get freshUntil(): Instant {
+    return this.cancellationsKnownTo + maxStaleness(this.runtime.settings);
   }
 
   /** Each machine of the roster is accounted for. */
@@ -158,7 +158,7 @@
    * started any of it (docs/safety.md, Rebuild).
    */
   mayPlace(job: LiveJob, ready: boolean): boolean {
-    return ready || (this.settled && job.startableSince > this.token);
+    return ready || (this.settled && job.startableSince > this.fencingToken);
   }
 
   start(): void {
@@ -172,7 +172,7 @@
 
   close(): void {
     this.closed = true;
-    this.roster.close();
+    this.registry.close();
     this.progress.close();
   }
 
@@ -187,8 +187,8 @@
       this.state.readAll(LIVE_PREFIX, PRIORITY.leader, (live) => {
         if (!live) return retry();
         if (this.closed) return;
-        this.knownTo = asked;
-        for (const [id, entry] of this.roster.load(roster)) this.loadMachine(id, entry);
+        this.cancellationsKnownTo = asked;
+        for (const [id, entry] of this.registry.load(roster)) this.loadMachine(id, entry);
         this.loadJobs(live.items);
         for (const job of this.jobs.values()) this.graph.readEnds(job);
         this.progressStored(this.progress.load(progress));
@@ -200,7 +200,7 @@
   private readTables(
     done: (roster: StateItem[] | null, progress: StateItem[] | null) => void,
   ): void {
-    this.state.readAll(ROSTER_PREFIX, PRIORITY.leader, (roster) => {
+    this.state.readAll(REGISTRY_PREFIX, PRIORITY.leader, (roster) => {
       if (!roster) return done(null, null);
       this.state.readAll(PROGRESS_PREFIX, PRIORITY.leader, (progress) =>
         done(roster.items, progress?.items ?? null),
@@ -213,15 +213,15 @@
     this.runtime.stats.record('takeover.load_ms', this.runtime.now - this.acquired);
     this.runtime.env.log(
       'info',
-      { token: this.token, jobs: this.jobs.size, machines: this.machines.size },
+      { token: this.fencingToken, jobs: this.jobs.size, machines: this.machines.size },
       'term loaded',
     );
     this.watch(revision);
   }
 
-  private loadMachine(id: string, [type, zone, spot, returning, since]: RosterEntry): void {
+  private loadMachine(id: string, [type, zone, spot, returning, since]: RegistryEntry): void {
     const m = this.machines.get(id) ?? this.newMachine(id, { type, zone, spot: spot === 1 });
-    m.inRoster = true;
+    m.registered = true;
     m.returning = m.returnCommitted = returning === 1;
     m.since = this.runtime.now - Math.max(0, this.runtime.today.getTime() - since * 1000);
     m.resolved = m.lastCounted !== null;
@@ -232,7 +232,7 @@
     for (const item of items) {
       const at = splitLiveKey(item.key);
       if (at?.rest === 'spec') this.addJob(at.job, item.value, item.version);
-      else this.orphans.push(item.key);
+      else this.strayKeys.push(item.key);
     }
   }
 
@@ -272,7 +272,7 @@
       if (this.closed) return;
       if (watched.kind === 'failed') return this.runtime.after(RETRY, () => this.watch(revision));
       if (watched.kind === 'too_old') return this.reread();
-      this.knownTo = asked;
+      this.cancellationsKnownTo = asked;
       for (const event of watched.events) this.jobEvent(event);
       this.watch(watched.revision);
     });
@@ -285,7 +285,7 @@
     this.state.readAll(LIVE_PREFIX, PRIORITY.leader, (live) => {
       if (this.closed) return;
       if (!live) return this.runtime.after(RETRY, () => this.reread());
-      this.knownTo = asked;
+      this.cancellationsKnownTo = asked;
       const specs = live.items.filter((i) => i.key.endsWith('/spec'));
       const alive = new Set(specs.map((i) => splitLiveKey(i.key)?.job));
       for (const id of [...this.jobs.keys()]) if (!alive.has(id)) this.endJob(id);
@@ -299,7 +299,7 @@
     if (at?.rest !== 'spec') return;
     const known = this.jobs.get(at.job);
     // A job that this leader ends is removed by its own commit.
-    const byOthers = !event.removed || (known && !known.complete && !known.doomed);
+    const byOthers = !event.removed || (known && !known.complete && !known.predecessorCancelled);
     if (byOthers) this.writeShare.note(event);
     if (event.removed) this.endJob(at.job);
     else this.addJob(at.job, event.value, event.version);
@@ -338,7 +338,7 @@
   stop(binding: Binding, wish: StopWish): void {
     this.ledger.change(binding, () => (binding.stop = wish));
     this.machines.get(binding.machine)?.touch();
-    this.stirred.add(binding.machine);
+    this.dirtyMachines.add(binding.machine);
   }
 
   // --- reports ---------------------------------------------------------------
@@ -352,7 +352,7 @@
     m.lastHeard = this.runtime.now;
     // Tasks of a report sent before the worker saw this token may be outdated by
     // a start of the term before; a late report is outdated by a newer one.
-    if (report.token !== this.token || !m.isNews(report)) return IGNORED;
+    if (report.token !== this.fencingToken || !m.isNews(report)) return IGNORED;
     this.absorb(report);
     return { counted: true, answered: true, orders: this.ordersFor(m) };
   }
@@ -363,7 +363,7 @@
    * would wait for it for as long as it is deaf. Without answers its lease surely ends.
    */
   private deafToTerm(m: Machine, report: WorkerReport): boolean {
-    if (m.resolved || report.token === this.token) return false;
+    if (m.resolved || report.token === this.fencingToken) return false;
     m.answeredFrom ??= this.runtime.now;
     return this.runtime.now - m.answeredFrom > DEAF_PATIENCE;
   }
@@ -418,11 +418,11 @@
    * the best of volunteers, and would eat start after start.
    */
   private noteLostStart(m: Machine): void {
-    const aside = Math.min(ASIDE, LOST_START_ASIDE * 4 ** m.lostStarts++);
-    m.asideUntil = Math.max(m.asideUntil, this.runtime.now + aside);
+    const quarantine = Math.min(QUARANTINE, LOST_START_QUARANTINE * 4 ** m.lostStarts++);
+    m.quarantinedUntil = Math.max(m.quarantinedUntil, this.runtime.now + quarantine);
     this.runtime.env.log(
       'info',
-      { machine: m.id, lostStarts: m.lostStarts, aside },
+      { machine: m.id, lostStarts: m.lostStarts, aside: quarantine },
       'start was lost',
     );
     this.unbookAll(m);
@@ -491,7 +491,7 @@
   private noteFailure(m: Machine, job: LiveJob | undefined, t: TaskReport): void {
     this.runtime.env.log('info', { machine: m.id, task: t.task, reason: t.reason }, 'task failed');
     if (t.reason === 'error' && (job?.failures ?? 0) < MACHINE_FAILURES) m.failures++;
-    if (m.failures >= MACHINE_FAILURES) m.asideUntil = this.runtime.now + ASIDE;
+    if (m.failures >= MACHINE_FAILURES) m.quarantinedUntil = this.runtime.now + QUARANTINE;
     if (!job) return;
     job.failures++;
     if (job.failures < MACHINE_FAILURES) return;
@@ -556,7 +556,7 @@
         remember(this.over, job);
         this.fill(bindings, (got.item.value as EndedValue).spec);
       }
-      if (this.settled) this.stirBooked();
+      if (this.settled) this.markBookedDirty();
     });
   }
 
@@ -573,8 +573,9 @@
   }
 
   /** Starts that had to wait may leave now. */
-  private stirBooked(): void {
-    for (const m of this.machines.values()) if (this.awaitsOrders(m.id)) this.stirred.add(m.id);
+  private markBookedDirty(): void {
+    for (const m of this.machines.values())
+      if (this.awaitsOrders(m.id)) this.dirtyMachines.add(m.id);
   }
 
   /** True while something is booked there that no answer has carried yet. */
@@ -652,11 +653,11 @@
 
   private canStart(m: Machine): boolean {
     return (
-      m.inRoster &&
+      m.registered &&
       m.resolved &&
       !m.returning &&
       this.settled &&
-      this.runtime.now - this.knownTo <= START_NEWS &&
+      this.runtime.now - this.cancellationsKnownTo <= MAX_STALENESS_OF_STARTS &&
       this.leadership.held() !== null
     );
   }
@@ -670,7 +671,7 @@
       task: taskId(job.id, index),
       job: job.id,
       index,
-      attempt: this.token * ATTEMPTS_A_TERM + count,
+      attempt: this.fencingToken * ATTEMPTS_A_TERM + count,
       machine: m.id,
       team: job.spec.team,
       size: need(job.spec),
@@ -689,7 +690,7 @@
     this.bind(m, b);
     job.open.delete(index);
     job.bound.set(index, b);
-    this.stirred.add(m.id);
+    this.dirtyMachines.add(m.id);
   }
 
   private bind(m: Machine, b: Binding): void {
@@ -741,7 +742,7 @@
     this.runtime.stats.record('takeover.ready_ms', took);
     this.runtime.env.log(
       'info',
-      { token: this.token, took: Math.round(took) },
+      { token: this.fencingToken, took: Math.round(took) },
       'roster accounted for',
     );
   }
@@ -752,7 +753,7 @@
     this.noteReady();
     const needs = [...this.jobs.values()].map((job) => need(job.spec));
     this.smallest = needs.length > 0 ? needs.reduce(least) : NOTHING;
-    if (this.loaded) this.silence.look();
+    if (this.loaded) this.leaseExpiry.check();
     for (const m of this.machines.values()) {
       m.accumulate(1000);
       const patience = this.runtime.settings.reportEvery * BOOKING_PATIENCE;
@@ -764,35 +765,35 @@
   }
 
   /** Their leases are surely over: the workers have killed all they had. */
-  private endSilent(silent: Machine[]): void {
+  private endExpired(silent: Machine[]): void {
     const machines = silent.map((m) => m.id);
     this.runtime.env.log('info', { machines }, 'leases of silent machines ran out');
     for (const m of silent) {
       this.endAll(m, 'lease ran out');
       m.resolved = true;
       // Never enrolled, so without tasks: what a late copy of a report told of.
-      if (!m.inRoster && m.bindings.size === 0) this.machines.delete(m.id);
+      if (!m.registered && m.bindings.size === 0) this.machines.delete(m.id);
     }
   }
 
   /** The roster gets a machine before the machine gets its first start. */
   private join(m: Machine): void {
-    if (!m.inRoster && this.roster.get(m.id) === undefined) this.enroll(m);
+    if (!m.registered && this.registry.get(m.id) === undefined) this.enroll(m);
   }
 
   private enroll(m: Machine): void {
     const age = this.runtime.now - Math.min(m.since, this.runtime.now);
     const since = Math.round((this.runtime.today.getTime() - age) / 1000);
-    this.roster.set(m.id, [m.type, m.zone, m.spot ? 1 : 0, m.returning ? 1 : 0, since]);
+    this.registry.set(m.id, [m.type, m.zone, m.spot ? 1 : 0, m.returning ? 1 : 0, since]);
   }
 
-  private enrolled(entries: [string, RosterEntry][]): void {
+  private enrolled(entries: [string, RegistryEntry][]): void {
     for (const [id, entry] of entries) {
       const m = this.machines.get(id);
       if (!m) continue;
-      m.inRoster = true;
+      m.registered = true;
       if (entry[3] === 1) m.returnCommitted = true;
-      if (this.awaitsOrders(id)) this.stirred.add(id);
+      if (this.awaitsOrders(id)) this.dirtyMachines.add(id);
     }
   }
 
@@ -812,7 +813,7 @@
     this.unbookAll(m);
     this.endAll(m, 'returned to the cloud');
     this.machines.delete(id);
-    this.roster.remove(id);
+    this.registry.remove(id);
   }
 
   isGone(id: string): boolean {
--- a/packages/scheduler/src/chains.ts
+++ b/packages/scheduler/src/dependent-demands.ts
@@ -2,7 +2,7 @@
 import { higher } from './order.js';
 
 /** An unfinished job as its chain sees it. */
-export interface ChainJob {
+export interface GraphJob {
   id: string;
   predecessors: string[];
   priority: Priority;
@@ -13,19 +13,19 @@
 }
 
 /** What a job is to be treated as, for its own sake and that of all that need it. */
-export type ChainDemand = Pick<ChainJob, 'priority' | 'finishBy'>;
+export type DependentDemand = Pick<GraphJob, 'priority' | 'finishBy'>;
 
 /**
  * The priority of a job is the highest among itself and all unfinished jobs that need it;
  * it has to be done in time for each of these to run before its own end is due.
  */
-export function chainDemands(jobs: Iterable<ChainJob>): Map<string, ChainDemand> {
-  const all = new Map<string, ChainJob>();
+export function dependentDemands(jobs: Iterable<GraphJob>): Map<string, DependentDemand> {
+  const all = new Map<string, GraphJob>();
   for (const job of jobs) all.set(job.id, job);
-  const demands = new Map<string, ChainDemand>();
+  const demands = new Map<string, DependentDemand>();
   const dependents = new Map<string, number>();
   for (const { id, priority, finishBy } of all.values()) demands.set(id, { priority, finishBy });
-  const known = (job: ChainJob) => job.predecessors.filter((p) => all.has(p));
+  const known = (job: GraphJob) => job.predecessors.filter((p) => all.has(p));
   for (const job of all.values()) {
     for (const p of known(job)) dependents.set(p, (dependents.get(p) ?? 0) + 1);
   }
--- a/packages/scheduler/src/index.ts
+++ b/packages/scheduler/src/index.ts
@@ -3,5 +3,5 @@
 export * from './rules.js';
 export * from './order.js';
 export * from './preempt.js';
-export * from './fleet.js';
-export * from './chains.js';
+export * from './rental-plan.js';
+export * from './dependent-demands.js';
--- a/packages/scheduler/src/preempt.ts
+++ b/packages/scheduler/src/preempt.ts
@@ -14,7 +14,7 @@
 }
 
 /** What to stop on one machine so that there is room, the least work lost first. */
-export function planRoom<T>(
+export function planPreemption<T>(
   free: Resources,
   victims: Victim<T>[],
   wanted: Resources,
--- a/packages/scheduler/src/fleet.ts
+++ b/packages/scheduler/src/rental-plan.ts
@@ -11,7 +11,7 @@
 }
 
 /** Free or coming capacity that need not be rented. */
-export interface Room extends Place {
+export interface FreeCapacity extends Place {
   free: Resources;
 }
 
@@ -68,7 +68,7 @@
 }
 
 /** Takes room for as many of the tasks as there is, and says how many are left. */
-function useRoom(rooms: Room[], spec: JobSpec, tasks: number): number {
+function useRoom(rooms: FreeCapacity[], spec: JobSpec, tasks: number): number {
   const wanted = need(spec);
   let left = tasks;
   for (const r of rooms) {
@@ -92,14 +92,14 @@
  */
 export function planRentals(
   backlog: Backlog[],
-  room: Room[],
+  room: FreeCapacity[],
   offers: Offering[],
   most: number,
 ): Offering[] {
   const wanting = backlog.filter((entry) => entry.tasks > 0);
   if (wanting.length === 0 || offers.length === 0) return [];
   const smallest = wanting.map((entry) => need(entry.spec)).reduce(least);
-  const usable = (r: Room) => fits(smallest, r.free);
+  const usable = (r: FreeCapacity) => fits(smallest, r.free);
   let rooms = room.filter(usable).map((r) => ({ ...r }));
   const plan: Offering[] = [];
   for (const entry of wanting) {
@@ -112,7 +112,7 @@
       const offer = cheapest(able, entry, left);
       if (!offer) break;
       plan.push(offer);
-      const added: Room = { ...offer, free: offer.size };
+      const added: FreeCapacity = { ...offer, free: offer.size };
       left = useRoom([added], entry.spec, left);
       if (usable(added)) rooms.push(added);
     }
--- a/packages/testing/src/chains.test.ts
+++ b/packages/testing/src/chains.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { chainDemands, type ChainJob } from '@tealdock/scheduler';
+import { dependentDemands, type GraphJob } from '@tealdock/scheduler';
 import { packBody, parseSettings } from '@tealdock/wire';
 import { World, job } from './index.js';
 import { A, ask, finished, idOf, keepsRules, others, running, settled, status } from './story.js';
@@ -348,7 +348,7 @@
   keepsRules(world);
 });
 
-const chainJob = (id: string, predecessors: string[], over: Partial<ChainJob> = {}): ChainJob => ({
+const chainJob = (id: string, predecessors: string[], over: Partial<GraphJob> = {}): GraphJob => ({
   id,
   predecessors,
   priority: 'low',
@@ -366,12 +366,12 @@
     last,
     chainJob('x', ['gone'], { finishBy: 7 }),
   ];
-  const all = chainDemands(jobs);
+  const all = dependentDemands(jobs);
   assert.deepEqual(all.get('a'), { priority: 'high', finishBy: 480 });
   assert.deepEqual(all.get('b'), { priority: 'high', finishBy: 995 });
   assert.deepEqual(all.get('c'), { priority: 'high', finishBy: 500 });
   assert.deepEqual(all.get('x'), { priority: 'low', finishBy: 7 });
-  const without = chainDemands(jobs.filter((j) => j !== last));
+  const without = dependentDemands(jobs.filter((j) => j !== last));
   assert.deepEqual(without.get('a'), { priority: 'normal', finishBy: 480 });
   assert.deepEqual(without.get('b'), { priority: 'low', finishBy: Infinity });
 });
