--- a/packages/controller/src/leadership/delegated-renewal.ts
+++ b/packages/controller/src/leadership/delegated-renewal.ts
@@ -14,11 +14,12 @@
 import type { Liveness } from '../requests/job-requests.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { StateStore } from '../state/state-store.js';
+import { shortestElsewhere } from '../runtime/clock-drift.js';
+import { BoundedMap } from '../runtime/bounded.js';
 
 /** A grant allows answers for this long from the moment it was asked for. */
 export const GRANT_DURATION = 6000;
 const GRANT_MARGIN = 100;
-const DRIFT = 0.001;
 /** It is renewed when less than this is left. */
 const RENEW_GRANT_BEFORE_END = 3000;
 /** How long a leader's beats must be missing; a dead one's key is mostly gone by then. */
@@ -45,7 +46,8 @@
   private grant: Grant | null = null;
   private asking = false;
   private readonly waiting: (() => void)[] = [];
-  private readonly proven = new Map<string, Instant>();
+  /** When jobs were last proven live. */
+  private readonly proven = new BoundedMap<string, Instant>(MAX_REMEMBERED_PROOFS);
 
   constructor(
     private readonly runtime: Runtime,
@@ -97,7 +99,7 @@
     this.state.commit(guards, [write], PRIORITY.lease, (committed) => {
       this.asking = false;
       // Counted from the send, so that it ends here before it ends for any leader.
-      const until = sent + GRANT_DURATION * (1 - DRIFT) - GRANT_MARGIN;
+      const until = sent + shortestElsewhere(GRANT_DURATION) - GRANT_MARGIN;
       this.grant = committed.kind === 'ok' ? { token, until } : null;
       this.runtime.env.log(
         'info',
@@ -120,7 +122,7 @@
     for (const job of open) {
       const asked = this.runtime.now;
       this.prove(job, (proof) => {
-        if (proof === 'live') this.noteProven(job, asked);
+        if (proof === 'live') this.proven.set(job, asked);
         if (proof === 'ended') ended.add(job);
         sure &&= proof !== 'unsure';
         if (--left === 0) done(sure ? ended : null);
@@ -128,15 +130,6 @@
     }
   }
 
-  /** The oldest go first, so that jobs long over do not pile up. */
-  private noteProven(job: string, asked: Instant): void {
-    this.proven.delete(job);
-    this.proven.set(job, asked);
-    const oldest = this.proven.keys().next().value;
-    if (this.proven.size > MAX_REMEMBERED_PROOFS && oldest !== undefined)
-      this.proven.delete(oldest);
-  }
-
   private provenLately(job: string): boolean {
     const at = this.proven.get(job);
     if (at === undefined) return false;
--- a/packages/controller/src/leadership/freshness.ts
+++ b/packages/controller/src/leadership/freshness.ts
@@ -1,7 +1,5 @@
 import type { Duration, Settings } from '@tealdock/wire';
 
-/** Clock drift of twice 0.05%. */
-const DRIFT = 0.001;
 /** For the way of an answer, and for what a worker takes to end its tasks. */
 const MARGIN = 2000;
 /** More than a few missed watches, and about as long as a leader's lease. */
@@ -11,7 +9,7 @@
 
 /** What of `cancel_s` is left once a worker's lease has run out. */
 const timeLeftAfterLease = ({ cancelWithin, workerLease }: LeaseTimes): Duration =>
-  cancelWithin - workerLease * (1 + DRIFT) - MARGIN;
+  cancelWithin - longestElsewhere(workerLease) - MARGIN;
 
 type LeaseTimes = Pick<Settings, 'cancelWithin' | 'workerLease'>;
 
@@ -27,7 +25,7 @@
 /** Why cancellations could not be kept in time under these settings, or null. */
 export function cancelLimitProblem(settings: LeaseTimes): string | null {
   if (timeLeftAfterLease(settings) >= LEAST_MAX_STALENESS) return null;
-  const least = settings.workerLease * (1 + DRIFT) + MARGIN + LEAST_MAX_STALENESS;
+  const least = longestElsewhere(settings.workerLease) + MARGIN + LEAST_MAX_STALENESS;
   const atLeast = Math.ceil(least / 100) / 10;
   return `settings.workers.cancel_s: must be at least ${atLeast} with this lease_s`;
 }
--- a/packages/controller/src/machines/lease-expiry.ts
+++ b/packages/controller/src/machines/lease-expiry.ts
@@ -5,9 +5,9 @@
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { StateStore } from '../state/state-store.js';
+import { longestElsewhere } from '../runtime/clock-drift.js';
 
-/** Clock drift of twice 0.05%, and a margin for answers under way. */
-const LEASE_STRETCH = 1.001;
+/** For answers under way. */
 const LEASE_MARGIN = 1500;
 /** A grant that was asked for this long ago is over; the rest is for clocks that are off. */
 const GRANT_STALE_AFTER = 60_000;
@@ -79,7 +79,7 @@
 
   /** The end of a worker's lease if its last answered report was sent at `sent`. */
   leaseEnd(sent: Instant): Instant {
-    return sent + this.runtime.settings.workerLease * LEASE_STRETCH + LEASE_MARGIN;
+    return sent + longestElsewhere(this.runtime.settings.workerLease) + LEASE_MARGIN;
   }
 
   private noteGrant({ key, value, version }: StateItem): void {
@@ -89,7 +89,7 @@
     if (age > GRANT_STALE_AFTER + 2 * this.runtime.settings.clockError) return;
     this.delegatedUntil = Math.max(
       this.delegatedUntil,
-      this.runtime.now + GRANT_DURATION * LEASE_STRETCH,
+      this.runtime.now + longestElsewhere(GRANT_DURATION),
     );
   }
 
