--- a/packages/controller/src/jobs/ancestor-check.ts
+++ b/packages/controller/src/jobs/ancestor-check.ts
@@ -1,6 +1,7 @@
 import type { Duration, Instant, JobState } from '@tealdock/wire';
 import type { Located } from '../requests/job-requests.js';
 import type { Runtime } from '../runtime/runtime.js';
+import { BoundedMap } from '../runtime/bounded.js';
 
 /** `unsure`: it can't be told yet; what was learnt is kept, so that asking again helps. */
 export type Verdict = 'clear' | 'cancelled' | 'unsure';
@@ -33,7 +34,8 @@
  * its dependents has to show.
  */
 export class AncestorCheck {
-  private readonly liveAt = new Map<string, Instant>();
+  /** When jobs were last proven live. */
+  private readonly liveAt = new BoundedMap<string, Instant>(MOST_KEPT);
 
   constructor(
     private readonly runtime: Runtime,
@@ -63,7 +65,7 @@
     for (const id of ids) {
       this.jobs.locate(id, (known) => {
         kinds.add(known.kind === 'ended' ? known.view.state : known.kind);
-        if (known.kind === 'live') this.note(id, asked);
+        if (known.kind === 'live') this.liveAt.set(id, asked);
         if (--left === 0) done(kinds);
       });
     }
@@ -92,11 +94,4 @@
     const life: Duration = Math.min(USUAL_LIFE, this.runtime.settings.cancelWithin / LIFE_PART);
     return this.runtime.now - (this.liveAt.get(id) ?? -Infinity) <= life;
   }
-
-  private note(id: string, at: Instant): void {
-    this.liveAt.delete(id);
-    this.liveAt.set(id, at);
-    const oldest = this.liveAt.keys().next().value;
-    if (this.liveAt.size > MOST_KEPT && oldest !== undefined) this.liveAt.delete(oldest);
-  }
 }
--- a/packages/controller/src/jobs/liveness-proofs.ts
+++ b/packages/controller/src/jobs/liveness-proofs.ts
@@ -2,6 +2,7 @@
 import { specKey } from '../state/keys.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { StateStore } from '../state/state-store.js';
+import { BoundedMap } from '../runtime/bounded.js';
 
 /** Polls that arrive within this time share a proof. */
 const GATHER = 40;
@@ -36,7 +37,7 @@
  */
 export class LivenessProofs {
   /** Live jobs' keys, as this node last read or wrote them. */
-  private readonly known = new Map<string, Known>();
+  private readonly known = new BoundedMap<string, Known>(MOST_KNOWN);
   private waiting = new Map<string, PendingProof>();
   private planned = false;
 
@@ -46,10 +47,7 @@
   ) {}
 
   note(job: string, version: number, predecessors: string[]): void {
-    this.known.delete(job);
     this.known.set(job, { version, predecessors });
-    const oldest = this.known.keys().next().value;
-    if (this.known.size > MOST_KNOWN && oldest !== undefined) this.known.delete(oldest);
   }
 
   forget(job: string): void {
--- a/packages/controller/src/leadership/freshness.ts
+++ b/packages/controller/src/leadership/freshness.ts
@@ -1,4 +1,5 @@
 import type { Duration, Settings } from '@tealdock/wire';
+import { longestElsewhere } from '../runtime/clock-drift.js';
 
 /** For the way of an answer, and for what a worker takes to end its tasks. */
 const MARGIN = 2000;
--- a/packages/controller/src/leadership/leadership.ts
+++ b/packages/controller/src/leadership/leadership.ts
@@ -3,9 +3,8 @@
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { StateStore } from '../state/state-store.js';
+import { shortestElsewhere } from '../runtime/clock-drift.js';
 
-/** Steady clocks drift apart by up to 0.05%; twice that, and a little for rounding. */
-const DRIFT = 0.001;
 const LEASE_MARGIN = 100;
 const RENEW_PART = 6;
 const WATCH_HOLD = 10_000;
@@ -108,7 +107,7 @@
 
   private extend(sent: Instant): void {
     const life = this.runtime.operator.leadership.lease;
-    this.leaseUntil = Math.max(this.leaseUntil, sent + life * (1 - DRIFT) - LEASE_MARGIN);
+    this.leaseUntil = Math.max(this.leaseUntil, sent + shortestElsewhere(life) - LEASE_MARGIN);
   }
 
   /** Reads the key, acts on it, then watches for its next change. */
--- a/packages/controller/src/requests/job-requests.ts
+++ b/packages/controller/src/requests/job-requests.ts
@@ -27,6 +27,7 @@
 import { PRIORITY, type Command, type Reply } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { StateStore } from '../state/state-store.js';
+import { BoundedMap } from '../runtime/bounded.js';
 
 type Request = Extract<Command, { kind: 'request' }>;
 type Answer = (reply: Reply) => void;
@@ -72,7 +73,8 @@
  * arrive. Only final answers are cached, since they can't change.
  */
 export class JobRequests {
-  private readonly ended = new Map<string, JobView>();
+  /** Final answers, which can't change. */
+  private readonly ended = new BoundedMap<string, JobView>(MOST_CACHED);
   private readonly proofs: LivenessProofs;
   private readonly ancestorCheck: AncestorCheck;
   private pending = 0;
@@ -210,8 +212,6 @@
     const view: JobView = { id, state, ...counts };
     this.proofs.forget(id);
     this.ended.set(id, view);
-    const oldest = this.ended.keys().next().value;
-    if (this.ended.size > MOST_CACHED && oldest !== undefined) this.ended.delete(oldest);
     return view;
   }
 
--- a/packages/controller/src/term/term.ts
+++ b/packages/controller/src/term/term.ts
@@ -36,6 +36,7 @@
 import { LeaseExpiry } from '../machines/lease-expiry.js';
 import type { StateStore } from '../state/state-store.js';
 import { WriteShare } from '../state/write-share.js';
+import { BoundedSet } from '../runtime/bounded.js';
 
 const RETRY = 400;
 /** Short, since the send of an answered watch is how far this term surely knows the news. */
@@ -98,9 +99,9 @@
   /** Less than this is asked for by no task of a live job. */
   private smallest: Resources = NOTHING;
   private wasReady = false;
-  private readonly gone = new Set<string>();
+  private readonly gone = new BoundedSet<string>(MOST_GONE);
   /** Jobs that have ended. News of their submission may still be on its way. */
-  private readonly over = new Set<string>();
+  private readonly over = new BoundedSet<string>(MOST_GONE);
   /** Every cancellation committed before this is known here. */
   private cancellationsKnownTo: Instant = -Infinity;
   private readonly lookups = new Map<string, Binding[]>();
@@ -307,7 +308,7 @@
 
   /** The node that committed a cancellation says so, sooner than the watch or without it. */
   cancelled(id: string): void {
-    remember(this.over, id);
+    this.over.add(id);
     this.endJob(id);
   }
 
@@ -316,7 +317,7 @@
     const job = this.jobs.get(id);
     if (!job) return;
     this.jobs.delete(id);
-    remember(this.over, id);
+    this.over.add(id);
     this.runtime.env.log('info', { job: id, done: job.doneCount }, 'job ended');
     for (const b of job.bound.values()) this.discard(b, 'job ended');
     this.graph.ended(job, end);
@@ -553,7 +554,7 @@
       const bindings = this.lookups.get(job) ?? [];
       this.lookups.delete(job);
       if (got.kind === 'found') {
-        remember(this.over, job);
+        this.over.add(job);
         this.fill(bindings, (got.item.value as EndedValue).spec);
       }
       if (this.settled) this.markBookedDirty();
@@ -808,7 +809,7 @@
   /** The cloud answered 200 to its return: the machine and all on it are gone. */
   machineGone(id: string): void {
     const m = this.machines.get(id);
-    remember(this.gone, id);
+    this.gone.add(id);
     if (!m) return;
     this.unbookAll(m);
     this.endAll(m, 'returned to the cloud');
@@ -821,13 +822,6 @@
   }
 }
 
-/** The oldest is forgotten once there are too many. */
-function remember(ids: Set<string>, id: string): void {
-  ids.add(id);
-  const oldest = ids.values().next().value;
-  if (ids.size > MOST_GONE && oldest !== undefined) ids.delete(oldest);
-}
-
 /** Capacity of a machine by the catalog; nothing is placed on an unknown type. */
 export function typeOf(types: MachineType[], m: Machine): MachineType | undefined {
   for (const t of types) if (t.name === m.type) return t;
