--- /dev/null
+++ b/packages/testing/src/dependency-faults.test.ts
@@ -0,0 +1,309 @@
+import assert from 'node:assert/strict';
+import { packBody } from '@tealdock/wire';
+import type { Call, Reply } from '@tealdock/controller';
+import {
+  job,
+  type FakeWorker,
+  type DeploymentTimes,
+  type SimulatedCluster,
+  type ClusterOptions,
+} from './index.js';
+import { onEachDeployment } from './deployments.js';
+import { A, ask, idOf, keepsRules, others, running, settled, status } from './scenario.js';
+
+// Dependent jobs that meet other faults.
+
+const LIMIT = 400_000;
+const after = (...numbers: number[]) => ({ waits_on: numbers.map(idOf) });
+
+function start(
+  times: DeploymentTimes,
+  options: ClusterOptions = {},
+  machines = 4,
+): SimulatedCluster {
+  return settled({ times: times, capacity: machines, ...options }, machines);
+}
+
+function submitted(cluster: SimulatedCluster, n: number, over: Record<string, unknown> = {}): void {
+  const node = [...cluster.alive.keys()][n % cluster.alive.size]!;
+  cluster.submit(job(n, over), node);
+  assert.ok(
+    cluster.runUntil(() => cluster.checker.accepted(idOf(n)), 8000),
+    idOf(n),
+  );
+}
+
+/** Repeats a submission until some node has taken it. */
+function insist(cluster: SimulatedCluster, n: number, over: Record<string, unknown>): void {
+  if (cluster.checker.accepted(idOf(n))) return;
+  const nodes = [...cluster.alive.keys()];
+  if (nodes.length > 0) cluster.submit(job(n, over), nodes[n % nodes.length]!);
+  cluster.at(3000, () => insist(cluster, n, over));
+}
+
+/** All faults are over: each of these jobs ends, and every node says the same of it. */
+function endsWell(cluster: SimulatedCluster, jobs: number[]): void {
+  cluster.endFaults();
+  const open = () => jobs.filter((n) => cluster.checker.final(idOf(n)) === null);
+  const ended = () => {
+    if (cluster.now() % 1000 === 0) {
+      for (const n of open()) cluster.poll(idOf(n), cluster.nodes[n % 3]!);
+    }
+    return open().length === 0;
+  };
+  assert.ok(cluster.runUntil(ended, LIMIT), `jobs without an end: ${open().join(', ')}`);
+  for (const node of cluster.nodes) {
+    for (const n of jobs) cluster.poll(idOf(n), node);
+    cluster.run(2000);
+  }
+  cluster.run(cluster.times.cancelWithin);
+  assert.equal(running(cluster), 0);
+  assert.deepEqual(cluster.checker.unserved(), []);
+  keepsRules(cluster);
+}
+
+const workersOf = (cluster: SimulatedCluster, n: number): FakeWorker[] =>
+  [...cluster.workers.values()].filter((w) => w.tasks.some((t) => t.piece.startsWith(idOf(n))));
+
+const begun = (cluster: SimulatedCluster, n: number): boolean =>
+  workersOf(cluster, n).length > 0 || cluster.checker.doneTasks(idOf(n)).size > 0;
+
+function crashLeader(cluster: SimulatedCluster, away = 6000): void {
+  const leader = cluster.leader();
+  if (leader === null) return;
+  cluster.crash(leader);
+  cluster.at(away, () => cluster.alive.has(leader) || cluster.boot(leader));
+}
+
+onEachDeployment(
+  'a predecessor is cancelled by two nodes as its last task ends, and a third takes dependents',
+  (times) => {
+    for (const crashes of [false, true]) {
+      for (let moment = 0; moment <= 2000; moment += 200) {
+        const cluster = start(times, { runTime: 3000 }, 2);
+        submitted(cluster, 1, { batch: 1 });
+        submitted(cluster, 2, { batch: 1, ...after(1) });
+        assert.ok(cluster.runUntil(() => cluster.checker.doneTasks(A).size === 1, 20_000));
+        cluster.run(moment);
+        const [b, c] = others(cluster);
+        const leader = cluster.leader()!;
+        if (crashes) crashLeader(cluster);
+        cluster.cancel(A, b!);
+        cluster.cancel(A, c!);
+        cluster.submit(job(3, { batch: 1, ...after(1) }), crashes ? b! : leader);
+        cluster.submit(job(4, { batch: 1, ...after(2) }), c!);
+        for (const n of [1, 2]) for (const node of [b!, c!]) cluster.poll(idOf(n), node);
+        cluster.run(100);
+        for (const n of [3, 4]) insist(cluster, n, { batch: 1, ...after(n - 2) });
+        cluster.run(12_000);
+        endsWell(cluster, [1, 2, 3, 4]);
+        const ends = new Set([1, 2, 3, 4].map((n) => cluster.checker.final(idOf(n))));
+        assert.equal(ends.size, 1, `${[...ends].join(' and ')} after ${moment} ms`);
+      }
+    }
+  },
+);
+
+interface MachineFault {
+  name: string;
+  begin: (cluster: SimulatedCluster, workers: FakeWorker[]) => void;
+  end: (cluster: SimulatedCluster, workers: FakeWorker[]) => void;
+}
+
+const MACHINE_FAULTS: MachineFault[] = [
+  {
+    name: 'are deaf',
+    begin: (cluster, workers) => workers.forEach((w) => cluster.deafen(w.machine.id)),
+    end: (cluster, workers) => workers.forEach((w) => cluster.undeafen(w.machine.id)),
+  },
+  {
+    name: 'are mute',
+    begin: (cluster, workers) => workers.forEach((w) => cluster.mute(w.machine.id)),
+    end: (cluster, workers) => workers.forEach((w) => cluster.unmute(w.machine.id)),
+  },
+  {
+    name: 'hang',
+    begin: (_cluster, workers) => workers.forEach((w) => (w.hanging = true)),
+    end: (_cluster, workers) => workers.forEach((w) => (w.hanging = false)),
+  },
+  {
+    name: 'have copies of their reports come late',
+    begin: (cluster) => (cluster.copyDelay = () => 2000 + cluster.random() * 40_000),
+    end: (cluster) => (cluster.copyDelay = null),
+  },
+];
+
+for (const { name, begin, end } of MACHINE_FAULTS) {
+  onEachDeployment(
+    `machines that run a predecessor ${name}: its dependents wait for its end`,
+    (times) => {
+      for (const length of [6000, times.lease + 8000, 2 * times.lease + 20_000]) {
+        for (const crashes of [false, true]) {
+          const cluster = start(times, { runTimeOf: (p) => (p.startsWith(A) ? 9000 : 3000) }, 6);
+          submitted(cluster, 1, { batch: 4, expected_s: 9 });
+          submitted(cluster, 2, { batch: 2, ...after(1) });
+          submitted(cluster, 3, { batch: 2, ...after(2, 1) });
+          assert.ok(cluster.runUntil(() => running(cluster) === 4, 20_000));
+          const affected = workersOf(cluster, 1);
+          begin(cluster, affected);
+          if (crashes) cluster.at(5000, () => crashLeader(cluster));
+          cluster.run(length);
+          end(cluster, affected);
+          endsWell(cluster, [1, 2, 3]);
+          for (const n of [1, 2, 3]) assert.equal(cluster.checker.final(idOf(n)), 'done', idOf(n));
+        }
+      }
+    },
+  );
+}
+
+for (const leads of [true, false]) {
+  const name = leads ? 'an outage' : 'an outage, with no leader to end the rest';
+  onEachDeployment(
+    `the head of a chain of hundreds is cancelled under low limits and ${name}`,
+    (times) => {
+      const limits = { sockets: 1500, rps: 100, writeRps: 15 };
+      const next = { valueBytes: 2048, txnOps: 4 };
+      const cluster = start(times, { capacity: 8, runTime: LIMIT, limits, next }, 8);
+      const [wide, deep] = [110, 90];
+      submitted(cluster, 1, { batch: 1, expected_s: 400 });
+      for (let i = 0; i < wide; i++) submitted(cluster, 2 + i, { batch: 1, ...after(1) });
+      for (let i = 0; i < deep; i++) {
+        submitted(cluster, 500 + i, { batch: 1, ...after(i === 0 ? 2 : 499 + i, 3 + i) });
+      }
+      cluster.lowerLimits();
+      const all = [...Array(wide).keys()].map((i) => 2 + i);
+      all.push(...[...Array(deep).keys()].map((i) => 500 + i));
+      const [b, c] = others(cluster);
+      if (!leads) {
+        // Whoever led goes, and the others can't write the leader's key.
+        const election = (call: Call) =>
+          JSON.stringify(call.body ?? '').includes('tealdock/leader');
+        cluster.stateFault = (_node, call) => (election(call) ? 'lost_before' : undefined);
+        cluster.crash(cluster.leader()!);
+      }
+      assert.equal(status(ask(cluster, (d) => cluster.cancel(A, b!, d))), 'aborted');
+      cluster.state.down = true;
+      cluster.run(10_000);
+      cluster.state.restore();
+      // Users ask about every five seconds, each of them some node.
+      for (let round = 0; round * 5000 < times.cancelWithin; round++) {
+        for (const [i, n] of all.entries()) {
+          if (cluster.checker.final(idOf(n)) !== null) continue;
+          const nodes = [...cluster.alive.keys()];
+          cluster.at((i * 5000) / all.length, () =>
+            cluster.poll(idOf(n), nodes[(n + round) % nodes.length]!),
+          );
+        }
+        cluster.run(5000);
+      }
+      for (const n of all) assert.equal(cluster.checker.final(idOf(n)), 'aborted', idOf(n));
+      for (const [i, n] of all.entries()) {
+        const again = job(n, { batch: 1 });
+        cluster.at(i * 40, () => cluster.submit(again, i % 2 ? b! : c!));
+      }
+      cluster.run(all.length * 40 + 3000);
+      assert.ok(!all.some((n) => begun(cluster, n)));
+      endsWell(cluster, [1, ...all]);
+    },
+  );
+}
+
+onEachDeployment(
+  'a chain is submitted over minutes, its last job when terms and their jobs are long over',
+  (times) => {
+    const cluster = start(times, { runTime: 2000 }, 3);
+    const last = 9;
+    for (let n = 1; n < last; n++) {
+      submitted(cluster, n, { batch: 1, ...(n > 1 ? after(n - 1) : {}) });
+      cluster.run(9000);
+      crashLeader(cluster, 400);
+      cluster.run(11_000);
+    }
+    for (const node of cluster.nodes) cluster.crash(node);
+    cluster.run(times.lease + 5000);
+    for (const node of cluster.nodes) cluster.boot(node);
+    cluster.run(9000);
+    const everyone = Array.from({ length: last - 1 }, (_, i) => i + 1);
+    submitted(cluster, last, { batch: 2, urgency: 'urgent', ...after(...everyone) });
+    const from = cluster.now();
+    assert.ok(
+      cluster.runUntil(() => begun(cluster, last), 15_000),
+      'its predecessors are over',
+    );
+    assert.ok(cluster.now() - from < 15_000);
+    endsWell(cluster, [...everyone, last]);
+  },
+);
+
+/** The answer to a body sent as it is, and how long it took. */
+function post(
+  cluster: SimulatedCluster,
+  node: string,
+  body: unknown,
+): { reply: Reply | null; took: number } {
+  const from = cluster.now();
+  let took = Infinity;
+  let reply: Reply | null = null;
+  cluster.request(node, 'POST', '/api/jobs', packBody(body), (r) => {
+    reply = r;
+    took = cluster.now() - from;
+  });
+  cluster.run(6000);
+  return { reply, took };
+}
+
+onEachDeployment('odd lists of predecessors are answered at once and as documented', (times) => {
+  const cluster = start(times, { runTime: LIMIT });
+  submitted(cluster, 1, { expected_s: 400 });
+  const many = (count: number, from: number) =>
+    Array.from({ length: count }, (_, i) => idOf(from + i));
+  const cases: [waits: unknown, status: number][] = [
+    ['run-000001', 400],
+    [{ 0: A }, 400],
+    [7, 400],
+    [true, 400],
+    [[null], 400],
+    [[A, 3], 400],
+    [[[A]], 400],
+    [[''], 422],
+    [['run-1'], 422],
+    [[`${A}/0`], 422],
+    [[idOf(2)], 422],
+    [[A, idOf(2)], 422],
+    [[idOf(77)], 422],
+    [[A, idOf(77), A], 422],
+    [many(40, 1000), 422],
+    [many(3000, 1000), 400],
+    [Array(3000).fill(A), 201],
+    [[A, A, A], 200],
+  ];
+  for (const [waits, expected] of cases) {
+    const shown = JSON.stringify(waits).slice(0, 60);
+    const { reply, took } = post(cluster, 'n-0', job(2, { waits_on: waits }));
+    assert.equal(reply?.status, expected, shown);
+    assert.ok(took < 1500, `${shown}: ${took} ms`);
+  }
+  for (const [waits] of cases) {
+    const { reply } = post(cluster, 'n-1', job(2, { waits_on: waits }));
+    assert.equal(reply?.status, 200, 'a known job is known whatever the body says now');
+  }
+  keepsRules(cluster);
+});
+
+onEachDeployment(
+  'a name that another node is just accepting is known or not, never lost',
+  (times) => {
+    for (let moment = 0; moment <= 60; moment += 5) {
+      const cluster = start(times, { runTime: 2000 });
+      cluster.stateDelay = () => 20;
+      cluster.submit(job(1, { batch: 1 }), 'n-0');
+      cluster.run(moment);
+      const { reply } = post(cluster, 'n-1', job(2, { batch: 1, ...after(1) }));
+      assert.ok([201, 422].includes(reply!.status), `${reply!.status} after ${moment} ms`);
+      submitted(cluster, 2, { batch: 1, ...after(1) });
+      endsWell(cluster, [1, 2]);
+      assert.equal(cluster.checker.final(idOf(2)), 'done');
+    }
+  },
+);
--- a/packages/testing/src/deployments.ts
+++ b/packages/testing/src/deployments.ts
@@ -1,15 +1,15 @@
 import { test } from 'node:test';
-import type { Terms } from './world.js';
+import type { DeploymentTimes } from './simulated-cluster.js';
 
 /** Times of the deployments that tealdock was built for, in ms. */
-const DEPLOYMENTS: Record<string, Terms> = {
+const DEPLOYMENTS: Record<string, DeploymentTimes> = {
   Kelisa: { reportEvery: 5000, lease: 27_000, cancelWithin: 47_000, leaderLease: 5000 },
   Noordzee: { reportEvery: 4000, lease: 26_000, cancelWithin: 56_000, leaderLease: 5000 },
 };
 
 /** One test for each deployment's times. */
-export function onEachDeployment(name: string, play: (terms: Terms) => void): void {
-  for (const [site, terms] of Object.entries(DEPLOYMENTS)) {
-    test(`${name} (${site})`, () => play(terms));
+export function onEachDeployment(name: string, play: (times: DeploymentTimes) => void): void {
+  for (const [site, times] of Object.entries(DEPLOYMENTS)) {
+    test(`${name} (${site})`, () => play(times));
   }
 }
--- a/packages/testing/src/fake-worker.ts
+++ b/packages/testing/src/fake-worker.ts
@@ -26,7 +26,7 @@
   upstream?: string;
 }
 
-/** What the world does for a worker: carries its reports and knows the jobs. */
+/** What the simulated cluster does for a worker: carries its reports and knows the jobs. */
 export interface WorkerHost {
   now(): number;
   nodes: string[];
--- a/packages/testing/src/fetches.test.ts
+++ b/packages/testing/src/fetches.test.ts
@@ -1,80 +1,86 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { World } from './index.js';
+import type { SimulatedCluster } from './index.js';
 import { job } from './index.js';
-import { idOf, keepsRules, settled } from './story.js';
+import { idOf, keepsRules, settled } from './scenario.js';
 
 /** Jobs of one task each, with an image of their own. */
-function submitImages(world: World, from: number, count: number, gb: number, node = 'n-0'): void {
+function submitImages(
+  cluster: SimulatedCluster,
+  from: number,
+  count: number,
+  gb: number,
+  node = 'n-0',
+): void {
   for (let n = from; n < from + count; n++) {
-    world.submit(job(n, { batch: 1, bundle: `img-${n}`, image_gb: gb, expected_s: 5 }), node);
+    cluster.submit(job(n, { batch: 1, bundle: `img-${n}`, image_gb: gb, expected_s: 5 }), node);
   }
 }
 
 /** The most images that a machine fetches soon after; then these jobs are run to their ends. */
-function fetchesSoon(world: World, from: number, count: number): number {
-  world.run(4000);
-  const most = Math.max(...[...world.workers.values()].map((w) => w.fetching().length));
+function fetchesSoon(cluster: SimulatedCluster, from: number, count: number): number {
+  cluster.run(4000);
+  const most = Math.max(...[...cluster.workers.values()].map((w) => w.fetching().length));
   const numbers = Array.from({ length: count }, (_, i) => from + i);
-  const done = () => numbers.every((n) => world.checker.doneTasks(idOf(n)).size === 1);
-  assert.ok(world.runUntil(done, 200_000));
-  keepsRules(world);
+  const done = () => numbers.every((n) => cluster.checker.doneTasks(idOf(n)).size === 1);
+  assert.ok(cluster.runUntil(done, 200_000));
+  keepsRules(cluster);
   return most;
 }
 
 // A machine with room for dozens of tasks was given dozens of images; each took minutes.
 test('fetches that share a rate are kept out of each other\u2019s way', () => {
-  const world = settled({ capacity: 2, fetches: { gbPerS: 1, shared: true } }, 2);
-  submitImages(world, 1, 8, 8);
-  assert.ok(fetchesSoon(world, 1, 8) <= 2);
-  submitImages(world, 11, 8, 8);
-  assert.ok(fetchesSoon(world, 11, 8) <= 2);
+  const cluster = settled({ capacity: 2, fetches: { gbPerS: 1, shared: true } }, 2);
+  submitImages(cluster, 1, 8, 8);
+  assert.ok(fetchesSoon(cluster, 1, 8) <= 2);
+  submitImages(cluster, 11, 8, 8);
+  assert.ok(fetchesSoon(cluster, 11, 8) <= 2);
 });
 
 test('where fetches do not share a rate this is learnt, and all room is used at once', () => {
-  const world = settled({ capacity: 2, fetches: { gbPerS: 1, shared: false } }, 2);
+  const cluster = settled({ capacity: 2, fetches: { gbPerS: 1, shared: false } }, 2);
   for (let from = 1; from < 60; from += 10) {
-    submitImages(world, from, 8, 6);
-    fetchesSoon(world, from, 8);
+    submitImages(cluster, from, 8, 6);
+    fetchesSoon(cluster, from, 8);
   }
-  submitImages(world, 71, 8, 6);
-  assert.equal(fetchesSoon(world, 71, 8), 4);
+  submitImages(cluster, 71, 8, 6);
+  assert.equal(fetchesSoon(cluster, 71, 8), 4);
 });
 
 // Next to any other fetch, that of a small image takes many times as long as alone.
 test('a task with a small image does not wait for a machine without fetches', () => {
-  const world = settled({ capacity: 1, fetches: { gbPerS: 1, shared: true } }, 1);
-  submitImages(world, 1, 1, 4);
-  world.run(1500);
-  submitImages(world, 2, 1, 0.1);
-  world.run(2000);
-  assert.equal([...world.workers.values()][0]!.tasks.length, 2);
+  const cluster = settled({ capacity: 1, fetches: { gbPerS: 1, shared: true } }, 1);
+  submitImages(cluster, 1, 1, 4);
+  cluster.run(1500);
+  submitImages(cluster, 2, 1, 0.1);
+  cluster.run(2000);
+  assert.equal([...cluster.workers.values()][0]!.tasks.length, 2);
 });
 
 // Each take-over made machines wait again for room that was there.
 test('a successor knows whether fetches share a rate', () => {
-  const world = settled({ capacity: 2, fetches: { gbPerS: 1, shared: false } }, 2);
+  const cluster = settled({ capacity: 2, fetches: { gbPerS: 1, shared: false } }, 2);
   for (let from = 1; from < 60; from += 10) {
-    submitImages(world, from, 8, 6);
-    fetchesSoon(world, from, 8);
+    submitImages(cluster, from, 8, 6);
+    fetchesSoon(cluster, from, 8);
   }
-  world.run(6000);
-  world.crash(world.leader()!);
-  world.run(25_000);
-  submitImages(world, 71, 8, 6, [...world.alive.keys()][0]);
-  assert.equal(fetchesSoon(world, 71, 8), 4);
+  cluster.run(6000);
+  cluster.crash(cluster.leader()!);
+  cluster.run(25_000);
+  submitImages(cluster, 71, 8, 6, [...cluster.alive.keys()][0]);
+  assert.equal(fetchesSoon(cluster, 71, 8), 4);
 });
 
 test('a machine that fetches what it was taken to hold holds it no more', () => {
-  const world = settled({ capacity: 1, fetches: { gbPerS: 1, shared: true } }, 1);
-  submitImages(world, 1, 1, 20);
-  fetchesSoon(world, 1, 1);
-  const worker = [...world.workers.values()][0]!;
+  const cluster = settled({ capacity: 1, fetches: { gbPerS: 1, shared: true } }, 1);
+  submitImages(cluster, 1, 1, 20);
+  fetchesSoon(cluster, 1, 1);
+  const worker = [...cluster.workers.values()][0]!;
   worker.dropImages();
-  world.submit(job(2, { batch: 1, bundle: 'img-1', image_gb: 20, expected_s: 5 }), 'n-0');
-  world.run(2500);
+  cluster.submit(job(2, { batch: 1, bundle: 'img-1', image_gb: 20, expected_s: 5 }), 'n-0');
+  cluster.run(2500);
   assert.deepEqual(worker.fetching(), ['img-1']);
   // Smaller images would come too late behind that one.
-  submitImages(world, 3, 2, 8);
-  assert.equal(fetchesSoon(world, 2, 3), 1);
+  submitImages(cluster, 3, 2, 8);
+  assert.equal(fetchesSoon(cluster, 2, 3), 1);
 });
--- a/packages/testing/src/fleet.test.ts
+++ b/packages/testing/src/fleet.test.ts
@@ -2,51 +2,55 @@
 import { test } from 'node:test';
 import { CommandQueue, Connections, type Closable } from '@tealdock/adapters';
 import { socketShares } from '@tealdock/controller';
-import { World, job } from './index.js';
-import { idOf, keepsRules, running, settled } from './story.js';
+import { SimulatedCluster, job } from './index.js';
+import { idOf, keepsRules, running, settled } from './scenario.js';
 
 /** Half as many machines again as the largest fleet that operations.md speaks of. */
 const MACHINES = 1300;
 const LIMITS = { sockets: 1650, rps: 250, writeRps: 18 };
 
-function submitMany(world: World, jobs: number, over: Record<string, unknown>): number[] {
+function submitMany(
+  cluster: SimulatedCluster,
+  jobs: number,
+  over: Record<string, unknown>,
+): number[] {
   const numbers = Array.from({ length: jobs }, (_, i) => i + 1);
   for (const n of numbers) {
-    world.at(n * 300, () => world.submit(job(n, over), world.nodes[n % 3]!));
+    cluster.at(n * 300, () => cluster.submit(job(n, over), cluster.nodes[n % 3]!));
   }
   return numbers;
 }
 
-const allDone = (world: World, numbers: number[], tasks: number): boolean =>
-  numbers.every((n) => world.checker.doneTasks(idOf(n)).size === tasks);
+const allDone = (cluster: SimulatedCluster, numbers: number[], tasks: number): boolean =>
+  numbers.every((n) => cluster.checker.doneTasks(idOf(n)).size === tasks);
 
 test('a whole fleet restarts, and all controllers with it: nothing runs twice, no lease is lost', () => {
-  const world = settled({ cpuLimit: 20_000, limits: LIMITS }, MACHINES);
-  const numbers = submitMany(world, 40, { batch: 100, expected_s: 30 });
-  assert.ok(world.runUntil(() => running(world) === 4000, 40_000));
-  const before = world.checker.starts;
-  for (const w of world.workers.values()) w.reboot();
-  for (const n of world.nodes) world.crash(n);
-  for (const n of world.nodes) world.at(300, () => world.boot(n));
-  const from = world.now();
-  const ready = () => world.log.filter((l) => l.message === 'roster accounted for').length;
-  const [known, lost] = [ready(), 4000 - running(world)];
+  const cluster = settled({ cpuLimit: 20_000, limits: LIMITS }, MACHINES);
+  const numbers = submitMany(cluster, 40, { batch: 100, expected_s: 30 });
+  assert.ok(cluster.runUntil(() => running(cluster) === 4000, 40_000));
+  const before = cluster.checker.starts;
+  for (const w of cluster.workers.values()) w.reboot();
+  for (const n of cluster.nodes) cluster.crash(n);
+  for (const n of cluster.nodes) cluster.at(300, () => cluster.boot(n));
+  const from = cluster.now();
+  const ready = () => cluster.log.filter((l) => l.message === 'roster accounted for').length;
+  const [known, lost] = [ready(), 4000 - running(cluster)];
   assert.ok(
-    world.runUntil(() => ready() > known, 15_000),
+    cluster.runUntil(() => ready() > known, 15_000),
     'the roster is accounted for',
   );
-  assert.ok(world.now() - from < world.lease, 'well within the workers lease');
+  assert.ok(cluster.now() - from < cluster.lease, 'well within the workers lease');
   assert.ok(
-    world.runUntil(() => allDone(world, numbers, 100), 150_000),
+    cluster.runUntil(() => allDone(cluster, numbers, 100), 150_000),
     'all is done',
   );
-  keepsRules(world);
-  const again = world.checker.starts - before;
+  keepsRules(cluster);
+  const again = cluster.checker.starts - before;
   assert.ok(again <= lost + 100, `${again} starts for ${lost} tasks that were lost or waited`);
-  const leases = [...world.workers.values()].filter((w) => w.shift > 2).length;
+  const leases = [...cluster.workers.values()].filter((w) => w.shift > 2).length;
   assert.equal(leases, 0, 'no lease ran out while the reports queued up');
-  assert.ok(world.mostSockets() <= LIMITS.sockets);
-  assert.equal(world.turnedAway(), 0);
+  assert.ok(cluster.mostSockets() <= LIMITS.sockets);
+  assert.equal(cluster.turnedAway(), 0);
 });
 
 const SHARES = socketShares({ maxConnections: 200, peers: [] });
@@ -126,19 +130,19 @@
 
 test('no more machines are rented than the leader has sockets for', () => {
   const limits = { ...LIMITS, sockets: 150 };
-  const world = new World({ capacity: 400, cpuLimit: 5000, limits });
-  world.run(5000);
-  world.submit(job(1, { batch: 1200, spare: true, expected_s: 30 }), 'n-0');
-  const done = () => world.checker.doneTasks(idOf(1)).size === 1200;
-  assert.ok(world.runUntil(done, 240_000));
+  const cluster = new SimulatedCluster({ capacity: 400, cpuLimit: 5000, limits });
+  cluster.run(5000);
+  cluster.submit(job(1, { batch: 1200, spare: true, expected_s: 30 }), 'n-0');
+  const done = () => cluster.checker.doneTasks(idOf(1)).size === 1200;
+  assert.ok(cluster.runUntil(done, 240_000));
   const { workers } = socketShares({
     maxConnections: limits.sockets,
-    peers: world.nodes.slice(1).map((member) => ({ member, addr: '' })),
+    peers: cluster.nodes.slice(1).map((member) => ({ member, addr: '' })),
   });
-  assert.ok(world.cloud.rented.length <= workers, `${world.cloud.rented.length} machines`);
-  assert.ok(world.cloud.rented.length > workers / 2);
-  assert.equal(world.turnedAway(), 0);
-  keepsRules(world);
+  assert.ok(cluster.cloud.rented.length <= workers, `${cluster.cloud.rented.length} machines`);
+  assert.ok(cluster.cloud.rented.length > workers / 2);
+  assert.equal(cluster.turnedAway(), 0);
+  keepsRules(cluster);
 });
 
 // Behind a thousand reports the answer to a renewal came after the lease was over.
--- a/packages/testing/src/guards.test.ts
+++ b/packages/testing/src/guards.test.ts
@@ -1,8 +1,18 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Call } from '@tealdock/controller';
-import { World, job } from './index.js';
-import { A, ask, finished, idOf, keepsRules, others, running, settled, status } from './story.js';
+import { SimulatedCluster, job } from './index.js';
+import {
+  A,
+  ask,
+  finished,
+  idOf,
+  keepsRules,
+  others,
+  running,
+  settled,
+  status,
+} from './scenario.js';
 
 /** Keys that a transaction writes. */
 function writtenKeys(call: Call): string[] {
@@ -13,7 +23,7 @@
 
 test('progress takes at most its share of the changes per second', () => {
   const [writeRps, seconds] = [16, 30];
-  const world = settled(
+  const cluster = settled(
     {
       capacity: 40,
       cpuLimit: 10_000,
@@ -26,27 +36,27 @@
   );
   const jobs = Array.from({ length: 120 }, (_, i) => i + 1);
   for (const n of jobs) {
-    world.submit(job(n, { batch: 10, cpus: 0.1, mem_gb: 0.1 }), world.nodes[n % 3]!);
-    world.run(150);
+    cluster.submit(job(n, { batch: 10, cpus: 0.1, mem_gb: 0.1 }), cluster.nodes[n % 3]!);
+    cluster.run(150);
   }
   let changes = 0;
-  world.stateFault = (_node, call) => {
+  cluster.stateFault = (_node, call) => {
     changes += writtenKeys(call).filter((key) => key.includes('/progress/')).length;
     return undefined;
   };
-  world.run(seconds * 1000);
+  cluster.run(seconds * 1000);
   assert.ok(changes > seconds / 2, `${changes} changes: progress is written`);
   // An eighth of the changes, and one transaction that was due as the count began.
   const most = (seconds * writeRps) / 8 + 4;
   assert.ok(changes <= most, `${changes} changes of progress in ${seconds} s, ${most} allowed`);
-  world.stateFault = null;
-  for (const n of jobs) assert.ok(finished(world, idOf(n), 300_000), idOf(n));
-  keepsRules(world);
+  cluster.stateFault = null;
+  for (const n of jobs) assert.ok(finished(cluster, idOf(n), 300_000), idOf(n));
+  keepsRules(cluster);
 });
 
 /** Many jobs of one task each that are over at about the same time, under few changes a second. */
-function manyEnds(): { world: World; ids: string[] } {
-  const world = settled(
+function manyEnds(): { cluster: SimulatedCluster; ids: string[] } {
+  const cluster = settled(
     {
       capacity: 12,
       cpuLimit: 10_000,
@@ -58,104 +68,106 @@
   );
   const ids = Array.from({ length: 90 }, (_, i) => idOf(i + 1));
   for (const n of ids.keys()) {
-    world.submit(job(n + 1, { batch: 1, cpus: 0.1, mem_gb: 0.1 }), world.nodes[n % 3]!);
-    world.run(450);
+    cluster.submit(job(n + 1, { batch: 1, cpus: 0.1, mem_gb: 0.1 }), cluster.nodes[n % 3]!);
+    cluster.run(450);
   }
-  return { world, ids };
+  return { cluster: cluster, ids };
 }
 
-const allRan = (world: World, ids: string[]) => () =>
-  ids.every((id) => world.checker.doneTasks(id).size === 1);
+const allRan = (cluster: SimulatedCluster, ids: string[]) => () =>
+  ids.every((id) => cluster.checker.doneTasks(id).size === 1);
 
-const allEnded = (world: World, ids: string[]) => () =>
-  ids.every((id) => world.state.keys.has(`tealdock/ended/${id}`));
+const allEnded = (cluster: SimulatedCluster, ids: string[]) => () =>
+  ids.every((id) => cluster.state.keys.has(`tealdock/ended/${id}`));
 
 test('the leader uses the changes that the other nodes leave for ends of jobs', () => {
-  const { world, ids } = manyEnds();
-  assert.ok(world.runUntil(allRan(world, ids), 90_000));
-  const from = world.now();
-  assert.ok(world.runUntil(allEnded(world, ids), 60_000));
+  const { cluster: cluster, ids } = manyEnds();
+  assert.ok(cluster.runUntil(allRan(cluster, ids), 90_000));
+  const from = cluster.now();
+  assert.ok(cluster.runUntil(allEnded(cluster, ids), 60_000));
   // 90 ends are 180 changes, 24 s of half of 15 a second and 15 s of four fifths.
-  assert.ok(world.now() - from < 17_000, `${world.now() - from} ms`);
-  keepsRules(world);
+  assert.ok(cluster.now() - from < 17_000, `${cluster.now() - from} ms`);
+  keepsRules(cluster);
 });
 
 test('a leader with many ends leaves room for the submissions of the other nodes', () => {
-  const { world, ids } = manyEnds();
-  assert.ok(world.runUntil(() => ids.some((id) => world.checker.doneTasks(id).size > 0), 90_000));
-  const others = world.nodes.filter((n) => n !== world.leader());
+  const { cluster: cluster, ids } = manyEnds();
+  assert.ok(
+    cluster.runUntil(() => ids.some((id) => cluster.checker.doneTasks(id).size > 0), 90_000),
+  );
+  const others = cluster.nodes.filter((n) => n !== cluster.leader());
   let refused = 0;
   for (let i = 0; i < 120; i++) {
     const over = { batch: 1, cpus: 0.1, mem_gb: 0.1, expected_s: 500 };
-    world.at(i * 180, () =>
-      world.submit(job(1000 + i, over), others[i % 2]!, (r) => {
+    cluster.at(i * 180, () =>
+      cluster.submit(job(1000 + i, over), others[i % 2]!, (r) => {
         if (r?.status !== 201) refused++;
       }),
     );
   }
-  world.run(40_000);
-  assert.ok(allEnded(world, ids)());
+  cluster.run(40_000);
+  assert.ok(allEnded(cluster, ids)());
   assert.equal(refused, 0, 'five submissions a second are all taken at once');
-  keepsRules(world);
+  keepsRules(cluster);
 });
 
 // Its conditions are all that is left between a cancellation under way and a job that ends.
 test('a cancellation carried out after the end of its job changes nothing', () => {
   for (const delay of [1500, 4000, 9000]) {
-    const world = settled({ runTime: 3000 });
-    world.submit(job(1, { batch: 1 }), 'n-0');
-    const exited = () => world.checker.doneTasks(A).size === 1;
-    const [b, c] = others(world);
-    world.stateFault = (node, call) =>
+    const cluster = settled({ runTime: 3000 });
+    cluster.submit(job(1, { batch: 1 }), 'n-0');
+    const exited = () => cluster.checker.doneTasks(A).size === 1;
+    const [b, c] = others(cluster);
+    cluster.stateFault = (node, call) =>
       node === b && writtenKeys(call).some((key) => key.includes('/ended/')) ? delay : undefined;
-    world.runUntil(() => running(world) === 1, 20_000);
-    world.run(2000);
-    world.cancel(A, b!);
-    assert.ok(world.runUntil(exited, 20_000));
-    assert.ok(finished(world, A), 'it ended as done');
-    const ended = world.state.keys.get(`tealdock/ended/${A}`);
-    world.run(delay + 2000);
-    world.stateFault = null;
-    assert.deepEqual(world.state.keys.get(`tealdock/ended/${A}`), ended);
-    for (const n of [b!, c!, world.leader()!]) {
-      assert.equal(status(ask(world, (d) => world.poll(A, n, d))), 'done');
+    cluster.runUntil(() => running(cluster) === 1, 20_000);
+    cluster.run(2000);
+    cluster.cancel(A, b!);
+    assert.ok(cluster.runUntil(exited, 20_000));
+    assert.ok(finished(cluster, A), 'it ended as done');
+    const ended = cluster.state.keys.get(`tealdock/ended/${A}`);
+    cluster.run(delay + 2000);
+    cluster.stateFault = null;
+    assert.deepEqual(cluster.state.keys.get(`tealdock/ended/${A}`), ended);
+    for (const n of [b!, c!, cluster.leader()!]) {
+      assert.equal(status(ask(cluster, (d) => cluster.poll(A, n, d))), 'done');
     }
-    keepsRules(world);
+    keepsRules(cluster);
   }
 });
 
 /** A zone whose workers are kept by a follower, which can't tell how their jobs stand. */
-function keptWithoutProofs(): { world: World; follower: string; near: string } {
-  const world = settled({ capacity: 4, runTime: 120_000 }, 4);
-  world.submit(job(1, { batch: 10, expected_s: 120 }), 'n-0');
-  assert.ok(world.runUntil(() => running(world) === 10, 20_000));
-  const [follower, near] = others(world) as [string, string];
-  const machines = [...world.workers.values()].filter((w) => w.machine.zone === 'b');
-  world.part([follower, ...machines.map((w) => w.machine.id)]);
-  world.run(15_000);
+function keptWithoutProofs(): { cluster: SimulatedCluster; follower: string; near: string } {
+  const cluster = settled({ capacity: 4, runTime: 120_000 }, 4);
+  cluster.submit(job(1, { batch: 10, expected_s: 120 }), 'n-0');
+  assert.ok(cluster.runUntil(() => running(cluster) === 10, 20_000));
+  const [follower, near] = others(cluster) as [string, string];
+  const machines = [...cluster.workers.values()].filter((w) => w.machine.zone === 'b');
+  cluster.part([follower, ...machines.map((w) => w.machine.id)]);
+  cluster.run(15_000);
   const aboutJobs = ({ path, body }: Call): boolean =>
     path.startsWith('/keys/tealdock/live/') || JSON.stringify(body ?? '').includes('/live/');
-  world.stateFault = (node, call) =>
+  cluster.stateFault = (node, call) =>
     node === follower && aboutJobs(call) ? 'lost_before' : undefined;
-  return { world, follower, near };
+  return { cluster: cluster, follower, near };
 }
 
 test('a proof that fails under a grant renews no lease of a cancelled task', () => {
-  const { world, near } = keptWithoutProofs();
-  assert.equal(status(ask(world, (d) => world.cancel(A, near, d))), 'aborted');
-  world.run(world.terms.cancelWithin + 10_000);
-  assert.equal(running(world), 0);
-  keepsRules(world);
+  const { cluster: cluster, near } = keptWithoutProofs();
+  assert.equal(status(ask(cluster, (d) => cluster.cancel(A, near, d))), 'aborted');
+  cluster.run(cluster.times.cancelWithin + 10_000);
+  assert.equal(running(cluster), 0);
+  keepsRules(cluster);
 });
 
 test('a proof that fails under a grant stops no task of a live job', () => {
-  const { world } = keptWithoutProofs();
-  world.run(world.lease / 2);
-  world.stateFault = null;
-  world.run(15_000);
-  assert.equal(running(world), 10, 'all tasks run on');
-  assert.equal(world.checker.starts, 10);
-  world.cuts.clear();
-  assert.ok(finished(world, A, 200_000));
-  keepsRules(world);
+  const { cluster: cluster } = keptWithoutProofs();
+  cluster.run(cluster.lease / 2);
+  cluster.stateFault = null;
+  cluster.run(15_000);
+  assert.equal(running(cluster), 10, 'all tasks run on');
+  assert.equal(cluster.checker.starts, 10);
+  cluster.cuts.clear();
+  assert.ok(finished(cluster, A, 200_000));
+  keepsRules(cluster);
 });
--- a/packages/testing/src/index.ts
+++ b/packages/testing/src/index.ts
@@ -1,4 +1,4 @@
-export * from './world.js';
+export * from './simulated-cluster.js';
 export * from './fake-state.js';
 export * from './fake-cloud.js';
 export * from './fake-worker.js';
--- a/packages/testing/src/rolls.test.ts
+++ b/packages/testing/src/older-versions.test.ts
@@ -8,8 +8,8 @@
   type JobSpec,
   type PeerMessage,
 } from '@tealdock/wire';
-import { World, job, type WorldOptions } from './index.js';
-import { A, ask, finished, idOf, keepsRules, settled, status } from './story.js';
+import { SimulatedCluster, job, type ClusterOptions } from './index.js';
+import { A, ask, finished, idOf, keepsRules, settled, status } from './scenario.js';
 
 /** What an older version stored and sent, made by running it. */
 interface Recorded {
@@ -36,19 +36,19 @@
 }
 
 /** A state service that holds what the older version left, its leader's lease over. */
-function inherited(recorded: Recorded, options: WorldOptions = {}): World {
-  const world = new World({ capacity: 4, cpuLimit: 100, ...options });
+function inherited(recorded: Recorded, options: ClusterOptions = {}): SimulatedCluster {
+  const cluster = new SimulatedCluster({ capacity: 4, cpuLimit: 100, ...options });
   for (const { key, v, stamp } of recorded.keys) {
-    if (!key.endsWith('/leader')) world.state.keys.set(key, { v, stamp, lease: null });
+    if (!key.endsWith('/leader')) cluster.state.keys.set(key, { v, stamp, lease: null });
   }
-  world.state.epoch = recorded.epoch;
+  cluster.state.epoch = recorded.epoch;
   // Names are never used again: those of its machines are gone.
-  for (let i = 0; i < 60; i++) world.cloud.take(world.cloud.add('a').id);
-  for (const n of world.nodes) {
-    world.crash(n);
-    world.boot(n);
+  for (let i = 0; i < 60; i++) cluster.cloud.take(cluster.cloud.add('a').id);
+  for (const n of cluster.nodes) {
+    cluster.crash(n);
+    cluster.boot(n);
   }
-  return world;
+  return cluster;
 }
 
 /** True if a reader of the recorded value finds all of it in the new one. */
@@ -77,51 +77,51 @@
 fromEach(
   'what the older version stored is read whole: jobs, ends, progress and roster',
   (recorded) => {
-    const world = inherited(recorded, { runTime: 3000 });
+    const cluster = inherited(recorded, { runTime: 3000 });
     const live = recorded.keys.filter((k) => k.key.includes('/live/'));
     for (const { v } of live) {
       const { spec } = v as { spec: { id: string; taskCount: number } };
-      world.jobs.set(spec.id, spec as never);
+      cluster.jobs.set(spec.id, spec as never);
     }
-    world.run(4000);
-    const loaded = world.log.find((l) => l.message === 'term loaded');
+    cluster.run(4000);
+    const loaded = cluster.log.find((l) => l.message === 'term loaded');
     assert.deepEqual([loaded?.fields['jobs'], loaded?.fields['machines']], [live.length, 60]);
     for (const { key, v } of recorded.keys.filter((k) => k.key.includes('/ended/'))) {
       const id = key.split('/').at(-1)!;
       const { state } = v as { state: string };
-      const told = status(ask(world, (d) => world.poll(id, 'n-1', d)));
+      const told = status(ask(cluster, (d) => cluster.poll(id, 'n-1', d)));
       assert.equal(told, state === 'cancelled' ? 'aborted' : state);
     }
     // Its machines are gone, which their leases prove; then what was not done runs.
     const starts = new Set<unknown>();
-    const over = () => [...world.state.keys.keys()].every((k) => !k.includes('/live/'));
-    assert.ok(world.runUntil(over, 300_000));
-    for (const l of world.log) if (l.message === 'start sent') starts.add(l.fields['task']);
+    const over = () => [...cluster.state.keys.keys()].every((k) => !k.includes('/live/'));
+    assert.ok(cluster.runUntil(over, 300_000));
+    for (const l of cluster.log) if (l.message === 'start sent') starts.add(l.fields['task']);
     const doneBefore = ['run-000003/0', 'run-000004/0'];
     for (const task of doneBefore) assert.ok(!starts.has(task), `${task} was done before`);
     assert.ok(starts.has('run-000003/3'));
     for (const { v } of live) {
       const { spec } = v as { spec: JobSpec };
-      for (const p of predecessorsOf(spec)) assertReleasedBy(world, spec.id, p);
+      for (const p of predecessorsOf(spec)) assertReleasedBy(cluster, spec.id, p);
     }
   },
 );
 
 /** The first start of a job came after the end of a predecessor that had not ended before. */
-function assertReleasedBy(world: World, id: string, predecessor: string): void {
-  const started = world.log.findIndex(
+function assertReleasedBy(cluster: SimulatedCluster, id: string, predecessor: string): void {
+  const started = cluster.log.findIndex(
     (l) => l.message === 'start sent' && String(l.fields['task']).startsWith(`${id}/`),
   );
-  const ended = world.log.findIndex(
+  const ended = cluster.log.findIndex(
     (l) => l.message === 'job ended' && l.fields['job'] === predecessor,
   );
   assert.ok(started > ended, `${id} started after ${predecessor} had ended`);
 }
 
 fromEach('a job waits for what ended, or runs on, under the older version', (recorded) => {
-  const world = inherited(recorded);
-  for (let i = 0; i < 2; i++) world.cloud.add('a');
-  world.run(40_000);
+  const cluster = inherited(recorded);
+  for (let i = 0; i < 2; i++) cluster.cloud.add('a');
+  cluster.run(40_000);
   const ended = recorded.keys.filter((k) => k.key.includes('/ended/'));
   const done = ended
     .find((k) => (k.v as { state: string }).state === 'done')
@@ -132,27 +132,27 @@
     ?.key.split('/')
     .at(-1);
   if (done !== undefined) {
-    world.submit(job(101, { waits_on: [done] }), 'n-0');
-    assert.ok(finished(world, idOf(101)));
+    cluster.submit(job(101, { waits_on: [done] }), 'n-0');
+    assert.ok(finished(cluster, idOf(101)));
   }
   assert.ok(cut !== undefined);
-  const reply = ask(world, (d) => world.submit(job(102, { waits_on: [cut] }), 'n-1', d));
+  const reply = ask(cluster, (d) => cluster.submit(job(102, { waits_on: [cut] }), 'n-1', d));
   assert.deepEqual([reply?.status, status(reply)], [201, 'aborted']);
   assert.ok(done !== undefined);
 });
 
 fromEach('what this version stores can be read by the older one', (recorded) => {
-  const world = settled({ runTimeOf: (p) => 2000 + Number(p.split('/')[1]) * 30_000 });
-  for (let n = 1; n <= 4; n++) world.submit(job(n, { batch: n }), 'n-0');
-  world.run(6000);
-  world.submit(job(5, { waits_on: [A] }), 'n-0');
-  world.cancel(idOf(4), 'n-1');
-  world.run(6000);
+  const cluster = settled({ runTimeOf: (p) => 2000 + Number(p.split('/')[1]) * 30_000 });
+  for (let n = 1; n <= 4; n++) cluster.submit(job(n, { batch: n }), 'n-0');
+  cluster.run(6000);
+  cluster.submit(job(5, { waits_on: [A] }), 'n-0');
+  cluster.cancel(idOf(4), 'n-1');
+  cluster.run(6000);
   const kinds = /tealdock\/(leader|owned|roster|progress|live|ended)/;
   // The first of a kind: a job that needs no other one.
   const older = new Map(recorded.keys.map((k) => [kinds.exec(k.key)?.[1], k.v]).reverse() as []);
   const seen = new Set<string>();
-  for (const [key, entry] of world.state.keys) {
+  for (const [key, entry] of cluster.state.keys) {
     const kind = kinds.exec(key)?.[1];
     if (kind === undefined) continue;
     seen.add(kind);
@@ -171,30 +171,30 @@
 // large as it may, and carries along what it does not know.
 test('leadership goes back to the older version and comes again', () => {
   for (const pause of [300, 3000]) {
-    const world = settled({ runTimeOf: (p) => (p.startsWith(A) ? 6000 : 4000) });
-    world.submit(job(1), 'n-0');
-    world.run(1500);
-    world.submit(job(2, { waits_on: [A] }), 'n-1');
-    world.run(1500);
-    assert.ok(world.runUntil(() => world.checker.doneTasks(A).size === 2, 20_000));
-    for (const n of world.nodes) world.crash(n);
-    olderTermEnds(world, A);
-    world.run(pause);
-    for (const n of world.nodes) world.boot(n);
-    assert.ok(finished(world, idOf(2)));
-    keepsRules(world);
+    const cluster = settled({ runTimeOf: (p) => (p.startsWith(A) ? 6000 : 4000) });
+    cluster.submit(job(1), 'n-0');
+    cluster.run(1500);
+    cluster.submit(job(2, { waits_on: [A] }), 'n-1');
+    cluster.run(1500);
+    assert.ok(cluster.runUntil(() => cluster.checker.doneTasks(A).size === 2, 20_000));
+    for (const n of cluster.nodes) cluster.crash(n);
+    olderTermEnds(cluster, A);
+    cluster.run(pause);
+    for (const n of cluster.nodes) cluster.boot(n);
+    assert.ok(finished(cluster, idOf(2)));
+    keepsRules(cluster);
   }
 });
 
 /** What the older version's commit of a job's end would leave in the state service. */
-function olderTermEnds(world: World, id: string): void {
+function olderTermEnds(cluster: SimulatedCluster, id: string): void {
   const key = `tealdock/live/${id}/spec`;
-  const live = world.state.keys.get(key);
+  const live = cluster.state.keys.get(key);
   if (!live) return;
   const { spec } = live.v as { spec: unknown };
   const writes = [{ write: `tealdock/ended/${id}`, v: { state: 'done', spec } }, { delete: key }];
   const guards = [{ key, stamp: live.stamp }];
-  world.state.handle('POST', '/commit', { guards, writes }, (r) => {
+  cluster.state.handle('POST', '/commit', { guards, writes }, (r) => {
     assert.ok(r.kind === 'answer' && r.status === 200);
   });
 }
@@ -203,34 +203,34 @@
   'nodes are replaced one after the other under load, with crashes in between',
   (recorded) => {
     for (const seed of [1, 2, 3]) {
-      const world = inherited(recorded, { seed, capacity: 8, runTime: 5000 });
-      for (let i = 0; i < 4; i++) world.cloud.add(i % 2 ? 'a' : 'b');
-      world.run(5000);
+      const cluster = inherited(recorded, { seed, capacity: 8, runTime: 5000 });
+      for (let i = 0; i < 4; i++) cluster.cloud.add(i % 2 ? 'a' : 'b');
+      cluster.run(5000);
       for (let n = 101; n <= 112; n++) {
         const waits = n > 104 ? [idOf(n - 1), idOf(n - 3)] : [];
-        world.at((n - 100) * 2500, () => {
-          const missing = () => !world.checker.accepted(idOf(n));
+        cluster.at((n - 100) * 2500, () => {
+          const missing = () => !cluster.checker.accepted(idOf(n));
           const insist = () => {
-            const node = [...world.alive.keys()][n % Math.max(1, world.alive.size)];
-            if (node && missing()) world.submit(job(n, { batch: 3, waits_on: waits }), node);
-            if (missing()) world.at(3000, insist);
+            const node = [...cluster.alive.keys()][n % Math.max(1, cluster.alive.size)];
+            if (node && missing()) cluster.submit(job(n, { batch: 3, waits_on: waits }), node);
+            if (missing()) cluster.at(3000, insist);
           };
           insist();
         });
       }
-      for (const [i, n] of world.nodes.entries()) {
-        world.at(4000 + i * 9000, () => world.crash(n));
-        world.at(6000 + i * 9000, () => world.alive.has(n) || world.boot(n));
-        world.at(11_000 + i * 9000, () => {
-          const leader = world.leader();
-          if (leader) world.crash(leader);
-          world.at(400, () => leader && (world.alive.has(leader) || world.boot(leader)));
+      for (const [i, n] of cluster.nodes.entries()) {
+        cluster.at(4000 + i * 9000, () => cluster.crash(n));
+        cluster.at(6000 + i * 9000, () => cluster.alive.has(n) || cluster.boot(n));
+        cluster.at(11_000 + i * 9000, () => {
+          const leader = cluster.leader();
+          if (leader) cluster.crash(leader);
+          cluster.at(400, () => leader && (cluster.alive.has(leader) || cluster.boot(leader)));
         });
       }
-      world.run(60_000);
-      world.calm();
-      for (let n = 101; n <= 112; n++) assert.ok(finished(world, idOf(n), 300_000), idOf(n));
-      keepsRules(world);
+      cluster.run(60_000);
+      cluster.endFaults();
+      for (let n = 101; n <= 112; n++) assert.ok(finished(cluster, idOf(n), 300_000), idOf(n));
+      keepsRules(cluster);
     }
   },
 );
--- /dev/null
+++ b/packages/testing/src/rolling-upgrade.test.ts
@@ -0,0 +1,231 @@
+import assert from 'node:assert/strict';
+import { SimulatedCluster, job, type DeploymentTimes } from './index.js';
+import { onEachDeployment } from './deployments.js';
+import { idOf, keepsRules, running } from './scenario.js';
+
+// Rolling upgrades, older and current versions side by side, that meet other faults. The
+// times are those of both deployments.
+const SEEDS = [1, 2, 3];
+const LIMIT = 400_000;
+/** How long a replaced process is away. */
+const AWAY = 6000;
+const BETWEEN = 10_000;
+const FIRST_CHAIN = 101;
+const LAST_CHAIN = 112;
+
+interface Roll {
+  cluster: SimulatedCluster;
+  /** Nodes in the order in which they are replaced; the one that led first is named. */
+  order: string[];
+  leader: string;
+}
+
+/** A cluster of the older version under load, with room for more. */
+function olderCluster(times: DeploymentTimes, seed: number): SimulatedCluster {
+  const cluster = new SimulatedCluster({
+    seed,
+    times: times,
+    capacity: 16,
+    cpuLimit: 200,
+    valueBytes: 16_384,
+    txnOps: 12,
+    next: { valueBytes: 2048, txnOps: 4 },
+  });
+  for (const n of cluster.nodes) {
+    cluster.crash(n);
+    cluster.bootOlder(n);
+  }
+  for (let i = 0; i < 8; i++) cluster.cloud.add(i % 2 ? 'a' : 'b');
+  cluster.run(8000);
+  for (let n = 1; n <= 6; n++) {
+    cluster.submit(job(n, { batch: 4, expected_s: n % 2 ? 60 : 15 }), cluster.nodes[n % 3]!);
+  }
+  cluster.run(6000);
+  assert.ok(running(cluster) > 0);
+  return cluster;
+}
+
+/** Ends each process in turn; it comes back as the current version. */
+function replaceAll({ cluster: cluster, order }: Roll, away = AWAY, between = BETWEEN): void {
+  for (const [i, name] of order.entries()) {
+    cluster.at(i * between, () => cluster.crash(name));
+    cluster.at(i * between + away, () => cluster.boot(name));
+  }
+}
+
+/** A user who repeats a submission until some node has taken it. */
+function insist(cluster: SimulatedCluster, n: number, over: Record<string, unknown>): void {
+  if (cluster.checker.accepted(idOf(n))) return;
+  const nodes = [...cluster.alive.keys()];
+  const node = nodes[n % Math.max(1, nodes.length)];
+  if (node !== undefined) cluster.submit(job(n, over), node);
+  cluster.at(3000, () => insist(cluster, n, over));
+}
+
+/** Chains come once all nodes have the current version; some are cancelled at their head. */
+function submitChains(cluster: SimulatedCluster): void {
+  for (let n = FIRST_CHAIN; n <= LAST_CHAIN; n++) {
+    const waits = n % 4 === 1 ? [] : [idOf(n - 1)];
+    const over = { batch: 2, expected_s: 5, waits_on: waits };
+    const ready = () => {
+      if (waits.every((id) => cluster.checker.accepted(id))) insist(cluster, n, over);
+      else cluster.at(1000, ready);
+    };
+    cluster.at((n - FIRST_CHAIN) * 700, ready);
+  }
+}
+
+/** Jobs of both kinds are over, or were cancelled, and every node says the same. */
+function endsWell(cluster: SimulatedCluster): void {
+  cluster.endFaults();
+  const jobs = [1, 2, 3, 4, 5, 6];
+  for (let n = FIRST_CHAIN; n <= LAST_CHAIN; n++) jobs.push(n);
+  const open = () => jobs.filter((n) => cluster.checker.final(idOf(n)) === null);
+  const poll = () => {
+    if (cluster.now() % 1000 === 0) {
+      for (const n of open()) cluster.poll(idOf(n), cluster.nodes[n % 3]!);
+    }
+    return open().length === 0;
+  };
+  assert.ok(cluster.runUntil(poll, LIMIT), `jobs without an end: ${open().join(', ')}`);
+  for (const n of jobs) for (const node of cluster.nodes) cluster.poll(idOf(n), node);
+  cluster.run(cluster.times.cancelWithin + 5000);
+  assert.equal(running(cluster), 0);
+  assert.deepEqual(cluster.checker.unserved(), []);
+  keepsRules(cluster);
+}
+
+interface Meeting {
+  name: string;
+  /** Sets the faults off as the roll begins. */
+  faults: (roll: Roll) => void;
+  order?: (leader: string, others: string[]) => string[];
+  away?: number;
+}
+
+const usualOrder = (leader: string, [b, c]: string[]): string[] => [b!, leader, c!];
+
+const cancelElsewhere = (cluster: SimulatedCluster, n: number): void => {
+  const node = [...cluster.alive.keys()].find((name) => name !== cluster.leader());
+  if (node !== undefined) cluster.cancel(idOf(n), node);
+};
+
+const MEETINGS: Meeting[] = [
+  {
+    name: 'the state service refuses the leader alone, then is out for longer than cancel_s',
+    faults: ({ cluster: cluster, leader }) => {
+      cluster.state.refused.add(leader);
+      cluster.at(1000, () => cancelElsewhere(cluster, 1));
+      cluster.at(2000, () => (cluster.state.down = true));
+      cluster.at(14_000, () => cluster.state.refused.clear());
+      cluster.at(cluster.times.cancelWithin + 12_000, () => cluster.state.restore());
+    },
+  },
+  {
+    name: 'the state service refuses each leader in turn',
+    faults: ({ cluster: cluster }) => {
+      for (let i = 0; i < 5; i++) {
+        cluster.at(i * 7000, () => {
+          cluster.state.refused.clear();
+          const leader = cluster.leader();
+          if (leader) cluster.state.refused.add(leader);
+          cancelElsewhere(cluster, i + 1);
+        });
+      }
+      cluster.at(35_000, () => cluster.state.refused.clear());
+    },
+  },
+  {
+    name: 'transactions without an answer are carried out late',
+    faults: ({ cluster: cluster }) => {
+      cluster.stateFault = (_node, call) =>
+        call.path === '/commit' && cluster.random() < 0.4
+          ? 2000 + cluster.random() * 10_000
+          : undefined;
+      cluster.at(9000, () => cancelElsewhere(cluster, 1));
+      cluster.at(35_000, () => (cluster.stateFault = null));
+    },
+  },
+  {
+    name: 'transactions are carried out at once and only their answers are lost',
+    faults: ({ cluster: cluster }) => {
+      cluster.stateFault = (_node, call) =>
+        call.path === '/commit' && cluster.random() < 0.4 ? 'lost_after' : undefined;
+      cluster.at(9000, () => cancelElsewhere(cluster, 1));
+      cluster.at(35_000, () => (cluster.stateFault = null));
+    },
+  },
+  {
+    name: 'the limits are lowered in the moment in which a process comes back',
+    faults: ({ cluster: cluster }) => cluster.at(AWAY, () => cluster.lowerLimits()),
+  },
+  {
+    name: 'the leader is replaced last',
+    order: (leader, others) => [...others, leader],
+    faults: ({ cluster: cluster }) => cluster.at(3 * BETWEEN, () => cluster.lowerLimits()),
+  },
+  {
+    name: 'the leader is replaced first',
+    order: (leader, others) => [leader, ...others],
+    faults: ({ cluster: cluster }) => cluster.at(AWAY + 400, () => cancelElsewhere(cluster, 1)),
+  },
+  {
+    name: 'a leader that was replaced is replaced once more',
+    order: (leader, others) => [leader, ...others, leader],
+    faults: ({ cluster: cluster }) => cluster.at(AWAY + 400, () => cluster.lowerLimits()),
+  },
+  {
+    name: 'a process dies before its turn and is back as the older version within a second',
+    order: (leader, others) => [...others, leader],
+    faults: ({ cluster: cluster, leader }) => {
+      for (const [i, pause] of [300, 900, 6000].entries()) {
+        cluster.at(2000 + i * 7500, () => {
+          cluster.crash(leader);
+          cluster.at(pause, () => cluster.alive.has(leader) || cluster.bootOlder(leader));
+        });
+      }
+    },
+  },
+  {
+    name: 'processes are back within a fraction of a second',
+    away: 300,
+    faults: ({ cluster: cluster }) => cluster.at(400, () => cancelElsewhere(cluster, 1)),
+  },
+  {
+    name: 'one process goes back to the older version at each moment of the roll',
+    faults: ({ cluster: cluster, order }) => {
+      for (let i = 0; i < 3; i++) {
+        const name = order[i]!;
+        cluster.at(i * BETWEEN + AWAY + 1500, () => {
+          cluster.crash(name);
+          cluster.at(400, () => cluster.bootOlder(name));
+        });
+        // It gets the current version for good later.
+        cluster.at(3 * BETWEEN + i * 2000, () => {
+          cluster.crash(name);
+          cluster.at(400, () => cluster.boot(name));
+        });
+      }
+    },
+  },
+];
+
+for (const { name, faults, order = usualOrder, away } of MEETINGS) {
+  onEachDeployment(`rolling upgrade: ${name}`, (times) => {
+    for (const seed of SEEDS) {
+      const cluster = olderCluster(times, seed);
+      const leader = cluster.leader()!;
+      const others = cluster.nodes.filter((n) => n !== leader);
+      const roll = { cluster, leader, order: order(leader, others) };
+      replaceAll(roll, away);
+      faults(roll);
+      cluster.run(4 * BETWEEN + AWAY);
+      cluster.lowerLimits();
+      submitChains(cluster);
+      cluster.at(4000, () => cancelElsewhere(cluster, FIRST_CHAIN + 4));
+      cluster.run(20_000);
+      endsWell(cluster);
+      assert.equal(cluster.tooLarge, 0, 'transactions larger than the limits to come');
+    }
+  });
+}
--- a/packages/testing/src/rule-checker.test.ts
+++ b/packages/testing/src/rule-checker.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { parseSubmission } from '@tealdock/wire';
-import { RuleChecker, World, job, type MachineRoom } from './index.js';
-import { A, settled, running, status, ask } from './story.js';
+import { RuleChecker, SimulatedCluster, job, type MachineRoom } from './index.js';
+import { A, settled, running, status, ask } from './scenario.js';
 
 // Each check is shown a fault and must notice it, and nothing else.
 const ROOM: MachineRoom = { type: 'small', zone: 'a', spot: false, cpus: 4, memoryGb: 16 };
@@ -36,14 +36,14 @@
   }
 }
 
-test('a job about which no question is answered for 75 s after all troubles is forgotten', () => {
+test('a job about which no question is answered for 75 s after all faults is forgotten', () => {
   const watch = new Watch();
   const id = watch.accept(1);
   watch.pass(100_000);
   watch.checker.asked(id);
   watch.pass(100_000);
-  assert.deepEqual(watch.rules(), [], 'troubles excuse it');
-  watch.checker.calm();
+  assert.deepEqual(watch.rules(), [], 'faults excuse it');
+  watch.checker.noteFaultsEnded();
   watch.pass(70_000);
   assert.deepEqual(watch.rules(), []);
   watch.pass(10_000);
@@ -53,7 +53,7 @@
 test('an answer in between is an answer', () => {
   const watch = new Watch();
   const id = watch.accept(1);
-  watch.checker.calm();
+  watch.checker.noteFaultsEnded();
   for (let i = 0; i < 5; i++) {
     watch.checker.asked(id);
     watch.pass(50_000);
@@ -84,7 +84,7 @@
 test('a job that is left waiting beside room that fits', () => {
   const watch = new Watch();
   watch.accept(1, { hall: 'b' });
-  watch.checker.calm();
+  watch.checker.noteFaultsEnded();
   watch.pass(200_000, [ROOM]);
   assert.deepEqual(watch.rules(), [], 'the room is in another zone');
   watch.pass(80_000, [{ ...ROOM, zone: 'b' }]);
@@ -99,7 +99,7 @@
   const watch = new Watch();
   const [first] = [watch.accept(1, { batch: 4 }), watch.accept(2)];
   for (let i = 0; i < 4; i++) watch.checker.started(`${first}/${i}`, 'm-1');
-  watch.checker.calm();
+  watch.checker.noteFaultsEnded();
   watch.pass(200_000, [ROOM]);
   assert.deepEqual(watch.rules(), []);
   watch.checker.ended(`${first}/0`, 'm-1', 'done');
@@ -160,37 +160,39 @@
 
 // The machine keeps its lease for longer than it says, so it goes on with what was called off.
 test('a cancelled task that goes on after its machine hung', () => {
-  const terms = { reportEvery: 3000, lease: 90_000, cancelWithin: 45_000, leaderLease: 5000 };
-  const world = settled({ terms, believedLease: 20_000 });
-  world.submit(job(1, { batch: 4, expected_s: 500 }), 'n-0');
-  assert.ok(world.runUntil(() => running(world) === 4, 20_000));
-  for (const w of world.workers.values()) w.hanging = true;
-  assert.equal(status(ask(world, (d) => world.cancel(A, 'n-1', d))), 'aborted');
-  world.run(30_000);
-  assert.equal(world.checker.broken.length, 0);
-  world.run(20_000);
-  for (const w of world.workers.values()) w.hanging = false;
-  world.run(1000);
-  assert.ok(world.checker.broken.some((b) => b.startsWith('ran_cancelled')));
+  const times = { reportEvery: 3000, lease: 90_000, cancelWithin: 45_000, leaderLease: 5000 };
+  const cluster = settled({ times: times, believedLease: 20_000 });
+  cluster.submit(job(1, { batch: 4, expected_s: 500 }), 'n-0');
+  assert.ok(cluster.runUntil(() => running(cluster) === 4, 20_000));
+  for (const w of cluster.workers.values()) w.hanging = true;
+  assert.equal(status(ask(cluster, (d) => cluster.cancel(A, 'n-1', d))), 'aborted');
+  cluster.run(30_000);
+  assert.equal(cluster.checker.broken.length, 0);
+  cluster.run(20_000);
+  for (const w of cluster.workers.values()) w.hanging = false;
+  cluster.run(1000);
+  assert.ok(cluster.checker.broken.some((b) => b.startsWith('ran_cancelled')));
 });
 
 test('odd requests are answered as the protocol says, and change nothing', () => {
-  const world: World = settled();
-  world.submit(job(1, { batch: 4, expected_s: 60 }), 'n-0');
-  assert.ok(world.runUntil(() => running(world) === 4, 20_000));
-  world.run(4000);
-  const again = ask(world, (d) => world.submit(job(1, { batch: 4 }), 'n-1', d));
+  const cluster: SimulatedCluster = settled();
+  cluster.submit(job(1, { batch: 4, expected_s: 60 }), 'n-0');
+  assert.ok(cluster.runUntil(() => running(cluster) === 4, 20_000));
+  cluster.run(4000);
+  const again = ask(cluster, (d) => cluster.submit(job(1, { batch: 4 }), 'n-1', d));
   assert.deepEqual([again?.status, status(again)], [200, 'running']);
   const lacking = job(1, { owner: undefined });
-  const known = ask(world, (d) => world.submitWrong(lacking, 'n-2', d));
+  const known = ask(cluster, (d) => cluster.submitWrong(lacking, 'n-2', d));
   assert.equal(known?.status, 200, 'a known job is known whatever the body says now');
-  const lacks = ask(world, (d) => world.submitWrong({ ...lacking, ref: 'run-000002' }, 'n-0', d));
+  const lacks = ask(cluster, (d) =>
+    cluster.submitWrong({ ...lacking, ref: 'run-000002' }, 'n-0', d),
+  );
   assert.equal(lacks?.status, 400);
-  const large = ask(world, (d) => world.submitWrong(job(3, { mem_gb: 5000 }), 'n-1', d));
+  const large = ask(cluster, (d) => cluster.submitWrong(job(3, { mem_gb: 5000 }), 'n-1', d));
   assert.equal(large?.status, 422);
-  const done = () => world.checker.doneTasks(A).size === 4;
-  assert.ok(world.runUntil(done, 90_000));
-  world.run(3000);
-  assert.equal(status(ask(world, (d) => world.cancel(A, 'n-2', d))), 'done');
-  assert.deepEqual(world.checker.broken, []);
+  const done = () => cluster.checker.doneTasks(A).size === 4;
+  assert.ok(cluster.runUntil(done, 90_000));
+  cluster.run(3000);
+  assert.equal(status(ask(cluster, (d) => cluster.cancel(A, 'n-2', d))), 'done');
+  assert.deepEqual(cluster.checker.broken, []);
 });
--- a/packages/testing/src/rule-checker.ts
+++ b/packages/testing/src/rule-checker.ts
@@ -36,7 +36,7 @@
 }
 
 /**
- * Watches the world from outside the controllers: what users were told, and
+ * Watches the cluster from outside the controllers: what users were told, and
  * what runs where. It knows nothing of how the service works.
  */
 export class RuleChecker {
@@ -44,8 +44,8 @@
   starts = 0;
   /** Starts after a confirmed cancellation: the start may have been on its way. */
   startsAfterCancel = 0;
-  /** Since when all troubles are over. */
-  private calmSince: number | null = null;
+  /** Since when all faults are over. */
+  private faultFreeSince: number | null = null;
   private readonly wrong = new Set<string>();
   private readonly jobs = new Map<string, Seen>();
   private readonly most = new Map<string, number>();
@@ -78,8 +78,8 @@
     if (!this.jobs.has(id)) this.wrong.add(id);
   }
 
-  calm(): void {
-    this.calmSince = this.now();
+  noteFaultsEnded(): void {
+    this.faultFreeSince = this.now();
   }
 
   /** A question about a job was put to some node. */
@@ -135,7 +135,7 @@
   private toldState(id: string, job: Seen, state: string): void {
     if (state === 'done' && job.doneTasks.size < job.spec.taskCount) this.break('not_done', id);
     if (state === 'queued' || state === 'running') {
-      const late = this.now() - this.doomedSince(job) > this.cancelWithin;
+      const late = this.now() - this.predecessorCancelledSince(job) > this.cancelWithin;
       if (late) this.break('orphaned', `${id} ${state}`);
     }
     if (state !== 'done' && state !== 'aborted') return;
@@ -183,30 +183,30 @@
   }
 
   /** When a user was first told that a job before it, however far, is cancelled. */
-  private doomedSince(job: Seen, seen = new Set<Seen>()): number {
+  private predecessorCancelledSince(job: Seen, seen = new Set<Seen>()): number {
     let first = Infinity;
     for (const p of this.before(job)) {
       if (seen.has(p)) continue;
       seen.add(p);
-      first = Math.min(first, p.cancelTold ?? Infinity, this.doomedSince(p, seen));
+      first = Math.min(first, p.cancelTold ?? Infinity, this.predecessorCancelledSince(p, seen));
     }
     return first;
   }
 
   check(): void {
     for (const [task, on] of this.running) if (on.size > 0) this.checkCancelled(task);
-    if (this.calmSince === null) return;
+    if (this.faultFreeSince === null) return;
     for (const [id, job] of this.jobs) {
-      const since = Math.max(job.unanswered ?? Infinity, this.calmSince);
+      const since = Math.max(job.unanswered ?? Infinity, this.faultFreeSince);
       if (!job.accepted || this.now() - since <= UNANSWERED) continue;
       this.break('forgotten', `${id}: no answer`);
       job.unanswered = null;
     }
   }
 
-  /** With all troubles over, no job waits where a machine that fits has had room all along. */
+  /** With all faults over, no job waits where a machine that fits has had room all along. */
   checkRooms(rooms: MachineRoom[]): void {
-    if (this.calmSince === null) return;
+    if (this.faultFreeSince === null) return;
     const onMachines = this.countRunning();
     for (const [id, job] of this.jobs) {
       if (!this.couldRun(job, onMachines.get(id) ?? 0, rooms)) job.leftWaiting = null;
--- a/packages/testing/src/scale.test.ts
+++ b/packages/testing/src/scale.test.ts
@@ -4,13 +4,13 @@
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import type { Call } from '@tealdock/controller';
 import { choose, dominates, firstOfFront, type Volunteer } from '@tealdock/scheduler';
-import { World, job } from './index.js';
-import { A, keepsRules, running, settled } from './story.js';
+import { SimulatedCluster, job } from './index.js';
+import { A, keepsRules, running, settled } from './scenario.js';
 
 /** Notes every call to the state service. */
-function recordCalls(world: World): Call[] {
+function recordCalls(cluster: SimulatedCluster): Call[] {
   const calls: Call[] = [];
-  world.stateFault = (_node, call) => void calls.push(call);
+  cluster.stateFault = (_node, call) => void calls.push(call);
   return calls;
 }
 
@@ -18,11 +18,11 @@
 
 // One change for each machine took most of a minute of the state service's changes.
 test('a thousand machines join with few changes of the state service', () => {
-  const world = settled({}, 1);
-  const calls = recordCalls(world);
-  for (let i = 0; i < 1000; i++) world.cloud.add(i % 2 ? 'a' : 'b');
-  world.run(15_000);
-  const enrolled = [...world.state.keys]
+  const cluster = settled({}, 1);
+  const calls = recordCalls(cluster);
+  for (let i = 0; i < 1000; i++) cluster.cloud.add(i % 2 ? 'a' : 'b');
+  cluster.run(15_000);
+  const enrolled = [...cluster.state.keys]
     .filter(([key]) => key.includes('/roster/'))
     .flatMap(([, e]) => Object.keys((e.v as { entries: object }).entries));
   assert.equal(enrolled.length, 1001);
@@ -30,40 +30,40 @@
 });
 
 test('the roster of a thousand machines outlives its leader, and none is written twice', () => {
-  const world = settled({ cpuLimit: 10_000 }, 300);
-  world.submit(job(1, { batch: 900, expected_s: 40 }), 'n-0');
-  assert.ok(world.runUntil(() => running(world) === 900, 30_000));
-  world.crash(world.leader()!);
-  world.run(60_000);
-  keepsRules(world);
-  assert.ok(world.checker.starts >= 900);
-  assert.ok(world.checker.starts < 930, `${world.checker.starts} starts of 900 tasks`);
+  const cluster = settled({ cpuLimit: 10_000 }, 300);
+  cluster.submit(job(1, { batch: 900, expected_s: 40 }), 'n-0');
+  assert.ok(cluster.runUntil(() => running(cluster) === 900, 30_000));
+  cluster.crash(cluster.leader()!);
+  cluster.run(60_000);
+  keepsRules(cluster);
+  assert.ok(cluster.checker.starts >= 900);
+  assert.ok(cluster.checker.starts < 930, `${cluster.checker.starts} starts of 900 tasks`);
 });
 
 // A poll each needed a read or two of the few hundred a second.
 test('a hundred polls share a few requests to the state service', () => {
-  const world = settled({ capacity: 2 }, 2);
+  const cluster = settled({ capacity: 2 }, 2);
   const ids = Array.from({ length: 100 }, (_, i) => `run-${String(i + 1).padStart(6, '0')}`);
-  for (let i = 1; i <= 100; i++) world.submit(job(i, { expected_s: 500 }), 'n-0');
-  world.run(5000);
-  const calls = recordCalls(world);
+  for (let i = 1; i <= 100; i++) cluster.submit(job(i, { expected_s: 500 }), 'n-0');
+  cluster.run(5000);
+  const calls = recordCalls(cluster);
   let answered = 0;
-  for (const id of ids) world.poll(id, 'n-0', (r) => (answered += r?.status === 200 ? 1 : 0));
-  world.run(500);
+  for (const id of ids) cluster.poll(id, 'n-0', (r) => (answered += r?.status === 200 ? 1 : 0));
+  cluster.run(500);
   assert.equal(answered, 100);
   const asked = calls.filter((c) => c.priority === 1).length;
   assert.ok(asked <= 10, `${asked} requests`);
-  keepsRules(world);
+  keepsRules(cluster);
 });
 
 test('hundreds of machines are rented with few calls', () => {
-  const world = new World({ capacity: 400, cpuLimit: 5000 });
-  world.run(5000);
-  world.submit(job(1, { batch: 1200, spare: true, expected_s: 60 }), 'n-0');
-  assert.ok(world.runUntil(() => world.cloud.rented.length >= 300, 10_000));
-  assert.ok(world.cloud.rentCalls <= 16, `${world.cloud.rentCalls} calls`);
-  assert.ok(world.runUntil(() => running(world) === 1200, 40_000));
-  keepsRules(world);
+  const cluster = new SimulatedCluster({ capacity: 400, cpuLimit: 5000 });
+  cluster.run(5000);
+  cluster.submit(job(1, { batch: 1200, spare: true, expected_s: 60 }), 'n-0');
+  assert.ok(cluster.runUntil(() => cluster.cloud.rented.length >= 300, 10_000));
+  assert.ok(cluster.cloud.rentCalls <= 16, `${cluster.cloud.rentCalls} calls`);
+  assert.ok(cluster.runUntil(() => running(cluster) === 1200, 40_000));
+  keepsRules(cluster);
 });
 
 function plainChoice(volunteers: Volunteer[]): Volunteer | undefined {
@@ -104,17 +104,17 @@
 });
 
 test('sums kept as bindings change agree with bindings added up', () => {
-  const world = settled({ capacity: 6, cpuLimit: 12, guarantee: 4, runTime: 6000 }, 4);
+  const cluster = settled({ capacity: 6, cpuLimit: 12, guarantee: 4, runTime: 6000 }, 4);
   for (let i = 1; i <= 12; i++) {
     const owner = i % 2 ? 'team' : 'other';
     const urgency = ['urgent', 'normal', 'idle'][i % 3];
-    world.at(i * 3000, () => world.submit(job(i, { owner, urgency, batch: 9 }), 'n-0'));
+    cluster.at(i * 3000, () => cluster.submit(job(i, { owner, urgency, batch: 9 }), 'n-0'));
   }
-  world.at(15_000, () => world.crash(world.leader()!));
-  world.run(120_000);
+  cluster.at(15_000, () => cluster.crash(cluster.leader()!));
+  cluster.run(120_000);
   // The checker adds up what runs at every start and compares it with the limit.
-  keepsRules(world);
-  assert.ok(world.checker.starts > 60);
-  assert.ok(world.checker.mostUsed('team') > 11, 'the limit is used, so nothing leaks');
-  assert.equal(world.jobs.has(A), true);
+  keepsRules(cluster);
+  assert.ok(cluster.checker.starts > 60);
+  assert.ok(cluster.checker.mostUsed('team') > 11, 'the limit is used, so nothing leaks');
+  assert.equal(cluster.jobs.has(A), true);
 });
--- /dev/null
+++ b/packages/testing/src/scenarios.test.ts
@@ -0,0 +1,436 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import type { StatsView } from '@tealdock/controller';
+import { packBody } from '@tealdock/wire';
+import { job, SimulatedCluster } from './index.js';
+import { A, ask, finished, keepsRules, others, running, settled, status } from './scenario.js';
+
+test('a job is accepted, runs, is done and stays known', () => {
+  const cluster = settled();
+  assert.equal(ask(cluster, (d) => cluster.submit(job(1), 'n-0', d))?.status, 201);
+  assert.ok(finished(cluster, A));
+  const again = ask(cluster, (d) => cluster.submit(job(1), 'n-1', d));
+  assert.equal(again?.status, 200);
+  assert.equal(status(again), 'done');
+  keepsRules(cluster);
+});
+
+test('a retried submission after the end is answered even when it is malformed by now', () => {
+  const cluster = settled();
+  cluster.submit(job(1), 'n-0');
+  assert.ok(finished(cluster, A));
+  const unknownTeam = ask(cluster, (d) => cluster.submit(job(1, { owner: 'gone' }), 'n-1', d));
+  assert.equal(unknownTeam?.status, 200);
+  keepsRules(cluster);
+});
+
+test('bad requests get what the protocol says and change nothing', () => {
+  const cluster = settled();
+  const post = (body: unknown) => cluster.raw('n-0', 'POST', '/api/jobs', packBody(body));
+  assert.equal(post('text')?.status, 400);
+  assert.equal(post(job(1, { batch: 0 }))?.status, 400);
+  assert.equal(post(job(1, { ref: 'job-1' }))?.status, 400);
+  assert.equal(post(job(1, { owner: 'nobody' }))?.status, 422);
+  assert.equal(post(job(1, { cpus: 64 }))?.status, 422);
+  assert.equal(cluster.raw('n-0', 'GET', `/api/jobs/${A}`, Buffer.alloc(0))?.status, 404);
+  assert.equal(cluster.raw('n-0', 'GET', '/api/jobs/..%2f', Buffer.alloc(0))?.status, 404);
+  assert.equal(cluster.raw('n-0', 'DELETE', `/api/jobs/${A}`, Buffer.alloc(0))?.status, 405);
+  assert.equal(cluster.raw('n-0', 'GET', '/nowhere', Buffer.alloc(0))?.status, 404);
+  assert.equal(cluster.raw('n-0', 'POST', '/hello', packBody({ host: 1 }))?.status, 400);
+  assert.equal([...cluster.state.keys.keys()].filter((k) => k.includes('run-')).length, 0);
+});
+
+test('a node that does not know the machine types cannot judge yet', () => {
+  const cluster = new SimulatedCluster();
+  cluster.cloud.down = true;
+  cluster.run(8000);
+  assert.equal(ask(cluster, (d) => cluster.submit(job(1), 'n-0', d))?.status, 503);
+});
+
+test('the catalog is kept, so a cloud outage at start does not stop acceptance', () => {
+  const cluster = settled();
+  cluster.run(40_000);
+  cluster.cloud.down = true;
+  for (const n of cluster.nodes) cluster.crash(n);
+  for (const n of cluster.nodes) cluster.boot(n);
+  cluster.run(15_000);
+  assert.equal(ask(cluster, (d) => cluster.submit(job(1), 'n-0', d))?.status, 201);
+});
+
+test('take-over while a start is in flight: the task runs once', () => {
+  const cluster = settled();
+  cluster.submit(job(1, { batch: 4, expected_s: 40 }), others(cluster)[0]!);
+  const sent = () => cluster.log.some((l) => l.message === 'start sent');
+  assert.ok(cluster.runUntil(sent, 10_000));
+  const old = cluster.leader()!;
+  cluster.crash(old);
+  assert.ok(finished(cluster, A, 200_000));
+  assert.notEqual(cluster.leader(), old);
+  keepsRules(cluster);
+});
+
+test('a late report after a take-over changes nothing and gets no orders', () => {
+  const cluster = settled({}, 1);
+  const worker = [...cluster.workers.values()][0]!;
+  const token = worker.fence;
+  cluster.crash(cluster.leader()!);
+  cluster.run(15_000);
+  assert.ok(worker.fence > token, 'the worker has seen the new leader');
+  const piece = { piece: 'run-000009/0', try_no: 1, status: 'running' };
+  const { id, type, zone } = worker.machine;
+  const place = { host: id, addr: 'x:1', flavour: type, hall: zone, spare: false };
+  const late = { ...place, shift: 1, tally: 1, fence: token, warning_s: null, batch: [piece] };
+  const reply = cluster.raw(cluster.leader()!, 'POST', '/hello', packBody(late));
+  assert.equal(reply?.status, 200);
+  assert.deepEqual((reply?.body as { orders: unknown[] }).orders, []);
+  cluster.submit(job(1, { batch: 4 }), cluster.leader()!);
+  assert.ok(finished(cluster, A), 'the whole machine is still free for work');
+  keepsRules(cluster);
+});
+
+test('a restarted controller takes its own leadership over with a new token', () => {
+  const cluster = settled();
+  const old = cluster.leader()!;
+  const tokens = () =>
+    cluster.log.filter((l) => l.message === 'leading').map((l) => l.fields['token']);
+  const before = tokens().length;
+  cluster.crash(old);
+  cluster.boot(old);
+  cluster.run(2000);
+  assert.equal(cluster.leader(), old);
+  assert.equal(tokens().length, before + 1);
+  assert.equal(new Set(tokens()).size, tokens().length);
+});
+
+test('the old leader hangs, is replaced and wakes: nobody takes orders from it', () => {
+  const cluster = settled();
+  cluster.submit(job(1, { batch: 8, expected_s: 30 }), others(cluster)[0]!);
+  cluster.run(6000);
+  const old = cluster.leader()!;
+  cluster.hang(old, true);
+  cluster.run(25_000);
+  assert.notEqual(cluster.leader(), old);
+  cluster.hang(old, false);
+  assert.ok(finished(cluster, A, 200_000));
+  keepsRules(cluster);
+});
+
+test('a worker cut through its lease: its tasks run elsewhere only once it is over', () => {
+  const cluster = settled({}, 2);
+  cluster.submit(job(1, { batch: 6, expected_s: 15 }), 'n-0');
+  cluster.runUntil(() => running(cluster) >= 6, 20_000);
+  const victim = [...cluster.workers.keys()][0]!;
+  cluster.cuts.add(victim);
+  cluster.run(5000);
+  assert.ok(running(cluster) >= 6, 'nothing was moved yet');
+  cluster.run(30_000);
+  cluster.cuts.delete(victim);
+  assert.ok(finished(cluster, A, 200_000));
+  keepsRules(cluster);
+});
+
+test('a hanging machine that wakes within its lease goes on with its tasks', () => {
+  const cluster = settled({}, 2);
+  cluster.submit(job(1, { batch: 6, expected_s: 20 }), 'n-0');
+  cluster.runUntil(() => running(cluster) >= 6, 20_000);
+  const victim = [...cluster.workers.values()][0]!;
+  victim.hanging = true;
+  cluster.run(12_000);
+  victim.hanging = false;
+  assert.ok(finished(cluster, A));
+  keepsRules(cluster);
+});
+
+test('a lost answer with a start: the task is given to another attempt', () => {
+  const cluster = settled({}, 1);
+  const worker = [...cluster.workers.values()][0]!;
+  for (const n of cluster.nodes) cluster.cuts.add(`${n}>${worker.machine.id}`);
+  cluster.submit(job(1, { batch: 1 }), 'n-0');
+  cluster.run(6000);
+  cluster.cuts.clear();
+  assert.ok(finished(cluster, A));
+  keepsRules(cluster);
+});
+
+test('cancel against done on two nodes: one of them wins for good', () => {
+  for (const moment of [0, 100, 200, 300, 400]) {
+    const cluster = settled({ runTime: 3000 }, 1);
+    cluster.submit(job(1, { batch: 1 }), 'n-0');
+    const exited = () =>
+      [...cluster.workers.values()].some((w) => w.tasks.some((t) => t.status === 'exited'));
+    assert.ok(cluster.runUntil(exited, 20_000));
+    cluster.run(moment);
+    cluster.cancel(A, others(cluster)[0]!);
+    cluster.poll(A, others(cluster)[1]!);
+    cluster.run(5000);
+    assert.equal(ask(cluster, (d) => cluster.poll(A, 'n-2', d))?.status, 200);
+    keepsRules(cluster);
+  }
+});
+
+test('a cancelled job is gone from its machines within the limit', () => {
+  const cluster = settled();
+  cluster.submit(job(1, { batch: 4, expected_s: 500 }), 'n-0');
+  assert.ok(cluster.runUntil(() => running(cluster) === 4, 20_000));
+  assert.equal(status(ask(cluster, (d) => cluster.cancel(A, 'n-1', d))), 'aborted');
+  cluster.run(10_000);
+  assert.equal(running(cluster), 0);
+  keepsRules(cluster);
+});
+
+test('a commit without an answer is 503, and the retry finds the job', () => {
+  const cluster = settled();
+  cluster.stateFault = (_node, call) => (call.path === '/commit' ? 'lost_after' : undefined);
+  assert.equal(ask(cluster, (d) => cluster.submit(job(1), others(cluster)[0]!, d))?.status, 503);
+  cluster.stateFault = null;
+  assert.equal(ask(cluster, (d) => cluster.submit(job(1), 'n-1', d))?.status, 200);
+  assert.ok(finished(cluster, A, 200_000));
+  keepsRules(cluster);
+});
+
+test('an election commit without an answer is recognised by its nonce', () => {
+  const cluster = new SimulatedCluster();
+  let lost = 0;
+  cluster.stateFault = (_node, call) =>
+    call.path === '/commit' && lost++ < 1 ? 'lost_after' : undefined;
+  assert.ok(cluster.runUntil(() => cluster.log.some((l) => l.message === 'leading'), 10_000));
+  assert.equal(lost >= 1, true);
+});
+
+for (const [name, length] of [
+  ['shorter', 6000],
+  ['longer', 25_000],
+] as const) {
+  test(`a state outage ${name} than the leader's lease`, () => {
+    const cluster = settled();
+    cluster.submit(job(1, { batch: 8, expected_s: 30 }), 'n-0');
+    cluster.run(8000);
+    cluster.state.down = true;
+    cluster.run(length);
+    assert.equal(ask(cluster, (d) => cluster.poll(A, 'n-1', d))?.status, 503);
+    cluster.state.restore();
+    assert.ok(finished(cluster, A, 200_000));
+    keepsRules(cluster);
+  });
+}
+
+test('an outage common to all leaves the nodes healthy', () => {
+  const cluster = settled();
+  cluster.state.down = true;
+  cluster.run(10_000);
+  assert.equal(cluster.raw('n-0', 'GET', '/healthz', Buffer.alloc(0))?.status, 200);
+});
+
+test('a node refused alone by the state service has a peer answer', () => {
+  const cluster = settled();
+  const alone = others(cluster)[0]!;
+  cluster.stateFault = (node) => (node === alone ? 'lost_before' : undefined);
+  cluster.run(6000);
+  assert.equal(ask(cluster, (d) => cluster.submit(job(1), alone, d))?.status, 201);
+  keepsRules(cluster);
+});
+
+test('a leader that hears no worker makes way', () => {
+  const cluster = settled({}, 3);
+  const old = cluster.leader()!;
+  cluster.run(15_000);
+  for (const id of cluster.workers.keys()) {
+    cluster.cuts.add(`${id}>${old}`);
+  }
+  cluster.run(20_000);
+  assert.notEqual(cluster.leader(), old);
+});
+
+test('all controllers down: work goes on within leases and is done afterwards', () => {
+  const cluster = settled();
+  cluster.submit(job(1, { batch: 6, expected_s: 20 }), 'n-0');
+  cluster.run(8000);
+  for (const n of cluster.nodes) cluster.crash(n);
+  cluster.run(8000);
+  for (const n of cluster.nodes) cluster.boot(n);
+  assert.ok(finished(cluster, A));
+  keepsRules(cluster);
+});
+
+test("the team's limit holds through a rebuild with a silent machine", () => {
+  const cluster = settled({ cpuLimit: 4 }, 2);
+  cluster.submit(job(1, { batch: 12, expected_s: 30 }), 'n-0');
+  assert.ok(cluster.runUntil(() => running(cluster) === 4, 20_000));
+  cluster.cuts.add([...cluster.workers.keys()][0]!);
+  cluster.crash(cluster.leader()!);
+  cluster.run(40_000);
+  cluster.cuts.clear();
+  assert.ok(finished(cluster, A, 300_000));
+  keepsRules(cluster);
+});
+
+test('machines are rented for the backlog and given back when idle', () => {
+  const cluster = new SimulatedCluster({ capacity: 4 });
+  cluster.run(5000);
+  cluster.submit(job(1, { batch: 8, expected_s: 20 }), 'n-0');
+  assert.ok(finished(cluster, A));
+  assert.ok(cluster.cloud.rented.length >= 2);
+  assert.ok(cluster.runUntil(() => cluster.cloud.machines.size === 0, 150_000));
+  keepsRules(cluster);
+});
+
+// A machine for one task costs more than a slot's share of it: it was never rented.
+test('a single small task without any aim gets a machine', () => {
+  const cluster = new SimulatedCluster({ capacity: 4 });
+  cluster.run(5000);
+  cluster.submit(job(1, { batch: 1 }), 'n-0');
+  assert.ok(finished(cluster, A, 150_000));
+  keepsRules(cluster);
+});
+
+test('owned machines are never given back', () => {
+  const cluster = settled({}, 2);
+  cluster.run(200_000);
+  assert.equal(cluster.cloud.machines.size, 2);
+});
+
+test('a wave of taken machines, some without notice: their tasks run again', () => {
+  const cluster = settled({ capacity: 6 }, 4);
+  cluster.submit(job(1, { batch: 16, expected_s: 30 }), 'n-0');
+  cluster.run(12_000);
+  const ids = [...cluster.workers.keys()].slice(0, 3);
+  cluster.workers.get(ids[0]!)!.warning = 6;
+  cluster.at(6000, () => cluster.cloud.take(ids[0]!));
+  for (const id of ids.slice(1)) cluster.cloud.take(id);
+  assert.ok(finished(cluster, A, 300_000));
+  keepsRules(cluster);
+});
+
+test('a faulty machine is put aside and its tasks run elsewhere', () => {
+  const cluster = settled({ fails: (_piece, machine) => machine === 'm-000001', runTime: 2000 }, 2);
+  for (let i = 1; i <= 4; i++) cluster.submit(job(i), 'n-0');
+  for (let i = 1; i <= 4; i++) assert.ok(finished(cluster, `run-00000${i}`, 200_000));
+  keepsRules(cluster);
+});
+
+// A day stood still with thousands of stops: borrowed work of higher priority
+// took the room of work inside a guarantee, which was reclaimed, without end.
+test('work inside a guarantee and higher borrowed work do not stop each other in turn', () => {
+  const cluster = settled({ capacity: 2, guarantee: 4 }, 2);
+  const low = { owner: 'other', urgency: 'idle', batch: 4, expected_s: 40 };
+  cluster.submit(job(1, low), 'n-0');
+  cluster.submit(job(2, { batch: 8, expected_s: 40 }), 'n-0');
+  cluster.run(60_000);
+  const stops = cluster.log.filter((l) => l.message === 'preempting').length;
+  assert.ok(stops <= 4, `${stops} stops`);
+  assert.ok(finished(cluster, A));
+  assert.ok(finished(cluster, 'run-000002'));
+  keepsRules(cluster);
+});
+
+// Another form of it: small tasks of the borrower took what larger ones reclaimed.
+test('a team gets its guarantee back from a team that borrows', () => {
+  const cluster = settled({ capacity: 2, guarantee: 4 }, 2);
+  cluster.submit(job(1, { batch: 30, expected_s: 300 }), 'n-0');
+  assert.ok(cluster.runUntil(() => running(cluster) === 8, 20_000));
+  cluster.submit(
+    job(2, { owner: 'other', urgency: 'idle', batch: 2, cpus: 2, expected_s: 10 }),
+    'n-0',
+  );
+  assert.ok(finished(cluster, 'run-000002', 120_000));
+  keepsRules(cluster);
+});
+
+// A third form: large tasks stopped two small ones of a team that was one beyond
+// its guarantee; it was then below it, and reclaimed what had just come free.
+test('a team is not pushed below its guarantee', () => {
+  const cluster = settled({ capacity: 2, guarantee: 3 }, 2);
+  cluster.submit(job(1, { batch: 40, expected_s: 200 }), 'n-0');
+  assert.ok(cluster.runUntil(() => running(cluster) === 8, 20_000));
+  cluster.submit(
+    job(2, { owner: 'other', urgency: 'idle', batch: 6, cpus: 2, expected_s: 300 }),
+    'n-0',
+  );
+  cluster.run(200_000);
+  const stops = cluster.log.filter((l) => l.message === 'preempting').length;
+  assert.ok(stops > 0 && stops <= 8, `${stops} stops`);
+  keepsRules(cluster);
+});
+
+test('a gang waits until all its tasks fit at once, and a service runs until cancelled', () => {
+  const cluster = settled({ capacity: 2 }, 2);
+  cluster.submit(job(1, { batch: 2, cpus: 3, shape: 'service', expected_s: 1e6 }), 'n-0');
+  assert.ok(cluster.runUntil(() => running(cluster) === 2, 20_000));
+  cluster.submit(job(2, { batch: 3, cpus: 1, shape: 'group' }), 'n-0');
+  cluster.run(15_000);
+  assert.equal(running(cluster), 2, 'two of three would fit, so none is started');
+  cluster.cancel(A, 'n-1');
+  assert.ok(cluster.runUntil(() => running(cluster) === 3, 20_000));
+  assert.ok(finished(cluster, 'run-000002'));
+  keepsRules(cluster);
+});
+
+test('a job that fails everywhere backs off and starves nobody', () => {
+  const cluster = settled({ fails: (piece) => piece.startsWith(A), runTime: 1000 }, 2);
+  cluster.submit(job(1), 'n-0');
+  cluster.run(60_000);
+  const tries = cluster.log.filter((l) => l.message === 'task failed').length;
+  assert.ok(tries < 40, `${tries} tries`);
+  cluster.submit(job(2), 'n-1');
+  assert.ok(finished(cluster, 'run-000002'));
+});
+
+test('higher priority gets room from lower, which runs again', () => {
+  const cluster = settled({ capacity: 1 }, 1);
+  cluster.submit(job(1, { batch: 4, urgency: 'idle', expected_s: 60 }), 'n-0');
+  assert.ok(cluster.runUntil(() => running(cluster) === 4, 20_000));
+  cluster.submit(job(2, { batch: 1, urgency: 'urgent', expected_s: 5 }), 'n-0');
+  assert.ok(finished(cluster, 'run-000002', 30_000));
+  assert.ok(finished(cluster, A, 300_000));
+  keepsRules(cluster);
+});
+
+test('a big job keeps its progress in chunks through a take-over', () => {
+  const cluster = settled({ runTime: 200, capacity: 2 }, 2);
+  cluster.submit(job(1, { batch: 9000, cpus: 0.01, mem_gb: 0.01 }), 'n-0');
+  const stored = () =>
+    [...cluster.state.keys].reduce(
+      (n, [k, e]) => n + (k.includes('/progress/') ? doneIn(e.v) : 0),
+      0,
+    );
+  assert.ok(cluster.runUntil(() => stored() > 100, 60_000));
+  const before = stored();
+  cluster.crash(cluster.leader()!);
+  cluster.run(30_000);
+  const reply = ask(cluster, (d) => cluster.poll(A, [...cluster.alive.keys()][0]!, d));
+  assert.ok(((reply?.body as { done: number }).done ?? 0) >= before);
+  keepsRules(cluster);
+});
+
+test('what a big job leaves behind in the state service is removed', () => {
+  const cluster = settled({ runTime: 200, capacity: 2, txnOps: 2 }, 2);
+  cluster.submit(job(1, { batch: 8200, cpus: 0.005, mem_gb: 0.005 }), 'n-0');
+  assert.ok(finished(cluster, A, 300_000));
+  const left = () => [...cluster.state.keys.keys()].filter((k) => k.includes('/live/'));
+  assert.ok(
+    cluster.runUntil(() => left().length === 0, 10_000),
+    left().join(),
+  );
+  keepsRules(cluster);
+});
+
+test('a controller shows what it has counted and how long things took', () => {
+  const cluster = settled();
+  cluster.submit(job(1, { batch: 4 }), 'n-0');
+  assert.ok(finished(cluster, A));
+  const reply = cluster.raw(cluster.leader()!, 'GET', '/metrics', Buffer.alloc(0));
+  const { counters, histograms } = reply?.body as StatsView;
+  assert.ok(counters['reports.counted']! > 4);
+  assert.equal(counters['bindings.ended.done'], 4);
+  assert.equal(histograms['starts.booked_to_sent_ms']?.count, 4);
+  assert.ok(histograms['takeover.ready_ms']!.max > 0);
+  assert.equal(cluster.raw('n-0', 'POST', '/metrics', Buffer.alloc(0))?.status, 405);
+});
+
+/** Tasks that a shard of the progress table calls done. */
+function doneIn(value: unknown): number {
+  const bits = Object.values((value as { entries: Record<string, string> }).entries).join('');
+  return [...Buffer.from(bits, 'base64')].reduce((n, byte) => n + popCount(byte), 0);
+}
+
+const popCount = (byte: number): number => [...byte.toString(2)].filter((b) => b === '1').length;
--- a/packages/testing/src/world.ts
+++ b/packages/testing/src/simulated-cluster.ts
@@ -36,7 +36,7 @@
 /** A call that is lost before or after it is carried out, or is carried out (so much) later. */
 type StateFault = 'lost_before' | 'lost_after' | 'late' | number;
 
-export interface WorldOptions {
+export interface ClusterOptions {
   seed?: number;
   capacity?: number;
   cpuLimit?: number;
@@ -58,11 +58,11 @@
   next?: StateCaps;
   /** What the controllers take for the workers' lease; a wrong one breaks a guard on purpose. */
   believedLease?: number;
-  terms?: Terms;
+  times?: DeploymentTimes;
 }
 
 /** Times of a deployment, in ms. */
-export interface Terms {
+export interface DeploymentTimes {
   reportEvery: number;
   lease: number;
   cancelWithin: number;
@@ -88,7 +88,7 @@
   run: () => void;
 }
 
-const USUAL: Terms = {
+const USUAL: DeploymentTimes = {
   reportEvery: 3000,
   lease: 20_000,
   cancelWithin: 45_000,
@@ -99,7 +99,7 @@
   member: string,
   cpuLimit: number,
   guarantee = 0,
-  terms = USUAL,
+  times = USUAL,
 ): Settings {
   const peers = NODES.filter((n) => n !== member).map((n) => ({ member: n, addr: `${n}:1` }));
   return {
@@ -120,9 +120,9 @@
       gpusMax: Infinity,
     })),
     objectives: [],
-    reportEvery: terms.reportEvery,
-    workerLease: terms.lease,
-    cancelWithin: terms.cancelWithin,
+    reportEvery: times.reportEvery,
+    workerLease: times.lease,
+    cancelWithin: times.cancelWithin,
     state: { rps: 100, writeRps: 100, valueBytes: 4096, txnOps: 8 },
     cloud: { rps: 6, listLag: 1000 },
     maxConnections: 4000,
@@ -130,9 +130,9 @@
 }
 
 /** Everything in memory and in simulated time: nodes, workers, state, cloud, network. */
-export class World implements WorkerHost {
+export class SimulatedCluster implements WorkerHost {
   readonly nodes = NODES;
-  readonly terms: Terms;
+  readonly times: DeploymentTimes;
   readonly reportEvery: number;
   readonly lease: number;
   readonly state: FakeState;
@@ -166,10 +166,10 @@
   private order = 0;
   private lives = 0;
 
-  constructor(readonly options: WorldOptions = {}) {
-    this.terms = options.terms ?? USUAL;
-    this.reportEvery = this.terms.reportEvery;
-    this.lease = this.terms.lease;
+  constructor(readonly options: ClusterOptions = {}) {
+    this.times = options.times ?? USUAL;
+    this.reportEvery = this.times.reportEvery;
+    this.lease = this.times.lease;
     const generator = xoroshiro128plus(options.seed ?? 1);
     this.random = () => uniformFloat64(generator);
     this.state = new FakeState(() => this.clock, options.limits);
@@ -184,7 +184,7 @@
       ['team', limit],
       ['other', limit],
     ]);
-    this.checker = new RuleChecker(() => this.clock, limits, this.terms.cancelWithin);
+    this.checker = new RuleChecker(() => this.clock, limits, this.times.cancelWithin);
     for (const name of NODES) this.boot(name);
   }
 
@@ -246,14 +246,14 @@
 
   private start(name: string, caps: StateCaps): void {
     const { cpuLimit, guarantee, believedLease } = this.options;
-    const settings = settingsFor(name, cpuLimit ?? 100, guarantee, this.terms);
-    settings.workerLease = believedLease ?? this.terms.lease;
+    const settings = settingsFor(name, cpuLimit ?? 100, guarantee, this.times);
+    settings.workerLease = believedLease ?? this.times.lease;
     settings.state = { ...settings.state, ...caps };
     const { limits } = this.options;
     settings.maxConnections = limits?.sockets ?? settings.maxConnections;
     if (limits) settings.state = { ...settings.state, ...limits };
     const operator = parseOperatorSettings(
-      `[leadership]\nlease_s = ${this.terms.leaderLease / 1000}\n`,
+      `[leadership]\nlease_s = ${this.times.leaderLease / 1000}\n`,
     );
     const log = (_level: string, fields: Record<string, unknown>, message: string) =>
       void this.log.push({ node: name, message, fields });
@@ -496,8 +496,8 @@
     for (const n of NODES) this.cuts.delete(`${machine}>${n}`);
   }
 
-  /** All troubles are over: from now on nothing excuses a job that waits or is not known. */
-  calm(): void {
+  /** All faults are over: from now on nothing excuses a job that waits or is not known. */
+  endFaults(): void {
     this.cuts.clear();
     this.state.refused.clear();
     this.stateFault = this.stateDelay = this.copyDelay = this.copyTo = null;
@@ -508,7 +508,7 @@
       if (!this.alive.has(name)) this.boot(name);
       this.hang(name, false);
     }
-    this.checker.calm();
+    this.checker.noteFaultsEnded();
   }
 
   /** What is free on each machine that works, by what is on it. */
--- /dev/null
+++ b/packages/testing/src/single-faults.test.ts
@@ -0,0 +1,254 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { whyTooShort } from '@tealdock/controller';
+import { job } from './index.js';
+import { A, ask, finished, keepsRules, others, running, settled, status } from './scenario.js';
+
+// Its reports arrive while no answer does: it looks idle, the best of volunteers.
+test('a machine that hears nothing does not eat start after start', () => {
+  const cluster = settled({}, 2);
+  const deaf = [...cluster.workers.keys()][0]!;
+  cluster.deafen(deaf);
+  cluster.submit(job(1, { batch: 4, expected_s: 10 }), 'n-0');
+  cluster.submit(job(2, { batch: 8, expected_s: 10 }), 'n-0');
+  assert.ok(finished(cluster, A, 90_000));
+  assert.ok(finished(cluster, 'run-000002', 90_000));
+  cluster.run(120_000);
+  const lost = cluster.log.filter((l) => l.message === 'start was lost').length;
+  assert.ok(lost >= 1 && lost <= 4, `${lost} times a start was lost`);
+  keepsRules(cluster);
+});
+
+test('a machine that hears again is used again', () => {
+  const cluster = settled({ capacity: 1 }, 1);
+  const deaf = [...cluster.workers.keys()][0]!;
+  cluster.deafen(deaf);
+  cluster.submit(job(1), 'n-0');
+  cluster.run(40_000);
+  assert.equal(cluster.checker.final(A), null);
+  cluster.undeafen(deaf);
+  assert.ok(finished(cluster, A, 180_000));
+  keepsRules(cluster);
+});
+
+test('a cancelled task on a machine that hears nothing is gone in time', () => {
+  const cluster = settled({}, 2);
+  cluster.submit(job(1, { batch: 8, expected_s: 500 }), 'n-0');
+  assert.ok(cluster.runUntil(() => running(cluster) === 8, 20_000));
+  cluster.deafen([...cluster.workers.keys()][0]!);
+  assert.equal(status(ask(cluster, (d) => cluster.cancel(A, 'n-1', d))), 'aborted');
+  cluster.run(60_000);
+  assert.equal(running(cluster), 0);
+  keepsRules(cluster);
+});
+
+// Copies repeat what a machine once had: tasks long over, room long given away.
+for (const [name, delay] of [
+  ['seconds', 3000],
+  ['nearly a lease', 15_000],
+  ['well over a lease', 50_000],
+] as const) {
+  test(`copies of reports come late by ${name}, through a take-over and returns`, () => {
+    const cluster = settled({ capacity: 4, runTime: 8000 }, 2);
+    cluster.copyDelay = () => delay;
+    for (let i = 1; i <= 4; i++) cluster.submit(job(i, { batch: 6 }), 'n-0');
+    cluster.run(12_000);
+    cluster.crash(cluster.leader()!);
+    cluster.run(4000);
+    [...cluster.workers.values()][0]!.reboot();
+    for (let i = 1; i <= 4; i++) assert.ok(finished(cluster, `run-00000${i}`, 200_000));
+    cluster.run(150_000);
+    keepsRules(cluster);
+    const ghosts = cluster.log.filter((l) => l.message === 'start was lost').length;
+    assert.ok(ghosts <= 2, `${ghosts} starts went to machines known from copies only`);
+  });
+}
+
+test('a late copy does not end the held answer of a newer report', () => {
+  const cluster = settled({ capacity: 1 }, 1);
+  const worker = [...cluster.workers.values()][0]!;
+  const errors = () => cluster.log.filter((l) => l.message === 'start was lost').length;
+  cluster.copyDelay = () => 700;
+  const before = worker.tally;
+  cluster.run(30_000);
+  assert.ok(worker.tally - before < 14, 'the worker was never sent away');
+  assert.equal(errors(), 0);
+});
+
+test('a leader without state service and peers: its workers move, users are told', () => {
+  const cluster = settled({}, 3);
+  cluster.submit(job(1, { batch: 6, expected_s: 60 }), 'n-0');
+  cluster.run(8000);
+  const old = cluster.leader()!;
+  const token = Math.max(...[...cluster.workers.values()].map((w) => w.fence));
+  cluster.isolate(old);
+  const moved = () => [...cluster.workers.values()].every((w) => w.fence > token);
+  assert.ok(cluster.runUntil(moved, 25_000), 'all workers follow a new leader');
+  assert.notEqual(cluster.leader(), old);
+  assert.equal(cluster.raw(old, 'GET', '/healthz', Buffer.alloc(0))?.status, 503);
+  const reply = ask(cluster, (d) => cluster.poll(A, old, d));
+  assert.equal(reply?.status, 503);
+  assert.ok((reply?.retryAfter ?? 0) > 0, 'users are told when to come back');
+  cluster.cuts.clear();
+  assert.ok(finished(cluster, A, 120_000));
+  keepsRules(cluster);
+});
+
+test('controllers back in a fraction of a second, in the middle of an election', () => {
+  for (const pause of [50, 150, 300, 600]) {
+    const cluster = settled({}, 2);
+    cluster.submit(job(1, { batch: 6, expected_s: 20 }), 'n-0');
+    cluster.run(6000);
+    cluster.crash(cluster.leader()!);
+    cluster.run(10_000 + pause);
+    for (const n of cluster.nodes) {
+      cluster.crash(n);
+      cluster.at(pause, () => cluster.boot(n));
+    }
+    assert.ok(finished(cluster, A, 200_000), `after ${pause} ms`);
+    keepsRules(cluster);
+  }
+});
+
+test('machines back in a fraction of a second: their tasks run again, once', () => {
+  const cluster = settled({}, 2);
+  cluster.submit(job(1, { batch: 8, expected_s: 20 }), 'n-0');
+  assert.ok(cluster.runUntil(() => running(cluster) === 8, 20_000));
+  for (const w of cluster.workers.values()) w.reboot();
+  assert.ok(finished(cluster, A, 120_000));
+  keepsRules(cluster);
+});
+
+// Nothing but steady higher work: without a turn of its own a low job never begins.
+test('the largest job of the lowest priority begins within four minutes', () => {
+  const cluster = settled({ capacity: 2, runTime: 15_000 }, 2);
+  const feed = (n: number) => {
+    cluster.submit(job(n, { batch: 8, urgency: 'urgent' }), 'n-0');
+    cluster.at(12_000, () => feed(n + 1));
+  };
+  feed(100);
+  cluster.run(20_000);
+  cluster.submit(job(1, { batch: 40, urgency: 'idle' }), 'n-1');
+  const done = () => [...cluster.checker.doneTasks(A)].length;
+  assert.ok(
+    cluster.runUntil(() => done() > 0, 240_000),
+    'some of it is even done',
+  );
+  cluster.run(60_000);
+  assert.ok(done() > 1, 'and it goes on');
+  keepsRules(cluster);
+});
+
+test('after an outage polls about every job are answered within seconds', () => {
+  const cluster = settled({ capacity: 2 }, 2);
+  const ids = Array.from({ length: 100 }, (_, i) => i + 1);
+  const name = (i: number) => `run-${String(i).padStart(6, '0')}`;
+  for (const i of ids) cluster.submit(job(i, { expected_s: 500 }), 'n-0');
+  cluster.run(5000);
+  for (const i of ids) assert.ok(cluster.checker.accepted(name(i)));
+  cluster.state.down = true;
+  cluster.run(20_000);
+  cluster.state.restore();
+  cluster.run(3000);
+  const answered = new Set<number>();
+  for (const i of ids) {
+    cluster.poll(name(i), others(cluster)[0] ?? 'n-1', (r) => r?.status === 200 && answered.add(i));
+  }
+  cluster.run(2000);
+  assert.equal(answered.size, ids.length);
+  keepsRules(cluster);
+});
+
+// The job was forgotten between a poll and its proof, and the key that was gone looked equal.
+test('a poll beside a retried submission of a job that has ended is told its end', () => {
+  for (let pause = 0; pause <= 500; pause += 50) {
+    const cluster = settled();
+    cluster.submit(job(1, { batch: 1, expected_s: 6 }), 'n-0');
+    cluster.run(4000);
+    cluster.poll(A, 'n-1');
+    assert.ok(cluster.runUntil(() => cluster.checker.doneTasks(A).size === 1, 30_000));
+    cluster.run(3000);
+    assert.equal(status(ask(cluster, (d) => cluster.poll(A, 'n-2', d))), 'done');
+    cluster.submit(job(1), 'n-1');
+    cluster.at(pause, () => cluster.poll(A, 'n-1'));
+    cluster.run(2000);
+    keepsRules(cluster);
+  }
+});
+
+// Shards hold many entries: a late write of an old one would undo all that came since.
+test('a commit that is carried out late does not take later machines off the roster', () => {
+  const cluster = settled({ capacity: 6, runTime: 4000 }, 2);
+  let late = 0;
+  cluster.stateFault = (_node, call) =>
+    call.writes > 0 && JSON.stringify(call.body).includes('tealdock/roster') && late++ === 0
+      ? 'late'
+      : undefined;
+  cluster.cloud.add('a');
+  cluster.at(5000, () => cluster.cloud.add('b'));
+  cluster.run(25_000);
+  assert.ok(late > 1, 'one commit was late, others came after it');
+  const roster = [...cluster.state.keys]
+    .filter(([key]) => key.includes('/roster/'))
+    .flatMap(([, e]) => Object.keys((e.v as { entries: object }).entries));
+  assert.deepEqual(roster.sort(), [...cluster.workers.keys()].sort());
+  keepsRules(cluster);
+});
+
+test('while nobody leads, workers wait for the election instead of asking around', () => {
+  const cluster = settled({}, 20);
+  cluster.crash(cluster.leader()!);
+  cluster.run(4000);
+  const before = [...cluster.workers.values()].reduce((n, w) => n + w.tally, 0);
+  cluster.run(5000);
+  const reports = [...cluster.workers.values()].reduce((n, w) => n + w.tally, 0) - before;
+  assert.ok(reports < 20 * 2.5, `${reports} reports of 20 workers`);
+  assert.ok(
+    cluster.runUntil(() => cluster.log.some((l) => l.message === 'roster accounted for'), 15_000),
+  );
+});
+
+test('a successor knows which machines hold an image', () => {
+  const cluster = settled({ runTime: 3000 }, 6);
+  // Without hints the first machine, in the other zone, would be taken.
+  cluster.submit(job(1, { batch: 2, hall: 'b' }), 'n-0');
+  assert.ok(finished(cluster, A));
+  const holders = new Set(
+    cluster.log.filter((l) => l.message === 'start sent').map((l) => l.fields['machine']),
+  );
+  cluster.run(6000);
+  cluster.crash(cluster.leader()!);
+  cluster.run(20_000);
+  const from = cluster.log.length;
+  cluster.submit(job(2, { batch: 2 }), [...cluster.alive.keys()][0]!);
+  assert.ok(finished(cluster, 'run-000002'));
+  const used = cluster.log.slice(from).filter((l) => l.message === 'start sent');
+  for (const l of used) assert.ok(holders.has(l.fields['machine']), 'work goes to a holder');
+  assert.ok(used.length > 0);
+});
+
+test('work waits a moment for a busy holder of its image, but not for long', () => {
+  const cluster = settled({ capacity: 2, runTime: 4000 }, 2);
+  const large = { batch: 4, image_gb: 16, hall: 'b' };
+  cluster.submit(job(1, large), 'n-0');
+  assert.ok(finished(cluster, A));
+  cluster.submit(job(2, { ...large, expected_s: 4 }), 'n-0');
+  assert.ok(cluster.runUntil(() => running(cluster) === 4, 10_000));
+  // Nobody has room for this one, so room is scarce.
+  cluster.submit(job(4, { hall: 'b', batch: 1 }), 'n-0');
+  cluster.run(500);
+  const from = cluster.log.length;
+  cluster.submit(job(3, { ...large, hall: null, batch: 3 }), 'n-0');
+  assert.ok(finished(cluster, 'run-000003'));
+  const starts = cluster.log.slice(from).filter((l) => l.message === 'start sent');
+  const used = starts.filter((l) => String(l.fields['task']).startsWith('run-000003'));
+  const holder = [...cluster.workers.values()].find((w) => w.machine.zone === 'b')!.machine.id;
+  assert.ok(used.length === 3 && used.every((l) => l.fields['machine'] === holder));
+});
+
+test("settings under which cancellations can't be kept in time are named", () => {
+  const times = (lease: number, cancel: number) => ({ workerLease: lease, cancelWithin: cancel });
+  assert.equal(whyTooShort(times(27_000, 47_000)), null);
+  assert.equal(whyTooShort(times(26_000, 56_000)), null);
+  assert.match(whyTooShort(times(27_000, 30_000)) ?? '', /cancel_s: must be at least 31.1/);
+});
