--- a/packages/controller/src/autoscaling/autoscaler.ts
+++ b/packages/controller/src/autoscaling/autoscaler.ts
@@ -425,7 +425,7 @@
         { machine: m.id, type: m.type, spot: m.spot },
         'returning machine',
       );
-      this.term.markReturning(m);
+      this.term.membership.markReturning(m);
     }
     if (this.returning) return;
     const ids = [...new Set([...this.marked(), ...this.neverUsed()])].slice(0, MAX_RETURN);
@@ -442,7 +442,7 @@
   private neverUsed(): string[] {
     const ids: string[] = [];
     for (const [id, m] of this.listed) {
-      const unknown = !this.term.machines.has(id) && !this.term.isGone(id);
+      const unknown = !this.term.machines.has(id) && !this.term.membership.isGone(id);
       if (m.state === 'failed' && unknown) ids.push(id);
     }
     for (const [id, c] of this.provisioning) if (this.neverCame(c)) ids.push(id);
@@ -456,7 +456,7 @@
       if (r.kind !== 'answer' || r.status !== 200) return;
       this.runtime.env.log('info', { machines: ids }, 'machines returned');
       for (const id of ids) {
-        this.term.machineGone(id);
+        this.term.membership.machineGone(id);
         this.provisioning.delete(id);
         this.listed.delete(id);
       }
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -199,12 +199,12 @@
    */
   private entitled(): Held | null {
     const held = this.leadership.held();
-    if (!held || !this.term?.loaded || this.term.freshUntil <= this.runtime.now) return null;
-    return { ...held, validUntil: Math.min(held.validUntil, this.term.freshUntil) };
+    if (!held || !this.term?.loaded || this.term.watch.freshUntil <= this.runtime.now) return null;
+    return { ...held, validUntil: Math.min(held.validUntil, this.term.watch.freshUntil) };
   }
 
   private spreadCancellation(id: string): void {
-    this.term?.cancelled(id);
+    this.term?.liveJobs.cancelled(id);
     this.peers.tellCancelled([id]);
   }
 
@@ -250,7 +250,7 @@
   private hearCancellations(request: Request): void {
     try {
       const jobs = parseCancellations(unpackBody(request.body));
-      for (const id of jobs) this.term?.cancelled(id);
+      for (const id of jobs) this.term?.liveJobs.cancelled(id);
       this.runtime.reply(request.id, { status: 200, body: {} });
     } catch (error) {
       this.malformed(request, error);
@@ -285,7 +285,7 @@
     if (this.term) this.term.lastReport = this.runtime.now;
     const held = this.entitled();
     if (!held || !this.term) return this.redirect(request, report);
-    const { counted, answered, orders } = this.term.report(report);
+    const { counted, answered, orders } = this.term.reports.report(report);
     if (!answered) return this.sendOn(request.id, null);
     this.runtime.stats.count(counted ? 'reports.counted' : 'reports.ignored');
     // Only a newer report shows that the one before was given up; a late copy does not.
@@ -302,7 +302,7 @@
 
   private holdFor(report: WorkerReport): Duration {
     const type = this.catalog.types.find((t) => t.name === report.type);
-    return type && this.term ? this.term.holdFor(report.machine, type) : 0;
+    return type && this.term ? this.term.orders.holdFor(report.machine, type) : 0;
   }
 
   /**
--- a/packages/controller/src/jobs/job-completion.ts
+++ b/packages/controller/src/jobs/job-completion.ts
@@ -95,22 +95,23 @@
     const others: LiveJob[] = [];
     for (const job of this.completed) {
       if (this.term.jobs.get(job.id) !== job) this.completed.delete(job);
-      else if (this.term.graph.isAwaited(job.id)) awaited.push(job);
+      else if (this.term.liveJobs.graph.isAwaited(job.id)) awaited.push(job);
       else others.push(job);
     }
     return [...awaited.sort(byUrgency), ...others, ...cancelled];
   }
 
   private ended(job: LiveJob, end: JobEnd): void {
-    for (const chunk of job.chunks()) this.term.progress.delete(progressEntry(job.id, chunk));
-    this.term.endJob(job.id, end);
+    for (const chunk of job.chunks())
+      this.term.liveJobs.progress.delete(progressEntry(job.id, chunk));
+    this.term.liveJobs.endJob(job.id, end);
   }
 
   private noteProgress(): void {
     for (const job of this.term.jobs.values()) {
       if (job.complete) continue;
       for (const chunk of job.dirtyChunks()) {
-        this.term.progress.set(progressEntry(job.id, chunk), job.chunkBits(chunk));
+        this.term.liveJobs.progress.set(progressEntry(job.id, chunk), job.chunkBits(chunk));
       }
     }
   }
--- a/packages/controller/src/machines/direct-stops.ts
+++ b/packages/controller/src/machines/direct-stops.ts
@@ -55,7 +55,7 @@
   private stopsFor(m: Machine): Order[] {
     const orders: Order[] = [];
     for (const b of m.bindings.values()) {
-      if (b.phase === 'booked' || !this.term.isOver(b)) continue;
+      if (b.phase === 'booked' || !this.term.liveJobs.isOver(b)) continue;
       orders.push({ op: 'stop', task: b.task, attempt: b.attempt, grace: 0 });
     }
     return orders;
--- a/packages/controller/src/placement/preemption.ts
+++ b/packages/controller/src/placement/preemption.ts
@@ -92,7 +92,7 @@
   private stop(capacity: MachineCapacity, victim: Victim<Binding>): void {
     const b = victim.of;
     const reason = `room for ${this.job.id}`;
-    this.term.stop(b, { grace: this.term.jobs.get(b.job)?.spec.save ?? 0, reason });
+    this.term.bindings.stop(b, { grace: this.term.jobs.get(b.job)?.spec.save ?? 0, reason });
     capacity.freeAfterStops = plus(capacity.freeAfterStops, victim.size);
     this.runtime.env.log('debug', { task: b.task, machine: b.machine, reason }, 'preempting');
   }
--- a/packages/controller/src/placement/scheduler.ts
+++ b/packages/controller/src/placement/scheduler.ts
@@ -95,7 +95,7 @@
     // A thousand reports come first: until they are in, only new jobs can be placed.
     if (!this.term.ready && this.runtime.now - this.lastCycle < REBUILD_CYCLE_INTERVAL) return;
     this.lastCycle = this.runtime.now;
-    this.term.graph.updateDemands();
+    this.term.liveJobs.graph.updateDemands();
     for (const job of this.term.jobs.values()) job.openWindows(this.runtime.now);
     if (!this.term.settled) return;
     this.rescue();
@@ -196,7 +196,7 @@
       if (this.waitsForHolder(search, chosen, cycle)) continue;
       if (this.holderMayCome(search, chosen)) return;
       if (chosen.machine.images.has(job.spec.image)) job.holderWait = this.runtime.now;
-      this.term.book(job, task.index, chosen.machine, sheltered);
+      this.term.bindings.book(job, task.index, chosen.machine, sheltered);
       cycle.bookings++;
       job.starvedSince = null;
       volunteers.booked(chosen);
@@ -414,7 +414,7 @@
     const left = job.spec.estimate * ratio - ran;
     const notice = m.noticeUntil! - this.runtime.now;
     if (b.state === 'running' && left < notice) return;
-    this.term.stop(b, { grace: job.spec.save, reason: 'notice' });
+    this.term.bindings.stop(b, { grace: job.spec.save, reason: 'notice' });
   }
 }
 
--- a/packages/controller/src/requests/long-polls.ts
+++ b/packages/controller/src/requests/long-polls.ts
@@ -40,8 +40,9 @@
     }
     for (const machine of this.term.dirtyMachines) {
       const request = this.open.get(machine);
-      if (request !== undefined && this.term.hasOrders(machine)) this.answer(machine, request);
-      if (!this.open.has(machine) || !this.term.awaitsOrders(machine)) {
+      if (request !== undefined && this.term.orders.hasOrders(machine))
+        this.answer(machine, request);
+      if (!this.open.has(machine) || !this.term.bindings.awaitsStart(machine)) {
         this.term.dirtyMachines.delete(machine);
       }
     }
@@ -51,7 +52,7 @@
     this.open.delete(machine);
     const held = this.held();
     if (!held || this.term.closed) return this.runtime.reply(request, { status: 503, body: {} });
-    const body = renderReportAnswer(held.fencingToken, this.term.ordersOf(machine));
+    const body = renderReportAnswer(held.fencingToken, this.term.orders.ordersOf(machine));
     this.runtime.reply(request, { status: 200, body, validUntil: held.validUntil });
   }
 }
--- /dev/null
+++ b/packages/controller/src/term/ended-job-lookup.ts
@@ -0,0 +1,75 @@
+/** Sizes and teams of tasks whose jobs have ended, which reports may still show. */
+import type { JobSpec } from '@tealdock/wire';
+import { need } from '@tealdock/scheduler';
+import { bindingKey, type Binding } from '../machines/machine.js';
+import { PRIORITY } from '../runtime/ports.js';
+import type { Runtime } from '../runtime/runtime.js';
+import { endedKey, type EndedValue } from '../state/keys.js';
+import type { StateStore } from '../state/state-store.js';
+import type { Bindings } from './bindings.js';
+import type { LiveJobs } from './live-jobs.js';
+import type { TermState } from './term-state.js';
+
+const RETRY = 400;
+
+/**
+ * Looks ended jobs up by their keys. Until what is bound is known by size and team, limits
+ * can't be kept, so nothing is placed (docs/safety.md, rule `quota`).
+ */
+export class EndedJobLookup {
+  /** Tasks of each job that is being looked up. */
+  private readonly lookups = new Map<string, Binding[]>();
+
+  constructor(
+    private readonly runtime: Runtime,
+    private readonly state: StateStore,
+    private readonly term: TermState,
+    private readonly liveJobs: LiveJobs,
+    private readonly bindings: Bindings,
+  ) {}
+
+  /** Everything that reports have shown so far is known by size and team. */
+  get settled(): boolean {
+    return this.term.loaded && this.lookups.size === 0;
+  }
+
+  /** What an ended job's task takes has to be known before anything is placed. */
+  lookUp(b: Binding): void {
+    const asked = this.lookups.get(b.job);
+    if (asked) return void asked.push(b);
+    this.lookups.set(b.job, [b]);
+    this.askFor(b.job);
+  }
+
+  private askFor(job: string): void {
+    this.state.get(endedKey(job), PRIORITY.leader, (got) => {
+      if (this.term.closed) return;
+      if (got.kind === 'failed') return this.runtime.after(RETRY, () => this.askFor(job));
+      const bindings = this.lookups.get(job) ?? [];
+      this.lookups.delete(job);
+      if (got.kind === 'found') {
+        this.liveJobs.noteOver(job);
+        this.fill(bindings, (got.item.value as EndedValue).spec);
+      }
+      if (this.settled) this.markBookedDirty();
+    });
+  }
+
+  private fill(bindings: Binding[], spec: JobSpec): void {
+    for (const b of bindings) {
+      const m = this.term.machines.get(b.machine);
+      if (m?.bindings.get(bindingKey(b.task, b.attempt)) !== b) continue;
+      this.term.ledger.change(b, () => {
+        b.team = spec.team;
+        b.size = need(spec);
+      });
+      m.touch();
+    }
+  }
+
+  /** Starts that had to wait may leave now. */
+  private markBookedDirty(): void {
+    for (const m of this.term.machines.values())
+      if (this.bindings.awaitsStart(m.id)) this.term.dirtyMachines.add(m.id);
+  }
+}
--- /dev/null
+++ b/packages/controller/src/term/job-watch.ts
@@ -0,0 +1,86 @@
+/** News of submissions and cancellations on all nodes, and how fresh it is. */
+import type { Instant, StateEvent } from '@tealdock/wire';
+import { maxStaleness } from '../leadership/freshness.js';
+import { PRIORITY } from '../runtime/ports.js';
+import type { Runtime } from '../runtime/runtime.js';
+import { LIVE_PREFIX, splitLiveKey } from '../state/keys.js';
+import type { StateStore } from '../state/state-store.js';
+import { WriteShare } from '../state/write-share.js';
+import type { LiveJobs } from './live-jobs.js';
+import type { TermState } from './term-state.js';
+
+const RETRY = 400;
+/** Short, since the send of an answered watch is how far this term surely knows the news. */
+const WATCH_HOLD = 1000;
+
+/**
+ * Watches the keys of live jobs. Answers that renew leases rest on how fresh this is
+ * (docs/safety.md, News of cancellations).
+ */
+export class JobWatch {
+  /** Every cancellation committed before this is known here. */
+  knownTo: Instant = -Infinity;
+  private readonly writeShare: WriteShare;
+
+  constructor(
+    private readonly runtime: Runtime,
+    private readonly state: StateStore,
+    private readonly term: TermState,
+    private readonly liveJobs: LiveJobs,
+  ) {
+    this.writeShare = new WriteShare(runtime, () => !term.closed);
+  }
+
+  start(): void {
+    this.writeShare.start();
+  }
+
+  /**
+   * Until when answers may renew leases: what was cancelled before `knownTo` is killed by
+   * them, and what was cancelled since is so recent that leases end in time (safety.md).
+   */
+  get freshUntil(): Instant {
+    return this.knownTo + maxStaleness(this.runtime.settings);
+  }
+
+  /** Follows the changes after this revision, from now on. */
+  follow(revision: number): void {
+    if (this.term.closed) return;
+    const asked = this.runtime.now;
+    this.state.watch(LIVE_PREFIX, revision, WATCH_HOLD, (watched) => {
+      if (this.term.closed) return;
+      if (watched.kind === 'failed') return this.runtime.after(RETRY, () => this.follow(revision));
+      if (watched.kind === 'too_old') return this.reread();
+      this.knownTo = asked;
+      for (const event of watched.events) this.jobEvent(event);
+      this.follow(watched.revision);
+    });
+  }
+
+  /** The watch fell too far behind: compare with everything that is live now. */
+  private reread(): void {
+    if (this.term.closed) return;
+    const asked = this.runtime.now;
+    this.state.readAll(LIVE_PREFIX, PRIORITY.leader, (live) => {
+      if (this.term.closed) return;
+      if (!live) return this.runtime.after(RETRY, () => this.reread());
+      this.knownTo = asked;
+      const specs = live.items.filter((i) => i.key.endsWith('/spec'));
+      const alive = new Set(specs.map((i) => splitLiveKey(i.key)?.job));
+      for (const id of [...this.term.jobs.keys()]) if (!alive.has(id)) this.liveJobs.endJob(id);
+      for (const i of specs) this.liveJobs.addJob(splitLiveKey(i.key)!.job, i.value, i.version);
+      this.follow(live.revision);
+    });
+  }
+
+  private jobEvent(event: StateEvent): void {
+    const at = splitLiveKey(event.key);
+    if (at?.rest !== 'spec') return;
+    const known = this.term.jobs.get(at.job);
+    // A job that this leader ends is removed by its own commit.
+    const byOthers = !event.removed || (known && !known.complete && !known.predecessorCancelled);
+    if (byOthers) this.writeShare.note(event);
+    if (event.removed) this.liveJobs.endJob(at.job);
+    else this.liveJobs.addJob(at.job, event.value, event.version);
+  }
+}
--- /dev/null
+++ b/packages/controller/src/term/membership.ts
@@ -0,0 +1,89 @@
+/** Which machines belong to the fleet: the registry in the state service, and what has gone. */
+import type { Leadership } from '../leadership/leadership.js';
+import type { Place } from '@tealdock/scheduler';
+import { Machine } from '../machines/machine.js';
+import { BoundedSet } from '../runtime/bounded.js';
+import type { Runtime } from '../runtime/runtime.js';
+import { REGISTRY_PREFIX, type RegistryEntry } from '../state/keys.js';
+import { ShardedTable } from '../state/sharded-table.js';
+import type { StateStore } from '../state/state-store.js';
+import type { Bindings } from './bindings.js';
+import type { TermState } from './term-state.js';
+
+/** Machines that join within this time share a commit. */
+const JOIN_GATHER = 150;
+/** Machines that are gone and still remembered. */
+const MAX_GONE = 5000;
+
+/**
+ * Machines that may have tasks stand in the registry before their first start, so that a
+ * later leader waits for each of them (docs/safety.md, Rebuild).
+ */
+export class Membership {
+  readonly registry: ShardedTable<RegistryEntry>;
+  private readonly gone = new BoundedSet<string>(MAX_GONE);
+
+  constructor(
+    private readonly runtime: Runtime,
+    state: StateStore,
+    leadership: Leadership,
+    private readonly term: TermState,
+    private readonly bindings: Bindings,
+  ) {
+    this.registry = new ShardedTable(runtime, state, leadership, REGISTRY_PREFIX, {
+      gather: JOIN_GATHER,
+      lazy: false,
+      stored: (entries) => this.enrolled(entries),
+    });
+  }
+
+  newMachine(id: string, place: Place): Machine {
+    const m = new Machine(id, place.type, place.zone, place.spot);
+    for (const { image, gb } of this.term.heldBefore.get(id) ?? []) m.noteImage(image, gb);
+    return m;
+  }
+
+  /** The roster gets a machine before the machine gets its first start. */
+  join(m: Machine): void {
+    if (!m.registered && this.registry.get(m.id) === undefined) this.enroll(m);
+  }
+
+  private enroll(m: Machine): void {
+    const age = this.runtime.now - Math.min(m.since, this.runtime.now);
+    const since = Math.round((this.runtime.today.getTime() - age) / 1000);
+    this.registry.set(m.id, [m.type, m.zone, m.spot ? 1 : 0, m.returning ? 1 : 0, since]);
+  }
+
+  private enrolled(entries: [string, RegistryEntry][]): void {
+    for (const [id, entry] of entries) {
+      const m = this.term.machines.get(id);
+      if (!m) continue;
+      m.registered = true;
+      if (entry[3] === 1) m.returnCommitted = true;
+      if (this.bindings.awaitsStart(id)) this.term.dirtyMachines.add(id);
+    }
+  }
+
+  /** Gets no more work; kept in the roster too, so that no later term gives it any. */
+  markReturning(m: Machine): void {
+    if (m.returning) return;
+    m.returning = true;
+    this.bindings.unbookAll(m);
+    this.enroll(m);
+  }
+
+  /** The cloud answered 200 to its return: the machine and all on it are gone. */
+  machineGone(id: string): void {
+    const m = this.term.machines.get(id);
+    this.gone.add(id);
+    if (!m) return;
+    this.bindings.unbookAll(m);
+    this.bindings.endAll(m, 'returned to the cloud');
+    this.term.machines.delete(id);
+    this.registry.remove(id);
+  }
+
+  isGone(id: string): boolean {
+    return this.gone.has(id);
+  }
+}
--- a/packages/testing/src/combined-faults.test.ts
+++ b/packages/testing/src/combined-faults.test.ts
@@ -17,7 +17,7 @@
   options: ClusterOptions = {},
   machines = 4,
 ): SimulatedCluster {
-  return settled({ times: times, capacity: machines, ...options }, machines);
+  return settled({ times, capacity: machines, ...options }, machines);
 }
 
 /** A cluster with `jobs` jobs of `tasks` long tasks each, all of which run. */
--- a/packages/testing/src/dependency-faults.test.ts
+++ b/packages/testing/src/dependency-faults.test.ts
@@ -21,7 +21,7 @@
   options: ClusterOptions = {},
   machines = 4,
 ): SimulatedCluster {
-  return settled({ times: times, capacity: machines, ...options }, machines);
+  return settled({ times, capacity: machines, ...options }, machines);
 }
 
 function submitted(cluster: SimulatedCluster, n: number, over: Record<string, unknown> = {}): void {
--- a/packages/testing/src/guards.test.ts
+++ b/packages/testing/src/guards.test.ts
@@ -71,7 +71,7 @@
     cluster.submit(job(n + 1, { batch: 1, cpus: 0.1, mem_gb: 0.1 }), cluster.nodes[n % 3]!);
     cluster.run(450);
   }
-  return { cluster: cluster, ids };
+  return { cluster, ids };
 }
 
 const allRan = (cluster: SimulatedCluster, ids: string[]) => () =>
@@ -81,7 +81,7 @@
   ids.every((id) => cluster.state.keys.has(`tealdock/ended/${id}`));
 
 test('the leader uses the changes that the other nodes leave for ends of jobs', () => {
-  const { cluster: cluster, ids } = manyEnds();
+  const { cluster, ids } = manyEnds();
   assert.ok(cluster.runUntil(allRan(cluster, ids), 90_000));
   const from = cluster.now();
   assert.ok(cluster.runUntil(allEnded(cluster, ids), 60_000));
@@ -91,7 +91,7 @@
 });
 
 test('a leader with many ends leaves room for the submissions of the other nodes', () => {
-  const { cluster: cluster, ids } = manyEnds();
+  const { cluster, ids } = manyEnds();
   assert.ok(
     cluster.runUntil(() => ids.some((id) => cluster.checker.doneTasks(id).size > 0), 90_000),
   );
@@ -149,11 +149,11 @@
     path.startsWith('/keys/tealdock/live/') || JSON.stringify(body ?? '').includes('/live/');
   cluster.stateFault = (node, call) =>
     node === follower && aboutJobs(call) ? 'lost_before' : undefined;
-  return { cluster: cluster, follower, near };
+  return { cluster, follower, near };
 }
 
 test('a proof that fails under a grant renews no lease of a cancelled task', () => {
-  const { cluster: cluster, near } = keptWithoutProofs();
+  const { cluster, near } = keptWithoutProofs();
   assert.equal(status(ask(cluster, (d) => cluster.cancel(A, near, d))), 'aborted');
   cluster.run(cluster.times.cancelWithin + 10_000);
   assert.equal(running(cluster), 0);
@@ -161,7 +161,7 @@
 });
 
 test('a proof that fails under a grant stops no task of a live job', () => {
-  const { cluster: cluster } = keptWithoutProofs();
+  const { cluster } = keptWithoutProofs();
   cluster.run(cluster.lease / 2);
   cluster.stateFault = null;
   cluster.run(15_000);
--- a/packages/testing/src/random-faults.test.ts
+++ b/packages/testing/src/random-faults.test.ts
@@ -219,7 +219,7 @@
   const name = (i: number) => `run-${String(i).padStart(6, '0')}`;
   const open = () => ids.map(name).filter((id) => cluster.checker.final(id) === null);
   cluster.runUntil(() => open().length === 0, 400_000);
-  return { cluster: cluster, open: open() };
+  return { cluster, open: open() };
 }
 
 for (const seed of SEEDS) {
--- a/packages/testing/src/rolling-upgrade.test.ts
+++ b/packages/testing/src/rolling-upgrade.test.ts
@@ -46,7 +46,7 @@
 }
 
 /** Ends each process in turn; it comes back as the current version. */
-function replaceAll({ cluster: cluster, order }: Roll, away = AWAY, between = BETWEEN): void {
+function replaceAll({ cluster, order }: Roll, away = AWAY, between = BETWEEN): void {
   for (const [i, name] of order.entries()) {
     cluster.at(i * between, () => cluster.crash(name));
     cluster.at(i * between + away, () => cluster.boot(name));
@@ -113,7 +113,7 @@
 const MEETINGS: Meeting[] = [
   {
     name: 'the state service refuses the leader alone, then is out for longer than cancel_s',
-    faults: ({ cluster: cluster, leader }) => {
+    faults: ({ cluster, leader }) => {
       cluster.state.refused.add(leader);
       cluster.at(1000, () => cancelElsewhere(cluster, 1));
       cluster.at(2000, () => (cluster.state.down = true));
@@ -123,7 +123,7 @@
   },
   {
     name: 'the state service refuses each leader in turn',
-    faults: ({ cluster: cluster }) => {
+    faults: ({ cluster }) => {
       for (let i = 0; i < 5; i++) {
         cluster.at(i * 7000, () => {
           cluster.state.refused.clear();
@@ -137,7 +137,7 @@
   },
   {
     name: 'transactions without an answer are carried out late',
-    faults: ({ cluster: cluster }) => {
+    faults: ({ cluster }) => {
       cluster.stateFault = (_node, call) =>
         call.path === '/commit' && cluster.random() < 0.4
           ? 2000 + cluster.random() * 10_000
@@ -148,7 +148,7 @@
   },
   {
     name: 'transactions are carried out at once and only their answers are lost',
-    faults: ({ cluster: cluster }) => {
+    faults: ({ cluster }) => {
       cluster.stateFault = (_node, call) =>
         call.path === '/commit' && cluster.random() < 0.4 ? 'lost_after' : undefined;
       cluster.at(9000, () => cancelElsewhere(cluster, 1));
@@ -157,27 +157,27 @@
   },
   {
     name: 'the limits are lowered in the moment in which a process comes back',
-    faults: ({ cluster: cluster }) => cluster.at(AWAY, () => cluster.lowerLimits()),
+    faults: ({ cluster }) => cluster.at(AWAY, () => cluster.lowerLimits()),
   },
   {
     name: 'the leader is replaced last',
     order: (leader, others) => [...others, leader],
-    faults: ({ cluster: cluster }) => cluster.at(3 * BETWEEN, () => cluster.lowerLimits()),
+    faults: ({ cluster }) => cluster.at(3 * BETWEEN, () => cluster.lowerLimits()),
   },
   {
     name: 'the leader is replaced first',
     order: (leader, others) => [leader, ...others],
-    faults: ({ cluster: cluster }) => cluster.at(AWAY + 400, () => cancelElsewhere(cluster, 1)),
+    faults: ({ cluster }) => cluster.at(AWAY + 400, () => cancelElsewhere(cluster, 1)),
   },
   {
     name: 'a leader that was replaced is replaced once more',
     order: (leader, others) => [leader, ...others, leader],
-    faults: ({ cluster: cluster }) => cluster.at(AWAY + 400, () => cluster.lowerLimits()),
+    faults: ({ cluster }) => cluster.at(AWAY + 400, () => cluster.lowerLimits()),
   },
   {
     name: 'a process dies before its turn and is back as the older version within a second',
     order: (leader, others) => [...others, leader],
-    faults: ({ cluster: cluster, leader }) => {
+    faults: ({ cluster, leader }) => {
       for (const [i, pause] of [300, 900, 6000].entries()) {
         cluster.at(2000 + i * 7500, () => {
           cluster.crash(leader);
@@ -189,11 +189,11 @@
   {
     name: 'processes are back within a fraction of a second',
     away: 300,
-    faults: ({ cluster: cluster }) => cluster.at(400, () => cancelElsewhere(cluster, 1)),
+    faults: ({ cluster }) => cluster.at(400, () => cancelElsewhere(cluster, 1)),
   },
   {
     name: 'one process goes back to the older version at each moment of the roll',
-    faults: ({ cluster: cluster, order }) => {
+    faults: ({ cluster, order }) => {
       for (let i = 0; i < 3; i++) {
         const name = order[i]!;
         cluster.at(i * BETWEEN + AWAY + 1500, () => {
