--- a/packages/controller/src/autoscaling/autoscaler.ts
+++ b/packages/controller/src/autoscaling/autoscaler.ts
@@ -120,10 +120,10 @@
    * anyway and cheap. A dear one shows its price also while it is busy, so that it
    * gets no more work than there is, falls idle and goes back.
    */
-  price(m: Machine, type: MachineType): number {
-    if (this.isOwned(m.id)) return 0;
-    const price = m.spot ? type.spotPrice : type.price;
-    if (this.policy() === 'fast' || m.bindings.size === 0) return price;
+  price(machine: Machine, type: MachineType): number {
+    if (this.isOwned(machine.id)) return 0;
+    const price = machine.spot ? type.spotPrice : type.price;
+    if (this.policy() === 'fast' || machine.bindings.size === 0) return price;
     return price <= this.leastRate() * type.cpus * CHEAP_ENOUGH ? 0 : price;
   }
 
@@ -158,8 +158,8 @@
       writes: 0,
       timeout: CALL_TIMEOUT,
     };
-    this.runtime.call(call, (r) => {
-      if (!this.term.closed) done(r);
+    this.runtime.call(call, (result) => {
+      if (!this.term.closed) done(result);
     });
   }
 
@@ -193,9 +193,11 @@
   }
 
   private list(after: string, found: Map<string, ListedMachine>, asked: Instant): void {
-    this.call('GET', listPath(after), null, PRIORITY.leader, (r) => {
+    this.call('GET', listPath(after), null, PRIORITY.leader, (result) => {
       const page =
-        r.kind === 'answer' && r.status === 200 ? attempt(() => parseList(r.body)) : null;
+        result.kind === 'answer' && result.status === 200
+          ? attempt(() => parseList(result.body))
+          : null;
       if (!page) return;
       for (const m of page.machines) found.set(m.id, m);
       const last = page.machines.at(-1);
@@ -208,21 +210,21 @@
   }
 
   private seeList(): void {
-    for (const [id, m] of this.listed) {
+    for (const [id, machine] of this.listed) {
       const known = this.term.machines.has(id);
-      if (m.state === 'booting' && !known && !this.provisioning.has(id)) {
+      if (machine.state === 'booting' && !known && !this.provisioning.has(id)) {
         this.provisioning.set(id, {
-          type: m.type,
-          zone: m.zone,
-          spot: m.spot,
-          asked: this.runtime.now - m.age,
+          type: machine.type,
+          zone: machine.zone,
+          spot: machine.spot,
+          asked: this.runtime.now - machine.age,
         });
       }
     }
     // Taken before it ever reported: no longer listed, nor coming.
     const lag = this.runtime.settings.cloud.listLag * 2;
-    for (const [id, c] of this.provisioning) {
-      const old = this.listAsked! - lag > c.asked + lag;
+    for (const [id, machine] of this.provisioning) {
+      const old = this.listAsked! - lag > machine.asked + lag;
       if (this.term.machines.has(id) || (old && !this.listed.has(id))) this.provisioning.delete(id);
     }
   }
@@ -294,29 +296,34 @@
         capacities.push({ type: place.type, zone: place.zone, spot: place.spot, free });
       }
     };
-    for (const m of this.term.machines.values()) {
-      const type = types.get(m.type);
-      const usable = type && this.usable(m);
-      if (usable) add(m, m.free(type));
+    for (const machine of this.term.machines.values()) {
+      const type = types.get(machine.type);
+      const usable = type && this.usable(machine);
+      if (usable) add(machine, machine.free(type));
     }
     for (const c of this.provisioning.values()) add(c, types.get(c.type));
-    for (const r of this.requests.values()) {
-      for (let i = 0; i < r.count; i++) add(r, types.get(r.type));
+    for (const result of this.requests.values()) {
+      for (let i = 0; i < result.count; i++) add(result, types.get(result.type));
     }
     return capacities;
   }
 
-  private usable(m: Machine): boolean {
-    if (m.returning || m.noticeUntil !== null || m.quarantinedUntil > this.runtime.now)
+  private usable(machine: Machine): boolean {
+    if (
+      machine.returning ||
+      machine.noticeUntil !== null ||
+      machine.quarantinedUntil > this.runtime.now
+    )
       return false;
-    return !m.resolved || (m.lastCounted !== null && !this.deaf(m));
+    return !machine.resolved || (machine.lastCounted !== null && !this.deaf(machine));
   }
 
   /** Its reports arrive, or did, but none has counted for a whole lease. */
-  private deaf(m: Machine): boolean {
+  private deaf(machine: Machine): boolean {
     const since =
-      m.lastCounted ?? Math.max(this.term.acquired, Math.min(m.since, this.runtime.now));
-    return m.bindings.size === 0 && this.runtime.now > this.term.leaseExpiry.leaseEnd(since);
+      machine.lastCounted ??
+      Math.max(this.term.acquired, Math.min(machine.since, this.runtime.now));
+    return machine.bindings.size === 0 && this.runtime.now > this.term.leaseExpiry.leaseEnd(since);
   }
 
   private rent(): void {
@@ -370,8 +377,8 @@
 
   /** Without an answer the same name is asked for again, so nothing is rented twice. */
   private repeatRentals(): void {
-    for (const [request, r] of this.requests) {
-      if (this.runtime.now - r.asked > CALL_TIMEOUT + 1000) this.askRental(request);
+    for (const [request, result] of this.requests) {
+      if (this.runtime.now - result.asked > CALL_TIMEOUT + 1000) this.askRental(request);
     }
   }
 
@@ -379,16 +386,16 @@
     const rental = this.requests.get(request);
     if (!rental) return;
     rental.asked = this.runtime.now;
-    this.call('POST', MACHINES_PATH, renderRent(rental), PRIORITY.leader, (r) =>
-      this.rented(rental, r),
+    this.call('POST', MACHINES_PATH, renderRent(rental), PRIORITY.leader, (result) =>
+      this.rented(rental, result),
     );
   }
 
-  private rented(rental: ProvisioningRequest, r: CallResult): void {
-    if (r.kind !== 'answer' || !this.requests.has(rental.request)) return;
-    const hosts = r.status === 200 ? attempt(() => parseRented(r.body)) : null;
-    const full = r.status === 503 && /capacity/.test(JSON.stringify(r.body));
-    if (!hosts && !full && r.status !== 400) return;
+  private rented(rental: ProvisioningRequest, result: CallResult): void {
+    if (result.kind !== 'answer' || !this.requests.has(rental.request)) return;
+    const hosts = result.status === 200 ? attempt(() => parseRented(result.body)) : null;
+    const full = result.status === 503 && /capacity/.test(JSON.stringify(result.body));
+    if (!hosts && !full && result.status !== 400) return;
     this.requests.delete(rental.request);
     for (const id of hosts ?? []) {
       this.provisioning.set(id, {
@@ -404,7 +411,7 @@
     if (this.requests.size === 0) this.runtime.after(0, () => this.rentAgain());
     this.runtime.env.log(
       'info',
-      { ...rental, hosts: hosts ?? [], status: r.status },
+      { ...rental, hosts: hosts ?? [], status: result.status },
       'rental answered',
     );
   }
@@ -418,14 +425,14 @@
   private giveBack(): void {
     if (!this.term.loaded) return;
     const heldUp = this.termHeldUp();
-    for (const m of this.term.machines.values()) {
-      if (m.returning || !this.shouldReturn(m, heldUp)) continue;
+    for (const machine of this.term.machines.values()) {
+      if (machine.returning || !this.shouldReturn(machine, heldUp)) continue;
       this.runtime.env.log(
         'info',
-        { machine: m.id, type: m.type, spot: m.spot },
+        { machine: machine.id, type: machine.type, spot: machine.spot },
         'returning machine',
       );
-      this.term.membership.markReturning(m);
+      this.term.membership.markReturning(machine);
     }
     if (this.returning) return;
     const ids = [...new Set([...this.marked(), ...this.neverUsed()])].slice(0, MAX_RETURN);
@@ -441,9 +448,9 @@
   /** Failed or never up: no term has given them work. */
   private neverUsed(): string[] {
     const ids: string[] = [];
-    for (const [id, m] of this.listed) {
+    for (const [id, machine] of this.listed) {
       const unknown = !this.term.machines.has(id) && !this.term.membership.isGone(id);
-      if (m.state === 'failed' && unknown) ids.push(id);
+      if (machine.state === 'failed' && unknown) ids.push(id);
     }
     for (const [id, c] of this.provisioning) if (this.neverCame(c)) ids.push(id);
     return ids;
@@ -451,9 +458,9 @@
 
   private sendReturn(ids: string[]): void {
     this.returning = true;
-    this.call('POST', RETURN_PATH, renderReturn(ids), PRIORITY.leader, (r) => {
+    this.call('POST', RETURN_PATH, renderReturn(ids), PRIORITY.leader, (result) => {
       this.returning = false;
-      if (r.kind !== 'answer' || r.status !== 200) return;
+      if (result.kind !== 'answer' || result.status !== 200) return;
       this.runtime.env.log('info', { machines: ids }, 'machines returned');
       for (const id of ids) {
         this.term.membership.machineGone(id);
@@ -463,18 +470,21 @@
     });
   }
 
-  private neverCame(c: Provisioning): boolean {
-    const boot = this.types().find((t) => t.name === c.type)?.boot;
+  private neverCame(machine: Provisioning): boolean {
+    const boot = this.types().find((t) => t.name === machine.type)?.boot;
     if (boot === undefined) return false;
-    return this.runtime.now - c.asked > boot * this.runtime.operator.fleet.bootPatience + 5000;
+    return (
+      this.runtime.now - machine.asked > boot * this.runtime.operator.fleet.bootPatience + 5000
+    );
   }
 
-  private shouldReturn(m: Machine, heldUp: boolean): boolean {
-    if (this.listed.get(m.id)?.state === 'failed' || this.vanished(m)) return true;
-    if (this.isOwned(m.id) || this.owned === null) return false;
-    if (m.lostStarts >= MOST_LOST_STARTS || (m.resolved && this.deaf(m))) return true;
-    if (!m.resolved) return heldUp;
-    return this.idleLongEnough(m);
+  private shouldReturn(machine: Machine, heldUp: boolean): boolean {
+    if (this.listed.get(machine.id)?.state === 'failed' || this.vanished(machine)) return true;
+    if (this.isOwned(machine.id) || this.owned === null) return false;
+    if (machine.lostStarts >= MOST_LOST_STARTS || (machine.resolved && this.deaf(machine)))
+      return true;
+    if (!machine.resolved) return heldUp;
+    return this.idleLongEnough(machine);
   }
 
   /**
@@ -482,14 +492,14 @@
    * lacks it, and it is silent. That alone proves nothing; the answer to its
    * return will.
    */
-  private vanished(m: Machine): boolean {
-    if (this.listAsked === null || this.listed.has(m.id)) return false;
+  private vanished(machine: Machine): boolean {
+    if (this.listAsked === null || this.listed.has(machine.id)) return false;
     // A new term's machines are silent until they have found it.
-    const heard = m.lastHeard !== null;
-    const silence = this.runtime.now - (heard ? m.lastHeard! : this.term.acquired);
+    const heard = machine.lastHeard !== null;
+    const silence = this.runtime.now - (heard ? machine.lastHeard! : this.term.acquired);
     if (silence < (heard ? this.runtime.settings.reportEvery * 1.5 : NEW_TERM_PATIENCE))
       return false;
-    return this.listAsked - this.runtime.settings.cloud.listLag * 2 > m.since;
+    return this.listAsked - this.runtime.settings.cloud.listLag * 2 > machine.since;
   }
 
   /**
@@ -506,12 +516,12 @@
     return silent <= Math.max(1, all * SILENT_PART);
   }
 
-  private idleLongEnough(m: Machine): boolean {
-    if (m.idleSince === null || m.noticeUntil !== null) return false;
+  private idleLongEnough(machine: Machine): boolean {
+    if (machine.idleSince === null || machine.noticeUntil !== null) return false;
     const fast = this.policy() === 'fast';
     const least = fast ? FAST_IDLE : this.runtime.operator.fleet.idleReturn;
-    const age = this.listed.get(m.id)?.age ?? Infinity;
-    return this.runtime.now - m.idleSince >= least && age >= LEAST_CHARGE;
+    const age = this.listed.get(machine.id)?.age ?? Infinity;
+    return this.runtime.now - machine.idleSince >= least && age >= LEAST_CHARGE;
   }
 
   policy(): 'frugal' | 'fast' {
--- a/packages/controller/src/jobs/live-job.ts
+++ b/packages/controller/src/jobs/live-job.ts
@@ -129,8 +129,8 @@
   /** Tasks that run, for display. */
   countRunning(): number {
     let running = 0;
-    for (const b of this.bound.values()) {
-      if (b.phase === 'seen' && b.state !== 'fetching') running++;
+    for (const binding of this.bound.values()) {
+      if (binding.phase === 'seen' && binding.state !== 'fetching') running++;
     }
     return running;
   }
--- a/packages/controller/src/machines/catalog.ts
+++ b/packages/controller/src/machines/catalog.ts
@@ -42,9 +42,11 @@
     };
     this.runtime.call(
       { ...call, priority: PRIORITY.background, writes: 0, timeout: TIMEOUT },
-      (r) => {
+      (result) => {
         const types =
-          r.kind === 'answer' && r.status === 200 ? attempt(() => parseCatalog(r.body)) : null;
+          result.kind === 'answer' && result.status === 200
+            ? attempt(() => parseCatalog(result.body))
+            : null;
         if (types && types.length > 0) this.take(types);
         this.runtime.after(types ? REFRESH : RETRY, () => this.refresh());
       },
--- a/packages/controller/src/machines/direct-stops.ts
+++ b/packages/controller/src/machines/direct-stops.ts
@@ -37,40 +37,40 @@
 
   private look(): void {
     const answers = this.answers();
-    for (const m of this.term.machines.values()) {
+    for (const machine of this.term.machines.values()) {
       if (this.underWay >= MOST_UNDER_WAY) return;
-      if (m.addr === '' || m.bindings.size === 0) continue;
-      if (answers && !this.misses(m)) continue;
-      if (this.runtime.now - (this.told.get(m.id) ?? -Infinity) < AGAIN) continue;
-      const orders = this.stopsFor(m);
-      if (orders.length > 0) this.send(m, orders);
+      if (machine.addr === '' || machine.bindings.size === 0) continue;
+      if (answers && !this.misses(machine)) continue;
+      if (this.runtime.now - (this.told.get(machine.id) ?? -Infinity) < AGAIN) continue;
+      const orders = this.stopsFor(machine);
+      if (orders.length > 0) this.send(machine, orders);
     }
   }
 
-  private misses(m: Machine): boolean {
-    const heard = m.lastCounted ?? this.term.acquired;
+  private misses(machine: Machine): boolean {
+    const heard = machine.lastCounted ?? this.term.acquired;
     return this.runtime.now - heard > this.runtime.settings.reportEvery * MISSED_REPORTS;
   }
 
-  private stopsFor(m: Machine): Order[] {
+  private stopsFor(machine: Machine): Order[] {
     const orders: Order[] = [];
-    for (const b of m.bindings.values()) {
-      if (b.phase === 'booked' || !this.term.liveJobs.isOver(b)) continue;
-      orders.push({ op: 'stop', task: b.task, attempt: b.attempt, grace: 0 });
+    for (const binding of machine.bindings.values()) {
+      if (binding.phase === 'booked' || !this.term.liveJobs.isOver(binding)) continue;
+      orders.push({ op: 'stop', task: binding.task, attempt: binding.attempt, grace: 0 });
     }
     return orders;
   }
 
-  private send(m: Machine, orders: Order[]): void {
-    this.told.set(m.id, this.runtime.now);
+  private send(machine: Machine, orders: Order[]): void {
+    this.told.set(machine.id, this.runtime.now);
     this.underWay++;
     this.runtime.stats.count('stops.direct', orders.length);
     const call = {
       target: 'worker' as const,
-      to: m.addr,
+      to: machine.addr,
       method: 'POST',
       path: COMMANDS_PATH,
-      body: renderCommands(this.term.fencingToken, m.session, orders),
+      body: renderCommands(this.term.fencingToken, machine.session, orders),
       priority: PRIORITY.leader,
       writes: 0,
       timeout: TIMEOUT,
--- a/packages/controller/src/machines/lease-expiry.ts
+++ b/packages/controller/src/machines/lease-expiry.ts
@@ -69,9 +69,12 @@
   /** Some machine that matters is late, or has not been heard at all in this term. */
   private missesReports(): boolean {
     const late = this.runtime.settings.reportEvery * MISSED_REPORTS;
-    for (const m of this.roster.machines.values()) {
-      if (!m.resolved) return true;
-      if (m.bindings.size > 0 && this.runtime.now - (m.lastHeard ?? this.runtime.now) > late)
+    for (const machine of this.roster.machines.values()) {
+      if (!machine.resolved) return true;
+      if (
+        machine.bindings.size > 0 &&
+        this.runtime.now - (machine.lastHeard ?? this.runtime.now) > late
+      )
         return true;
     }
     return false;
@@ -96,10 +99,10 @@
   /** Machines whose lease was over at that instant, where something depends on it. */
   private expiredAt(instant: Instant): Machine[] {
     const silent: Machine[] = [];
-    for (const m of this.roster.machines.values()) {
-      const matters = !m.resolved || m.bindings.size > 0 || !m.registered;
-      const answered = Math.max(m.lastHeard ?? this.roster.acquired, this.delegatedUntil);
-      if (matters && instant >= this.leaseEnd(answered)) silent.push(m);
+    for (const machine of this.roster.machines.values()) {
+      const matters = !machine.resolved || machine.bindings.size > 0 || !machine.registered;
+      const answered = Math.max(machine.lastHeard ?? this.roster.acquired, this.delegatedUntil);
+      if (matters && instant >= this.leaseEnd(answered)) silent.push(machine);
     }
     return silent;
   }
--- a/packages/controller/src/machines/machine.ts
+++ b/packages/controller/src/machines/machine.ts
@@ -134,12 +134,12 @@
   private sumUp(): Summary {
     let [used, stopping] = [NOTHING, NOTHING];
     const fetching = new Map<string, number>();
-    for (const b of this.bindings.values()) {
-      used = plus(used, b.size);
-      if (b.stop) stopping = plus(stopping, b.size);
-      const waits = b.phase !== 'seen' || b.state === 'fetching';
-      if (waits && b.image !== null && !this.images.has(b.image)) {
-        fetching.set(b.image, b.imageGb);
+    for (const binding of this.bindings.values()) {
+      used = plus(used, binding.size);
+      if (binding.stop) stopping = plus(stopping, binding.size);
+      const waits = binding.phase !== 'seen' || binding.state === 'fetching';
+      if (waits && binding.image !== null && !this.images.has(binding.image)) {
+        fetching.set(binding.image, binding.imageGb);
       }
     }
     return { used, stopping, fetching };
@@ -160,15 +160,15 @@
   }
 
   /** A start left for it: unless it has the image, it fetches it now. */
-  noteStartSent(b: Binding, now: Instant): void {
-    const { image, imageGb } = b;
+  noteStartSent(binding: Binding, now: Instant): void {
+    const { image, imageGb } = binding;
     if (image !== null && !this.images.has(image)) this.fetches.begin(image, imageGb, now);
   }
 
   /** It says that it fetches what it was taken to hold. */
-  noteMissing(b: Binding, now: Instant): void {
-    if (b.image === null || !this.images.delete(b.image)) return;
-    this.fetches.begin(b.image, b.imageGb, now);
+  noteMissing(binding: Binding, now: Instant): void {
+    if (binding.image === null || !this.images.delete(binding.image)) return;
+    this.fetches.begin(binding.image, binding.imageGb, now);
     this.touch();
   }
 
--- a/packages/controller/src/machines/usage-ledger.ts
+++ b/packages/controller/src/machines/usage-ledger.ts
@@ -19,28 +19,28 @@
   private readonly teams = new Map<string, TeamSums>();
   private readonly zones = new Map<string, Map<string, number>>();
 
-  add(b: Binding, zone: string): void {
-    this.count(b, plus);
-    const zones = this.zones.get(b.job) ?? new Map<string, number>();
+  add(binding: Binding, zone: string): void {
+    this.count(binding, plus);
+    const zones = this.zones.get(binding.job) ?? new Map<string, number>();
     zones.set(zone, (zones.get(zone) ?? 0) + 1);
-    this.zones.set(b.job, zones);
+    this.zones.set(binding.job, zones);
   }
 
-  remove(b: Binding, zone: string): void {
-    this.count(b, minus);
-    const zones = this.zones.get(b.job);
+  remove(binding: Binding, zone: string): void {
+    this.count(binding, minus);
+    const zones = this.zones.get(binding.job);
     if (!zones) return;
     const left = (zones.get(zone) ?? 0) - 1;
     if (left > 0) zones.set(zone, left);
     else zones.delete(zone);
-    if (zones.size === 0) this.zones.delete(b.job);
+    if (zones.size === 0) this.zones.delete(binding.job);
   }
 
   /** To be called around any change of a binding's team, size or stop. */
-  change(b: Binding, apply: () => void): void {
-    this.count(b, minus);
+  change(binding: Binding, apply: () => void): void {
+    this.count(binding, minus);
     apply();
-    this.count(b, plus);
+    this.count(binding, plus);
   }
 
   teamUse(team: string): Resources {
@@ -57,11 +57,11 @@
     return this.zones.get(job) ?? NO_ZONES;
   }
 
-  private count(b: Binding, operation: typeof plus): void {
-    const sums = this.teams.get(b.team) ?? NO_SUMS;
-    this.teams.set(b.team, {
-      bound: operation(sums.bound, b.size),
-      stopping: b.stop ? operation(sums.stopping, b.size) : sums.stopping,
+  private count(binding: Binding, operation: typeof plus): void {
+    const sums = this.teams.get(binding.team) ?? NO_SUMS;
+    this.teams.set(binding.team, {
+      bound: operation(sums.bound, binding.size),
+      stopping: binding.stop ? operation(sums.stopping, binding.size) : sums.stopping,
     });
   }
 }
--- a/packages/controller/src/peers/successor-hints.ts
+++ b/packages/controller/src/peers/successor-hints.ts
@@ -4,14 +4,14 @@
 /** What this term has learnt that a successor can't read anywhere. */
 export function hintsOf(term: Term): Hints {
   const images = new Map<string, { at: number; gb: number }>();
-  const machines = [...term.machines.values()].map((m) => {
+  const machines = [...term.machines.values()].map((machine) => {
     const held: number[] = [];
-    for (const [image, gb] of m.images) {
+    for (const [image, gb] of machine.images) {
       const known = images.get(image) ?? { at: images.size, gb };
       images.set(image, known);
       held.push(known.at);
     }
-    return { id: m.id, held };
+    return { id: machine.id, held };
   });
   return {
     ratios: [...term.ratios].map(([jobClass, ratio]) => ({ jobClass, ratio })),
--- a/packages/controller/src/placement/preemption.ts
+++ b/packages/controller/src/placement/preemption.ts
@@ -81,20 +81,31 @@
   private victims(capacity: MachineCapacity): Victim<Binding>[] {
     const victims: Victim<Binding>[] = [];
     const guaranteed = this.guaranteed();
-    for (const b of capacity.machine.bindings.values()) {
-      if (!this.mayStop(b, guaranteed)) continue;
-      const other = this.term.jobs.get(b.job)!;
-      victims.push({ of: b, size: b.size, lost: lost(b, other, this.runtime.now) });
+    for (const binding of capacity.machine.bindings.values()) {
+      if (!this.mayStop(binding, guaranteed)) continue;
+      const other = this.term.jobs.get(binding.job)!;
+      victims.push({
+        of: binding,
+        size: binding.size,
+        lost: lost(binding, other, this.runtime.now),
+      });
     }
     return victims;
   }
 
   private stop(capacity: MachineCapacity, victim: Victim<Binding>): void {
-    const b = victim.of;
+    const binding = victim.of;
     const reason = `room for ${this.job.id}`;
-    this.term.bindings.stop(b, { grace: this.term.jobs.get(b.job)?.spec.save ?? 0, reason });
+    this.term.bindings.stop(binding, {
+      grace: this.term.jobs.get(binding.job)?.spec.save ?? 0,
+      reason,
+    });
     capacity.freeAfterStops = plus(capacity.freeAfterStops, victim.size);
-    this.runtime.env.log('debug', { task: b.task, machine: b.machine, reason }, 'preempting');
+    this.runtime.env.log(
+      'debug',
+      { task: binding.task, machine: binding.machine, reason },
+      'preempting',
+    );
   }
 
   /**
@@ -102,9 +113,9 @@
    * way only to higher work that is inside its own: were it stopped for borrowed
    * work, its team would reclaim the room at once, and so on without end.
    */
-  private mayStop(b: Binding, guaranteed: boolean): boolean {
-    const other = this.term.jobs.get(b.job);
-    if (!other || b.stop || b.sheltered || b.phase !== 'seen') return false;
+  private mayStop(binding: Binding, guaranteed: boolean): boolean {
+    const other = this.term.jobs.get(binding.job);
+    if (!other || binding.stop || binding.sheltered || binding.phase !== 'seen') return false;
     const lower = rank(other.spec) < rank(this.job.spec);
     if (other.spec.team === this.job.spec.team) return lower;
     return this.borrows(other) ? lower || guaranteed : lower && guaranteed;
@@ -123,8 +134,9 @@
 }
 
 /** Work lost if the task is stopped now; one that saves loses only what stopping takes. */
-function lost(b: Binding, job: LiveJob, now: Instant): number {
-  const ran = b.runningSince === null || b.state === 'fetching' ? 0 : now - b.runningSince;
+function lost(binding: Binding, job: LiveJob, now: Instant): number {
+  const ran =
+    binding.runningSince === null || binding.state === 'fetching' ? 0 : now - binding.runningSince;
   const fresh = ran < RECENT_START ? RECENT_START : 0;
   return fresh + (job.spec.checkpoint > 0 ? job.spec.save : ran);
 }
--- a/packages/controller/src/placement/scheduler.ts
+++ b/packages/controller/src/placement/scheduler.ts
@@ -158,12 +158,13 @@
     );
     const types = this.types();
     const machines: MachineCapacity[] = [];
-    for (const m of this.term.machines.values()) {
-      const heard = m.lastCounted !== null && this.runtime.now - m.lastCounted <= recent;
-      if (!heard || !m.registered || m.returning) continue;
-      if (m.noticeUntil !== null || m.quarantinedUntil > this.runtime.now) continue;
-      const type = typeOf(types, m);
-      if (type) machines.push(capacityOf(m, type));
+    for (const machine of this.term.machines.values()) {
+      const heard =
+        machine.lastCounted !== null && this.runtime.now - machine.lastCounted <= recent;
+      if (!heard || !machine.registered || machine.returning) continue;
+      if (machine.noticeUntil !== null || machine.quarantinedUntil > this.runtime.now) continue;
+      const type = typeOf(types, machine);
+      if (type) machines.push(capacityOf(machine, type));
     }
     return machines;
   }
@@ -323,8 +324,8 @@
 
   private sumUnaccounted(): Resources {
     let sum = NOTHING;
-    for (const m of this.term.unresolved()) {
-      const type = typeOf(this.types(), m);
+    for (const machine of this.term.unresolved()) {
+      const type = typeOf(this.types(), machine);
       sum = plus(sum, type ?? { cpus: Infinity, gpus: Infinity, memoryGb: 0 });
     }
     return sum;
@@ -399,20 +400,20 @@
   // --- machines that are about to be taken -----------------------------------
 
   private rescue(): void {
-    for (const m of this.term.machines.values()) {
-      if (m.noticeUntil === null) continue;
-      for (const b of m.bindings.values()) this.rescueTask(m, b);
+    for (const machine of this.term.machines.values()) {
+      if (machine.noticeUntil === null) continue;
+      for (const b of machine.bindings.values()) this.rescueTask(machine, b);
     }
   }
 
   /** Saves while there is time; a task that can't save runs on if it may still finish. */
-  private rescueTask(m: Machine, b: Binding): void {
+  private rescueTask(machine: Machine, b: Binding): void {
     const job = this.term.jobs.get(b.job);
     if (!job || b.stop || b.phase !== 'seen') return;
     const ran = this.runtime.now - (b.runningSince ?? this.runtime.now);
     const ratio = this.term.ratios.get(job.spec.jobClass) ?? 1;
     const left = job.spec.estimate * ratio - ran;
-    const notice = m.noticeUntil! - this.runtime.now;
+    const notice = machine.noticeUntil! - this.runtime.now;
     if (b.state === 'running' && left < notice) return;
     this.term.bindings.stop(b, { grace: job.spec.save, reason: 'notice' });
   }
--- a/packages/controller/src/requests/job-requests.ts
+++ b/packages/controller/src/requests/job-requests.ts
@@ -124,10 +124,10 @@
   private finish(request: Request, reply: Reply): void {
     const relay = reply.status === 503 && request.via === 'public' && this.state.doubtful;
     if (!relay) return this.answer(request, reply);
-    const asked = this.peers.ask(request.method, request.path, request.body, (r) => {
-      if (r.kind !== 'answer') return this.answer(request, reply);
-      const retry = r.status === 503 ? { retryAfter: RETRY_AFTER } : {};
-      this.answer(request, { status: r.status, body: r.body, ...retry });
+    const asked = this.peers.ask(request.method, request.path, request.body, (result) => {
+      if (result.kind !== 'answer') return this.answer(request, reply);
+      const retry = result.status === 503 ? { retryAfter: RETRY_AFTER } : {};
+      this.answer(request, { status: result.status, body: result.body, ...retry });
     });
     if (!asked) this.answer(request, reply);
   }
--- a/packages/controller/src/state/state-store.ts
+++ b/packages/controller/src/state/state-store.ts
@@ -70,10 +70,10 @@
   }
 
   get(key: string, priority: CallPriority, done: (got: Got) => void): void {
-    this.send('GET', keyPath(key), null, priority, 0, READ_TIMEOUT, (r) => {
-      if (r.kind !== 'answer') return done({ kind: 'failed' });
-      if (r.status === 404) return done({ kind: 'missing' });
-      const item = r.status === 200 ? attempt(() => parseItem(r.body)) : null;
+    this.send('GET', keyPath(key), null, priority, 0, READ_TIMEOUT, (result) => {
+      if (result.kind !== 'answer') return done({ kind: 'failed' });
+      if (result.status === 404) return done({ kind: 'missing' });
+      const item = result.status === 200 ? attempt(() => parseItem(result.body)) : null;
       done(item ? { kind: 'found', item } : { kind: 'failed' });
     });
   }
@@ -87,9 +87,11 @@
     const items: StateItem[] = [];
     let first = -1;
     const next = (after: string) =>
-      this.send('GET', pagePath(prefix, after, PAGE), null, priority, 0, READ_TIMEOUT, (r) => {
+      this.send('GET', pagePath(prefix, after, PAGE), null, priority, 0, READ_TIMEOUT, (result) => {
         const page =
-          r.kind === 'answer' && r.status === 200 ? attempt(() => parsePage(r.body)) : null;
+          result.kind === 'answer' && result.status === 200
+            ? attempt(() => parsePage(result.body))
+            : null;
         if (!page) return done(null);
         items.push(...page.items);
         if (first < 0) first = page.revision;
@@ -108,33 +110,37 @@
     done: (committed: Committed) => void,
   ): void {
     const body = renderCommit(guards, writes);
-    this.send('POST', COMMIT_PATH, body, priority, writes.length, COMMIT_TIMEOUT, (r) =>
-      done(committedFrom(r)),
+    this.send('POST', COMMIT_PATH, body, priority, writes.length, COMMIT_TIMEOUT, (result) =>
+      done(committedFrom(result)),
     );
   }
 
   /** A transaction without changes. */
   compare(guards: Guard[], timeout: Duration, done: (compared: Compared) => void): void {
     const body = renderCommit(guards, []);
-    this.send('POST', COMMIT_PATH, body, PRIORITY.user, 0, timeout, (r) => {
-      if (r.kind !== 'answer') return done({ kind: 'unsure' });
-      if (r.status === 200) return done({ kind: 'equal' });
-      const failed = r.status === 409 ? attempt(() => parseRefused(r.body)) : null;
+    this.send('POST', COMMIT_PATH, body, PRIORITY.user, 0, timeout, (result) => {
+      if (result.kind !== 'answer') return done({ kind: 'unsure' });
+      if (result.status === 200) return done({ kind: 'equal' });
+      const failed = result.status === 409 ? attempt(() => parseRefused(result.body)) : null;
       done(failed ? { kind: 'changed', failed } : { kind: 'unsure' });
     });
   }
 
   grant(life: number, done: (lease: number | null) => void): void {
     const body = { life_ms: Math.round(life) };
-    this.send('POST', GRANTS_PATH, body, PRIORITY.lease, 0, READ_TIMEOUT, (r) =>
-      done(r.kind === 'answer' && r.status === 200 ? attempt(() => parseGrant(r.body)) : null),
+    this.send('POST', GRANTS_PATH, body, PRIORITY.lease, 0, READ_TIMEOUT, (result) =>
+      done(
+        result.kind === 'answer' && result.status === 200
+          ? attempt(() => parseGrant(result.body))
+          : null,
+      ),
     );
   }
 
   renew(lease: number, done: (renewed: Renewed) => void): void {
-    this.send('POST', renewPath(lease), null, PRIORITY.lease, 0, READ_TIMEOUT, (r) => {
-      if (r.kind !== 'answer') return done('failed');
-      done(r.status === 200 ? 'ok' : r.status === 404 ? 'ended' : 'failed');
+    this.send('POST', renewPath(lease), null, PRIORITY.lease, 0, READ_TIMEOUT, (result) => {
+      if (result.kind !== 'answer') return done('failed');
+      done(result.status === 200 ? 'ok' : result.status === 404 ? 'ended' : 'failed');
     });
   }
 
@@ -144,10 +150,12 @@
 
   watch(prefix: string, after: number, hold: number, done: (watched: Watched) => void): void {
     const path = watchPath(prefix, after, hold);
-    this.send('GET', path, null, PRIORITY.leader, 0, hold + WATCH_SLACK, (r) => {
-      if (r.kind === 'answer' && r.status === 410) return done({ kind: 'too_old' });
+    this.send('GET', path, null, PRIORITY.leader, 0, hold + WATCH_SLACK, (result) => {
+      if (result.kind === 'answer' && result.status === 410) return done({ kind: 'too_old' });
       const news =
-        r.kind === 'answer' && r.status === 200 ? attempt(() => parseChanges(r.body)) : null;
+        result.kind === 'answer' && result.status === 200
+          ? attempt(() => parseChanges(result.body))
+          : null;
       done(news ? { kind: 'events', ...news } : { kind: 'failed' });
     });
   }
@@ -185,13 +193,14 @@
   }
 }
 
-function committedFrom(r: CallResult): Committed {
-  if (r.kind === 'lost') return { kind: 'unknown' };
-  if (r.kind === 'unsent') return { kind: 'refused' };
-  if (r.status === 409) return { kind: 'conflict' };
-  if (r.status === 400 && /lease/.test(JSON.stringify(r.body))) return { kind: 'no_lease' };
-  if (r.status !== 200) return { kind: 'refused' };
-  const revision = attempt(() => parseCommitted(r.body));
+function committedFrom(result: CallResult): Committed {
+  if (result.kind === 'lost') return { kind: 'unknown' };
+  if (result.kind === 'unsent') return { kind: 'refused' };
+  if (result.status === 409) return { kind: 'conflict' };
+  if (result.status === 400 && /lease/.test(JSON.stringify(result.body)))
+    return { kind: 'no_lease' };
+  if (result.status !== 200) return { kind: 'refused' };
+  const revision = attempt(() => parseCommitted(result.body));
   return revision === null ? { kind: 'unknown' } : { kind: 'ok', revision };
 }
 
--- a/packages/controller/src/term/bindings.ts
+++ b/packages/controller/src/term/bindings.ts
@@ -21,15 +21,15 @@
     private readonly term: TermState,
   ) {}
 
-  book(job: LiveJob, index: number, m: Machine, sheltered = false): void {
+  book(job: LiveJob, index: number, machine: Machine, sheltered = false): void {
     const count = job.nextAttempt(index);
     if (count >= ATTEMPTS_A_TERM) return this.leadership.resign('attempt numbers used up');
-    const b: Binding = {
+    const binding: Binding = {
       task: taskId(job.id, index),
       job: job.id,
       index,
       attempt: this.term.fencingToken * ATTEMPTS_A_TERM + count,
-      machine: m.id,
+      machine: machine.id,
       team: job.spec.team,
       size: need(job.spec),
       image: job.spec.image,
@@ -44,49 +44,49 @@
       sheltered,
       foreign: false,
     };
-    this.bind(m, b);
+    this.bind(machine, binding);
     job.open.delete(index);
-    job.bound.set(index, b);
-    this.term.dirtyMachines.add(m.id);
+    job.bound.set(index, binding);
+    this.term.dirtyMachines.add(machine.id);
   }
 
-  bind(m: Machine, b: Binding): void {
-    m.bindings.set(bindingKey(b.task, b.attempt), b);
-    m.touch();
-    this.term.ledger.add(b, m.zone);
+  bind(machine: Machine, binding: Binding): void {
+    machine.bindings.set(bindingKey(binding.task, binding.attempt), binding);
+    machine.touch();
+    this.term.ledger.add(binding, machine.zone);
   }
 
-  private unbind(b: Binding): void {
-    const m = this.term.machines.get(b.machine);
-    if (m?.bindings.delete(bindingKey(b.task, b.attempt))) {
-      m.touch();
-      m.fetches.keepOnly(m.fetching, this.runtime.now);
-      this.term.ledger.remove(b, m.zone);
+  private unbind(binding: Binding): void {
+    const machine = this.term.machines.get(binding.machine);
+    if (machine?.bindings.delete(bindingKey(binding.task, binding.attempt))) {
+      machine.touch();
+      machine.fetches.keepOnly(machine.fetching, this.runtime.now);
+      this.term.ledger.remove(binding, machine.zone);
     }
-    const job = this.term.jobs.get(b.job);
-    if (job?.bound.get(b.index) === b) {
-      job.bound.delete(b.index);
-      job.giveBack(b.index);
+    const job = this.term.jobs.get(binding.job);
+    if (job?.bound.get(binding.index) === binding) {
+      job.bound.delete(binding.index);
+      job.giveBack(binding.index);
     }
   }
 
   /** Only with proof that the task is not on the machine any more. */
-  end(b: Binding, proof: string): void {
+  end(binding: Binding, proof: string): void {
     this.runtime.env.log(
       'debug',
-      { task: b.task, attempt: b.attempt, machine: b.machine, proof },
+      { task: binding.task, attempt: binding.attempt, machine: binding.machine, proof },
       'binding ended',
     );
     this.runtime.stats.count(`bindings.ended.${proof}`);
-    this.unbind(b);
+    this.unbind(binding);
   }
 
-  endAll(m: Machine, proof: string): void {
-    for (const b of [...m.bindings.values()]) if (b.phase !== 'booked') this.end(b, proof);
+  endAll(machine: Machine, proof: string): void {
+    for (const b of [...machine.bindings.values()]) if (b.phase !== 'booked') this.end(b, proof);
   }
 
-  unbookAll(m: Machine): void {
-    for (const b of [...m.bindings.values()]) if (b.phase === 'booked') this.unbind(b);
+  unbookAll(machine: Machine): void {
+    for (const b of [...machine.bindings.values()]) if (b.phase === 'booked') this.unbind(b);
   }
 
   /** No longer wanted: an unsent booking goes at once, anything else is killed and counted. */
@@ -104,9 +104,9 @@
   }
 
   /** True while something is booked there that no answer has carried yet. */
-  awaitsStart(machine: string): boolean {
-    const m = this.term.machines.get(machine);
-    if (m) for (const b of m.bindings.values()) if (b.phase === 'booked') return true;
+  awaitsStart(machineId: string): boolean {
+    const machine = this.term.machines.get(machineId);
+    if (machine) for (const b of machine.bindings.values()) if (b.phase === 'booked') return true;
     return false;
   }
 }
--- a/packages/controller/src/term/ended-job-lookup.ts
+++ b/packages/controller/src/term/ended-job-lookup.ts
@@ -34,11 +34,11 @@
   }
 
   /** What an ended job's task takes has to be known before anything is placed. */
-  lookUp(b: Binding): void {
-    const asked = this.lookups.get(b.job);
-    if (asked) return void asked.push(b);
-    this.lookups.set(b.job, [b]);
-    this.askFor(b.job);
+  lookUp(binding: Binding): void {
+    const asked = this.lookups.get(binding.job);
+    if (asked) return void asked.push(binding);
+    this.lookups.set(binding.job, [binding]);
+    this.askFor(binding.job);
   }
 
   private askFor(job: string): void {
@@ -56,20 +56,20 @@
   }
 
   private fill(bindings: Binding[], spec: JobSpec): void {
-    for (const b of bindings) {
-      const m = this.term.machines.get(b.machine);
-      if (m?.bindings.get(bindingKey(b.task, b.attempt)) !== b) continue;
-      this.term.ledger.change(b, () => {
-        b.team = spec.team;
-        b.size = need(spec);
+    for (const binding of bindings) {
+      const machine = this.term.machines.get(binding.machine);
+      if (machine?.bindings.get(bindingKey(binding.task, binding.attempt)) !== binding) continue;
+      this.term.ledger.change(binding, () => {
+        binding.team = spec.team;
+        binding.size = need(spec);
       });
-      m.touch();
+      machine.touch();
     }
   }
 
   /** Starts that had to wait may leave now. */
   private markBookedDirty(): void {
-    for (const m of this.term.machines.values())
-      if (this.bindings.awaitsStart(m.id)) this.term.dirtyMachines.add(m.id);
+    for (const machine of this.term.machines.values())
+      if (this.bindings.awaitsStart(machine.id)) this.term.dirtyMachines.add(machine.id);
   }
 }
--- a/packages/controller/src/term/membership.ts
+++ b/packages/controller/src/term/membership.ts
@@ -38,47 +38,53 @@
   }
 
   newMachine(id: string, place: Place): Machine {
-    const m = new Machine(id, place.type, place.zone, place.spot);
-    for (const { image, gb } of this.term.heldBefore.get(id) ?? []) m.noteImage(image, gb);
-    return m;
+    const machine = new Machine(id, place.type, place.zone, place.spot);
+    for (const { image, gb } of this.term.heldBefore.get(id) ?? []) machine.noteImage(image, gb);
+    return machine;
   }
 
   /** The roster gets a machine before the machine gets its first start. */
-  join(m: Machine): void {
-    if (!m.registered && this.registry.get(m.id) === undefined) this.enroll(m);
+  join(machine: Machine): void {
+    if (!machine.registered && this.registry.get(machine.id) === undefined) this.enroll(machine);
   }
 
-  private enroll(m: Machine): void {
-    const age = this.runtime.now - Math.min(m.since, this.runtime.now);
+  private enroll(machine: Machine): void {
+    const age = this.runtime.now - Math.min(machine.since, this.runtime.now);
     const since = Math.round((this.runtime.today.getTime() - age) / 1000);
-    this.registry.set(m.id, [m.type, m.zone, m.spot ? 1 : 0, m.returning ? 1 : 0, since]);
+    this.registry.set(machine.id, [
+      machine.type,
+      machine.zone,
+      machine.spot ? 1 : 0,
+      machine.returning ? 1 : 0,
+      since,
+    ]);
   }
 
   private enrolled(entries: [string, RegistryEntry][]): void {
     for (const [id, entry] of entries) {
-      const m = this.term.machines.get(id);
-      if (!m) continue;
-      m.registered = true;
-      if (entry[3] === 1) m.returnCommitted = true;
+      const machine = this.term.machines.get(id);
+      if (!machine) continue;
+      machine.registered = true;
+      if (entry[3] === 1) machine.returnCommitted = true;
       if (this.bindings.awaitsStart(id)) this.term.dirtyMachines.add(id);
     }
   }
 
   /** Gets no more work; kept in the roster too, so that no later term gives it any. */
-  markReturning(m: Machine): void {
-    if (m.returning) return;
-    m.returning = true;
-    this.bindings.unbookAll(m);
-    this.enroll(m);
+  markReturning(machine: Machine): void {
+    if (machine.returning) return;
+    machine.returning = true;
+    this.bindings.unbookAll(machine);
+    this.enroll(machine);
   }
 
   /** The cloud answered 200 to its return: the machine and all on it are gone. */
   machineGone(id: string): void {
-    const m = this.term.machines.get(id);
+    const machine = this.term.machines.get(id);
     this.gone.add(id);
-    if (!m) return;
-    this.bindings.unbookAll(m);
-    this.bindings.endAll(m, 'returned to the cloud');
+    if (!machine) return;
+    this.bindings.unbookAll(machine);
+    this.bindings.endAll(machine, 'returned to the cloud');
     this.term.machines.delete(id);
     this.registry.remove(id);
   }
--- a/packages/controller/src/term/orders.ts
+++ b/packages/controller/src/term/orders.ts
@@ -37,62 +37,63 @@
   }
 
   /** True if an answer to the machine's newest report would carry orders by now. */
-  hasOrders(machine: string): boolean {
-    const m = this.term.machines.get(machine);
-    if (!m) return true;
-    for (const b of m.bindings.values()) {
-      if (b.phase === 'booked' ? this.canStart(m) : this.stopOrder(b) !== null) return true;
+  hasOrders(machineId: string): boolean {
+    const machine = this.term.machines.get(machineId);
+    if (!machine) return true;
+    for (const binding of machine.bindings.values()) {
+      if (binding.phase === 'booked' ? this.canStart(machine) : this.stopOrder(binding) !== null)
+        return true;
     }
     return false;
   }
 
-  ordersOf(machine: string): Order[] {
-    const m = this.term.machines.get(machine);
-    return m ? this.ordersFor(m) : [];
+  ordersOf(machineId: string): Order[] {
+    const machine = this.term.machines.get(machineId);
+    return machine ? this.ordersFor(machine) : [];
   }
 
   /**
    * How long an answer without orders may be kept back: a machine with free room
    * may get a start, while the news of a full one should not wait for it.
    */
-  holdFor(machine: string, type: MachineType): Duration {
-    const m = this.term.machines.get(machine);
-    if (!m || m.returning || m.noticeUntil !== null) return 0;
-    return fits(this.smallest, m.free(type)) ? this.runtime.operator.window.holdAnswer : 0;
+  holdFor(machineId: string, type: MachineType): Duration {
+    const machine = this.term.machines.get(machineId);
+    if (!machine || machine.returning || machine.noticeUntil !== null) return 0;
+    return fits(this.smallest, machine.free(type)) ? this.runtime.operator.window.holdAnswer : 0;
   }
 
   /** Orders that the worker's newest report calls for; starts leave only here. */
-  ordersFor(m: Machine): Order[] {
+  ordersFor(machine: Machine): Order[] {
     const orders: Order[] = [];
-    for (const t of m.exited) {
+    for (const t of machine.exited) {
       if (this.forgettable(t)) orders.push({ op: 'forget', task: t.task, attempt: t.attempt });
     }
-    for (const b of m.bindings.values()) {
-      const stop = this.stopOrder(b);
+    for (const binding of machine.bindings.values()) {
+      const stop = this.stopOrder(binding);
       if (stop) orders.push(stop);
     }
-    if (!this.canStart(m)) return orders;
-    for (const b of m.bindings.values()) {
-      if (b.phase !== 'booked') continue;
-      b.phase = 'sent';
-      b.sentSession = m.session;
-      b.sentSeq = m.seq;
-      m.noteStartSent(b, this.runtime.now);
-      orders.push({ op: 'start', task: b.task, attempt: b.attempt });
-      this.runtime.stats.record('starts.booked_to_sent_ms', this.runtime.now - b.bookedAt);
+    if (!this.canStart(machine)) return orders;
+    for (const binding of machine.bindings.values()) {
+      if (binding.phase !== 'booked') continue;
+      binding.phase = 'sent';
+      binding.sentSession = machine.session;
+      binding.sentSeq = machine.seq;
+      machine.noteStartSent(binding, this.runtime.now);
+      orders.push({ op: 'start', task: binding.task, attempt: binding.attempt });
+      this.runtime.stats.record('starts.booked_to_sent_ms', this.runtime.now - binding.bookedAt);
       this.runtime.env.log(
         'debug',
-        { task: b.task, attempt: b.attempt, machine: m.id },
+        { task: binding.task, attempt: binding.attempt, machine: machine.id },
         'start sent',
       );
     }
     return orders;
   }
 
-  stopOrder(b: Binding): Order | null {
-    if (!b.stop || b.phase !== 'seen') return null;
-    if (b.state === 'saving' && b.stop.grace > 0) return null;
-    return { op: 'stop', task: b.task, attempt: b.attempt, grace: b.stop.grace };
+  stopOrder(binding: Binding): Order | null {
+    if (!binding.stop || binding.phase !== 'seen') return null;
+    if (binding.state === 'saving' && binding.stop.grace > 0) return null;
+    return { op: 'stop', task: binding.task, attempt: binding.attempt, grace: binding.stop.grace };
   }
 
   private forgettable(t: TaskReport): boolean {
@@ -102,11 +103,11 @@
     return job.isDone(at.index) && !job.uncommitted.has(at.index);
   }
 
-  private canStart(m: Machine): boolean {
+  private canStart(machine: Machine): boolean {
     return (
-      m.registered &&
-      m.resolved &&
-      !m.returning &&
+      machine.registered &&
+      machine.resolved &&
+      !machine.returning &&
       this.lookup.settled &&
       this.runtime.now - this.watch.knownTo <= MAX_STALENESS_OF_STARTS &&
       this.leadership.held() !== null
--- a/packages/controller/src/term/rebuild.ts
+++ b/packages/controller/src/term/rebuild.ts
@@ -75,14 +75,14 @@
   }
 
   private loadMachine(id: string, [type, zone, spot, returning, since]: RegistryEntry): void {
-    const m =
+    const machine =
       this.term.machines.get(id) ??
       this.membership.newMachine(id, { type, zone, spot: spot === 1 });
-    m.registered = true;
-    m.returning = m.returnCommitted = returning === 1;
-    m.since = this.runtime.now - Math.max(0, this.runtime.today.getTime() - since * 1000);
-    m.resolved = m.lastCounted !== null;
-    this.term.machines.set(id, m);
+    machine.registered = true;
+    machine.returning = machine.returnCommitted = returning === 1;
+    machine.since = this.runtime.now - Math.max(0, this.runtime.today.getTime() - since * 1000);
+    machine.resolved = machine.lastCounted !== null;
+    this.term.machines.set(id, machine);
   }
 
   private loadJobs(items: StateItem[]): void {
--- a/packages/controller/src/term/report-intake.ts
+++ b/packages/controller/src/term/report-intake.ts
@@ -50,15 +50,15 @@
   /** Takes in a report; its answer may carry the orders. */
   report(report: WorkerReport): ReportOutcome {
     if (this.membership.isGone(report.machine)) return IGNORED;
-    const m = this.machineOf(report);
-    if (this.deafToTerm(m, report)) return UNANSWERED;
+    const machine = this.machineOf(report);
+    if (this.deafToTerm(machine, report)) return UNANSWERED;
     // Its lease is renewed by the answer, whatever the report is worth otherwise.
-    m.lastHeard = this.runtime.now;
+    machine.lastHeard = this.runtime.now;
     // Tasks of a report sent before the worker saw this token may be outdated by
     // a start of the term before; a late report is outdated by a newer one.
-    if (report.token !== this.term.fencingToken || !m.isNews(report)) return IGNORED;
+    if (report.token !== this.term.fencingToken || !machine.isNews(report)) return IGNORED;
     this.absorb(report);
-    return { counted: true, answered: true, orders: this.orders.ordersFor(m) };
+    return { counted: true, answered: true, orders: this.orders.ordersFor(machine) };
   }
 
   /**
@@ -66,124 +66,125 @@
    * hears nothing. Each answer would make its lease look renewed, and the whole roster
    * would wait for it for as long as it is deaf. Without answers its lease surely ends.
    */
-  private deafToTerm(m: Machine, report: WorkerReport): boolean {
-    if (m.resolved || report.token === this.term.fencingToken) return false;
-    m.answeredFrom ??= this.runtime.now;
-    return this.runtime.now - m.answeredFrom > DEAF_PATIENCE;
+  private deafToTerm(machine: Machine, report: WorkerReport): boolean {
+    if (machine.resolved || report.token === this.term.fencingToken) return false;
+    machine.answeredFrom ??= this.runtime.now;
+    return this.runtime.now - machine.answeredFrom > DEAF_PATIENCE;
   }
 
   private machineOf(report: WorkerReport): Machine {
-    let m = this.term.machines.get(report.machine);
-    if (!m) {
-      m = this.membership.newMachine(report.machine, report);
+    let machine = this.term.machines.get(report.machine);
+    if (!machine) {
+      machine = this.membership.newMachine(report.machine, report);
       // Not in the roster, so no term has ever sent a start to it.
-      m.resolved = true;
-      this.term.machines.set(m.id, m);
+      machine.resolved = true;
+      this.term.machines.set(machine.id, machine);
     }
-    m.since = Math.min(m.since, this.runtime.now);
-    return m;
+    machine.since = Math.min(machine.since, this.runtime.now);
+    return machine;
   }
 
   private absorb(report: WorkerReport): void {
-    const m = this.machineOf(report);
-    if (report.session > m.session) this.bindings.endAll(m, 'session ended');
-    m.session = report.session;
-    m.seq = report.seq;
-    m.addr = report.addr;
-    m.lastHeard ??= this.runtime.now;
-    m.lastCounted = this.runtime.now;
-    m.noticeUntil = report.notice === null ? null : this.runtime.now + report.notice;
-    m.resolved = true;
-    m.exited = report.tasks.filter((t) => t.state === 'exited');
-    for (const t of report.tasks) this.absorbTask(m, t);
-    this.endMissing(m, report);
-    this.membership.join(m);
+    const machine = this.machineOf(report);
+    if (report.session > machine.session) this.bindings.endAll(machine, 'session ended');
+    machine.session = report.session;
+    machine.seq = report.seq;
+    machine.addr = report.addr;
+    machine.lastHeard ??= this.runtime.now;
+    machine.lastCounted = this.runtime.now;
+    machine.noticeUntil = report.notice === null ? null : this.runtime.now + report.notice;
+    machine.resolved = true;
+    machine.exited = report.tasks.filter((t) => t.state === 'exited');
+    for (const t of report.tasks) this.absorbTask(machine, t);
+    this.endMissing(machine, report);
+    this.membership.join(machine);
   }
 
-  private endMissing(m: Machine, report: WorkerReport): void {
+  private endMissing(machine: Machine, report: WorkerReport): void {
     const listed = new Set(report.tasks.map((t) => bindingKey(t.task, t.attempt)));
     let lost = false;
-    for (const [key, b] of [...m.bindings]) {
-      if (b.phase === 'booked' || listed.has(key)) continue;
-      lost ||= b.phase === 'sent';
-      this.bindings.end(b, 'not on the machine');
+    for (const [key, binding] of [...machine.bindings]) {
+      if (binding.phase === 'booked' || listed.has(key)) continue;
+      lost ||= binding.phase === 'sent';
+      this.bindings.end(binding, 'not on the machine');
     }
-    if (lost) this.noteLostStart(m);
+    if (lost) this.noteLostStart(machine);
   }
 
   /**
    * Reports of a machine may arrive while no answer reaches it. It then looks idle,
    * the best of volunteers, and would eat start after start.
    */
-  private noteLostStart(m: Machine): void {
+  private noteLostStart(machine: Machine): void {
     const quarantine = Math.min(
       QUARANTINE,
-      LOST_START_QUARANTINE * LOST_START_FACTOR ** m.lostStarts++,
+      LOST_START_QUARANTINE * LOST_START_FACTOR ** machine.lostStarts++,
     );
-    m.quarantinedUntil = Math.max(m.quarantinedUntil, this.runtime.now + quarantine);
+    machine.quarantinedUntil = Math.max(machine.quarantinedUntil, this.runtime.now + quarantine);
     this.runtime.env.log(
       'info',
-      { machine: m.id, lostStarts: m.lostStarts, aside: quarantine },
+      { machine: machine.id, lostStarts: machine.lostStarts, aside: quarantine },
       'start was lost',
     );
-    this.bindings.unbookAll(m);
+    this.bindings.unbookAll(machine);
   }
 
-  private absorbTask(m: Machine, t: TaskReport): void {
-    const bound = m.bindings.get(bindingKey(t.task, t.attempt));
-    if (t.state === 'exited') return this.absorbExit(m, t, bound);
-    const b = bound ?? this.adopt(m, t);
-    if (b.phase === 'seen' && b.state === t.state) return;
-    m.lostStarts = 0;
-    b.phase = 'seen';
-    if (t.state !== 'fetching') this.noteStart(m, b);
-    else if (this.term.jobs.get(b.job)?.spec.kind === 'array') m.noteMissing(b, this.runtime.now);
-    b.state = t.state;
-    m.touch();
+  private absorbTask(machine: Machine, t: TaskReport): void {
+    const bound = machine.bindings.get(bindingKey(t.task, t.attempt));
+    if (t.state === 'exited') return this.absorbExit(machine, t, bound);
+    const binding = bound ?? this.adopt(machine, t);
+    if (binding.phase === 'seen' && binding.state === t.state) return;
+    machine.lostStarts = 0;
+    binding.phase = 'seen';
+    if (t.state !== 'fetching') this.noteStart(machine, binding);
+    else if (this.term.jobs.get(binding.job)?.spec.kind === 'array')
+      machine.noteMissing(binding, this.runtime.now);
+    binding.state = t.state;
+    machine.touch();
   }
 
-  private noteStart(m: Machine, b: Binding): void {
-    if (b.image !== null) this.noteImage(m, b.image, b.imageGb);
-    if (b.runningSince !== null) return;
-    b.runningSince = this.runtime.now;
-    if (b.phase === 'seen' && b.sentSeq > 0) {
-      this.runtime.stats.record('starts.booked_to_running_ms', this.runtime.now - b.bookedAt);
+  private noteStart(machine: Machine, binding: Binding): void {
+    if (binding.image !== null) this.noteImage(machine, binding.image, binding.imageGb);
+    if (binding.runningSince !== null) return;
+    binding.runningSince = this.runtime.now;
+    if (binding.phase === 'seen' && binding.sentSeq > 0) {
+      this.runtime.stats.record('starts.booked_to_running_ms', this.runtime.now - binding.bookedAt);
     }
-    this.runtime.env.log('debug', { task: b.task, machine: m.id }, 'task runs');
+    this.runtime.env.log('debug', { task: binding.task, machine: machine.id }, 'task runs');
   }
 
-  private noteImage(m: Machine, image: string, gb: number): void {
-    const fetch = m.fetches.end(image, this.runtime.now);
+  private noteImage(machine: Machine, image: string, gb: number): void {
+    const fetch = machine.fetches.end(image, this.runtime.now);
     if (fetch) this.term.fetchSharing.note(fetch);
-    m.noteImage(image, gb);
+    machine.noteImage(image, gb);
   }
 
-  private absorbExit(m: Machine, t: TaskReport, bound: Binding | undefined): void {
+  private absorbExit(machine: Machine, t: TaskReport, bound: Binding | undefined): void {
     const at = splitTaskId(t.task);
     const job = at ? this.term.jobs.get(at.job) : undefined;
-    if (bound) this.endExited(m, bound, t);
+    if (bound) this.endExited(machine, bound, t);
     if (!job || !at || at.index >= job.spec.taskCount || t.reason !== 'done') return;
     job.markDone(at.index);
     const other = job.bound.get(at.index);
     if (other) this.bindings.discard(other, 'done elsewhere');
   }
 
-  private endExited(m: Machine, b: Binding, t: TaskReport): void {
-    const job = b.foreign ? undefined : this.term.jobs.get(b.job);
+  private endExited(machine: Machine, binding: Binding, t: TaskReport): void {
+    const job = binding.foreign ? undefined : this.term.jobs.get(binding.job);
     if (t.reason === 'done') {
-      m.failures = 0;
-      if (job) this.learn(job, b);
+      machine.failures = 0;
+      if (job) this.learn(job, binding);
     } else if (t.reason === 'error' || t.reason === 'unknown') {
-      this.noteFailure(m, job, t);
+      this.noteFailure(machine, job, t);
     }
-    if (job && t.reason === 'done') job.markDone(b.index);
-    this.bindings.end(b, t.reason ?? 'exited');
+    if (job && t.reason === 'done') job.markDone(binding.index);
+    this.bindings.end(binding, t.reason ?? 'exited');
   }
 
-  private learn(job: LiveJob, b: Binding): void {
+  private learn(job: LiveJob, binding: Binding): void {
     job.failures = 0;
-    if (b.runningSince === null || job.spec.estimate <= 0) return;
-    const ratio = (this.runtime.now - b.runningSince) / job.spec.estimate;
+    if (binding.runningSince === null || job.spec.estimate <= 0) return;
+    const ratio = (this.runtime.now - binding.runningSince) / job.spec.estimate;
     const known = this.term.ratios.get(job.spec.jobClass) ?? 1;
     this.term.ratios.set(
       job.spec.jobClass,
@@ -192,10 +193,14 @@
   }
 
   /** Mostly the machine is at fault; a job with a mistake fails on every machine. */
-  private noteFailure(m: Machine, job: LiveJob | undefined, t: TaskReport): void {
-    this.runtime.env.log('info', { machine: m.id, task: t.task, reason: t.reason }, 'task failed');
-    if (t.reason === 'error' && (job?.failures ?? 0) < MAX_FAILURES) m.failures++;
-    if (m.failures >= MAX_FAILURES) m.quarantinedUntil = this.runtime.now + QUARANTINE;
+  private noteFailure(machine: Machine, job: LiveJob | undefined, t: TaskReport): void {
+    this.runtime.env.log(
+      'info',
+      { machine: machine.id, task: t.task, reason: t.reason },
+      'task failed',
+    );
+    if (t.reason === 'error' && (job?.failures ?? 0) < MAX_FAILURES) machine.failures++;
+    if (machine.failures >= MAX_FAILURES) machine.quarantinedUntil = this.runtime.now + QUARANTINE;
     if (!job) return;
     job.failures++;
     if (job.failures < MAX_FAILURES) return;
@@ -204,7 +209,7 @@
   }
 
   /** A task found on a machine without a binding of this term. */
-  private adopt(m: Machine, t: TaskReport): Binding {
+  private adopt(machine: Machine, t: TaskReport): Binding {
     const at = splitTaskId(t.task);
     const job = at ? this.term.jobs.get(at.job) : undefined;
     const wanted =
@@ -213,12 +218,12 @@
       at.index < job.spec.taskCount &&
       !job.isDone(at.index) &&
       !job.bound.has(at.index);
-    const b: Binding = {
+    const binding: Binding = {
       task: t.task,
       job: at?.job ?? t.task,
       index: at?.index ?? 0,
       attempt: t.attempt,
-      machine: m.id,
+      machine: machine.id,
       team: job?.spec.team ?? '',
       size: job ? need(job.spec) : NOTHING,
       image: job?.spec.image ?? null,
@@ -233,12 +238,12 @@
       sheltered: false,
       foreign: !wanted,
     };
-    this.bindings.bind(m, b);
+    this.bindings.bind(machine, binding);
     if (wanted) {
-      job.bound.set(b.index, b);
-      job.open.delete(b.index);
+      job.bound.set(binding.index, binding);
+      job.open.delete(binding.index);
     }
-    if (!job) this.lookup.lookUp(b);
-    return b;
+    if (!job) this.lookup.lookUp(binding);
+    return binding;
   }
 }
--- a/packages/controller/src/term/term.ts
+++ b/packages/controller/src/term/term.ts
@@ -117,13 +117,14 @@
     this.noteReady();
     this.orders.updateSmallest();
     if (this.loaded) this.leaseExpiry.check();
-    for (const m of this.machines.values()) {
-      m.accumulate(SWEEP_EVERY);
+    for (const machine of this.machines.values()) {
+      machine.accumulate(SWEEP_EVERY);
       const patience = this.runtime.settings.reportEvery * BOOKING_PATIENCE;
-      const silent = this.runtime.now - (m.lastCounted ?? this.acquired) > patience;
-      if (silent || m.returning || m.noticeUntil !== null) this.bindings.unbookAll(m);
-      const idle = m.bindings.size === 0;
-      m.idleSince = idle ? (m.idleSince ?? this.runtime.now) : null;
+      const silent = this.runtime.now - (machine.lastCounted ?? this.acquired) > patience;
+      if (silent || machine.returning || machine.noticeUntil !== null)
+        this.bindings.unbookAll(machine);
+      const idle = machine.bindings.size === 0;
+      machine.idleSince = idle ? (machine.idleSince ?? this.runtime.now) : null;
     }
   }
 
@@ -131,17 +132,17 @@
   private endExpired(silent: Machine[]): void {
     const machines = silent.map((m) => m.id);
     this.runtime.env.log('info', { machines }, 'leases of silent machines ran out');
-    for (const m of silent) {
-      this.bindings.endAll(m, 'lease ran out');
-      m.resolved = true;
+    for (const machine of silent) {
+      this.bindings.endAll(machine, 'lease ran out');
+      machine.resolved = true;
       // Never enrolled, so without tasks: what a late copy of a report told of.
-      if (!m.registered && m.bindings.size === 0) this.machines.delete(m.id);
+      if (!machine.registered && machine.bindings.size === 0) this.machines.delete(machine.id);
     }
   }
 }
 
 /** Capacity of a machine by the catalog; nothing is placed on an unknown type. */
-export function typeOf(types: MachineType[], m: Machine): MachineType | undefined {
-  for (const t of types) if (t.name === m.type) return t;
+export function typeOf(types: MachineType[], machine: Machine): MachineType | undefined {
+  for (const t of types) if (t.name === machine.type) return t;
   return undefined;
 }
