--- a/eslint.config.js
+++ b/eslint.config.js
@@ -1,6 +1,63 @@
+import { importX } from 'eslint-plugin-import-x';
+import jsdoc from 'eslint-plugin-jsdoc';
 import tseslint from 'typescript-eslint';
 
+/** Files over a limit, each with the reason; the list only gets shorter. */
+const LONG_FILES = {
+  'packages/controller/src/autoscaling/autoscaler.ts':
+    'renting, returning and the machine list are to become modules of their own',
+  'packages/controller/src/placement/scheduler.ts':
+    'the choice of machines and the reservation of capacity are to be parted',
+  'packages/controller/src/controller.ts': 'the parking of reports is to become a module',
+  'packages/testing/src/simulated-cluster.ts': 'network, processes and users are to be parted',
+  'packages/testing/src/combined-faults.test.ts': 'one file for each kind of fault is to follow',
+  'packages/testing/src/dependencies.test.ts': 'release, cancellation and limits are to be parted',
+  'packages/testing/src/scenarios.test.ts': 'one file for each kind of scenario is to follow',
+};
+
 export default tseslint.config(
-  { ignores: ['**/dist/**', 'target/**', 'node_modules/**', 'journal/**'] },
-  ...tseslint.configs.recommended,
+  { ignores: ['**/dist/**', 'target/**', 'node_modules/**', 'journal/**', 'eslint.config.js'] },
+  ...tseslint.configs.strictTypeChecked,
+  {
+    languageOptions: {
+      parserOptions: { projectService: true, tsconfigRootDir: import.meta.dirname },
+    },
+    plugins: { jsdoc, 'import-x': importX },
+    rules: {
+      '@typescript-eslint/no-confusing-void-expression': [
+        'error',
+        // `return done(null)` ends a callback early; the value is never used.
+        {
+          ignoreArrowShorthand: true,
+          ignoreVoidOperator: true,
+          ignoreVoidReturningFunctions: true,
+        },
+      ],
+      '@typescript-eslint/restrict-template-expressions': ['error', { allowNumber: true }],
+      '@typescript-eslint/no-floating-promises': [
+        'error',
+        { allowForKnownSafeCalls: [{ from: 'package', name: 'test', package: 'node:test' }] },
+      ],
+      'jsdoc/require-jsdoc': [
+        'error',
+        {
+          publicOnly: true,
+          require: { ClassDeclaration: true, FunctionDeclaration: true },
+          contexts: ['TSInterfaceDeclaration', 'TSTypeAliasDeclaration'],
+        },
+      ],
+      'object-shorthand': 'error',
+      'import-x/no-cycle': 'error',
+      'max-lines': ['error', { max: 300 }],
+      'max-lines-per-function': ['error', { max: 50 }],
+      complexity: ['error', 12],
+      'max-depth': ['error', 3],
+    },
+  },
+  {
+    // A test reads what its scenario has set up; where that is missing, the test fails.
+    files: ['packages/testing/src/**'],
+    rules: { '@typescript-eslint/no-non-null-assertion': 'off' },
+  },
+  { files: Object.keys(LONG_FILES), rules: { 'max-lines': 'off' } },
 );
--- a/packages/adapters/src/call-gates.ts
+++ b/packages/adapters/src/call-gates.ts
@@ -8,6 +8,7 @@
 /** A call that waited this part of its time for a token is better dropped. */
 const WAIT_PART = 0.6;
 
+/** Time as the gates see it, so that tests can simulate it. */
 export interface Clock {
   now: () => Instant;
   wake: (delay: Duration, run: () => void) => void;
--- a/packages/adapters/src/http-client.ts
+++ b/packages/adapters/src/http-client.ts
@@ -5,6 +5,7 @@
 /** Answers longer than this are not read; watches may be long, but not this long. */
 const MOST_ANSWER_BYTES = 8 * 1024 * 1024;
 
+/** One request to an outside service. */
 export interface HttpCall {
   host: string;
   port: number;
@@ -16,6 +17,7 @@
 
 const MOST_PORT = 65_535;
 
+/** Host and port of an address in the form `host:port`. */
 export function splitAddress(address: string): { host: string; port: number } {
   const cut = address.lastIndexOf(':');
   return { host: address.slice(0, cut), port: Number(address.slice(cut + 1)) };
--- a/packages/adapters/src/http-server.ts
+++ b/packages/adapters/src/http-server.ts
@@ -8,7 +8,9 @@
 const REQUEST_TIMEOUT = 10_000;
 const REPLY_TIMEOUT = 6000;
 
+/** Takes a whole request in; its answer goes through `respond`. */
 export type Receive = (method: string, path: string, body: Buffer, respond: Respond) => void;
+/** Sends the answer to a request, once. */
 export type Respond = (reply: Reply) => void;
 
 const BUSY: Reply = { status: 503, body: { error: 'busy' }, retryAfter: 1000 };
@@ -78,7 +80,7 @@
   }
 }
 
-const pathOf = (req: IncomingMessage): string => (req.url ?? '/').split('?')[0]!;
+const pathOf = (req: IncomingMessage): string => (req.url ?? '/').replace(/\?.*$/s, '');
 
 function holderOf(path: string): Holder {
   if (path === REPORT_PATH) return 'worker';
--- a/packages/adapters/src/peer-link.ts
+++ b/packages/adapters/src/peer-link.ts
@@ -17,6 +17,7 @@
 const SILENCE = 5000;
 const MOST_BUFFERED = 512 * 1024;
 
+/** What is heard from the other controllers. */
 export interface PeerEvents {
   beat(message: Extract<PeerMessage, { kind: 'beat' }>): void;
   told(message: Told): void;
--- a/packages/adapters/src/service.ts
+++ b/packages/adapters/src/service.ts
@@ -22,6 +22,7 @@
 import { Usage } from './usage.js';
 
 const USAGE_EVERY = 30_000;
+/** What a node is made from. */
 export interface ServiceParts {
   settings: Settings;
   operator: OperatorSettings;
@@ -154,7 +155,7 @@
     };
     const asked = performance.now();
     const { stateAddr, cloudAddr } = this.parts.settings;
-    const send = () => {
+    const send = (): void => {
       if (call.target === 'peer') return this.peers.ask(call, done);
       if (call.target === 'worker') return this.send(this.workerHttp, call.to, call, done);
       if (call.target === 'cloud') return this.send(this.cloudHttp, cloudAddr, call, done);
--- a/packages/adapters/src/token-bucket.ts
+++ b/packages/adapters/src/token-bucket.ts
@@ -48,19 +48,16 @@
 
   private drain(): void {
     this.fill();
-    for (;;) {
-      const first = this.waiting[0];
-      if (!first) return;
+    for (let first = this.waiting[0]; first; first = this.waiting[0]) {
+      const missing = Math.min(first.cost, this.burst) - this.tokens;
       if (first.expires < this.now()) first.drop();
-      else if (this.tokens >= Math.min(first.cost, this.burst)) {
+      else if (missing > 0) return this.sleep(Math.max(1, (missing / this.rate) * 1000));
+      else {
         this.tokens -= first.cost;
         first.run();
-      } else break;
+      }
       this.waiting.shift();
     }
-    const first = this.waiting[0]!;
-    const missing = Math.min(first.cost, this.burst) - this.tokens;
-    this.sleep(Math.max(1, (missing / this.rate) * 1000));
   }
 
   private sleep(delay: number): void {
--- a/packages/cli/src/cli.ts
+++ b/packages/cli/src/cli.ts
@@ -15,6 +15,7 @@
   operator?: string;
 }
 
+/** Ends the process with one line on standard error. */
 export function fail(message: string, code: number): never {
   process.stderr.write(`tealdock: ${message}\n`);
   process.exit(code);
@@ -54,6 +55,7 @@
   );
 }
 
+/** Runs the command that the arguments name. */
 export async function runCli(argv: string[]): Promise<void> {
   const program = new Command('tealdock')
     .description('Schedules jobs on rented and owned machines, through failures.')
--- a/packages/controller/src/autoscaling/autoscaler.ts
+++ b/packages/controller/src/autoscaling/autoscaler.ts
@@ -53,6 +53,8 @@
 const GIVE_BACK_EVERY = 300;
 /** A machine that a list lacks and this term has not heard is given up after this long. */
 const NEW_TERM_PATIENCE = 1500;
+/** And one that it has heard, after so many reports. */
+const MISSED_REPORTS = 1.5;
 /** Boots take up to half as long again as their type says. */
 const BOOT_LEAD = 1.5;
 /** Work without any aim waits this long for cheap machines; few tasks may never fill one. */
@@ -205,11 +207,11 @@
       this.listed = found;
       this.listAsked = asked;
       this.noteOwned([...found.values()]);
-      this.seeList();
+      this.seeList(asked);
     });
   }
 
-  private seeList(): void {
+  private seeList(asked: Instant): void {
     for (const [id, machine] of this.listed) {
       const known = this.term.machines.has(id);
       if (machine.state === 'booting' && !known && !this.provisioning.has(id)) {
@@ -224,7 +226,7 @@
     // Taken before it ever reported: no longer listed, nor coming.
     const lag = this.runtime.settings.cloud.listLag * 2;
     for (const [id, machine] of this.provisioning) {
-      const old = this.listAsked! - lag > machine.asked + lag;
+      const old = asked - lag > machine.asked + lag;
       if (this.term.machines.has(id) || (old && !this.listed.has(id))) this.provisioning.delete(id);
     }
   }
@@ -393,27 +395,19 @@
 
   private rented(rental: ProvisioningRequest, result: CallResult): void {
     if (result.kind !== 'answer' || !this.requests.has(rental.request)) return;
-    const hosts = result.status === 200 ? attempt(() => parseRented(result.body)) : null;
-    const full = result.status === 503 && /capacity/.test(JSON.stringify(result.body));
-    if (!hosts && !full && result.status !== 400) return;
+    const { status } = result;
+    const hosts = rentedHosts(result);
+    if (hosts === null) return;
     this.requests.delete(rental.request);
-    for (const id of hosts ?? []) {
-      this.provisioning.set(id, {
-        type: rental.type,
-        zone: rental.zone,
-        spot: rental.spot,
-        asked: this.runtime.now,
-      });
+    const { type, zone, spot } = rental;
+    for (const id of hosts) {
+      this.provisioning.set(id, { type, zone, spot, asked: this.runtime.now });
     }
-    if ((hosts?.length ?? 0) < rental.count) {
+    if (hosts.length < rental.count) {
       this.refused.set(placeKey(rental), this.runtime.now + REFUSED_FOR);
     }
     if (this.requests.size === 0) this.runtime.after(0, () => this.rentAgain());
-    this.runtime.env.log(
-      'info',
-      { ...rental, hosts: hosts ?? [], status: result.status },
-      'rental answered',
-    );
+    this.runtime.env.log('info', { ...rental, hosts, status }, 'rental answered');
   }
 
   // --- returning -------------------------------------------------------------
@@ -495,10 +489,11 @@
   private vanished(machine: Machine): boolean {
     if (this.listAsked === null || this.listed.has(machine.id)) return false;
     // A new term's machines are silent until they have found it.
-    const heard = machine.lastHeard !== null;
-    const silence = this.runtime.now - (heard ? machine.lastHeard! : this.term.acquired);
-    if (silence < (heard ? this.runtime.settings.reportEvery * 1.5 : NEW_TERM_PATIENCE))
-      return false;
+    const { lastHeard } = machine;
+    const silence = this.runtime.now - (lastHeard ?? this.term.acquired);
+    const patience =
+      lastHeard === null ? NEW_TERM_PATIENCE : this.runtime.settings.reportEvery * MISSED_REPORTS;
+    if (silence < patience) return false;
     return this.listAsked - this.runtime.settings.cloud.listLag * 2 > machine.since;
   }
 
@@ -530,3 +525,10 @@
     return this.owned !== null && this.owned !== '' ? 'fast' : 'frugal';
   }
 }
+
+/** The machines rented, none where the request was refused; null where it has to be repeated. */
+function rentedHosts({ status, body }: Extract<CallResult, { kind: 'answer' }>): string[] | null {
+  if (status === 200) return attempt(() => parseRented(body));
+  const noCapacity = status === 503 && /capacity/.test(JSON.stringify(body));
+  return noCapacity || status === 400 ? [] : null;
+}
--- a/packages/controller/src/jobs/ancestor-check.ts
+++ b/packages/controller/src/jobs/ancestor-check.ts
@@ -1,5 +1,5 @@
-import type { Duration, Instant, JobState } from '@tealdock/wire';
-import type { Located } from '../requests/job-requests.js';
+import type { Duration, Instant } from '@tealdock/wire';
+import type { JobLookup } from './job-lookup.js';
 import type { Runtime } from '../runtime/runtime.js';
 import { BoundedMap } from '../runtime/bounded.js';
 
@@ -14,12 +14,6 @@
 const LIFE_PART = 3;
 const MOST_KEPT = 5000;
 
-interface Jobs {
-  finalState(id: string): JobState | undefined;
-  predecessorsOf(id: string): string[] | undefined;
-  locate(id: string, done: (known: Located) => void): void;
-}
-
 /** Jobs before one that have to be asked about. */
 interface Unproven {
   known: string[];
@@ -39,7 +33,7 @@
 
   constructor(
     private readonly runtime: Runtime,
-    private readonly jobs: Jobs,
+    private readonly jobs: Pick<JobLookup, 'finalState' | 'predecessorsOf' | 'locate'>,
   ) {}
 
   check(id: string, done: (verdict: Verdict) => void, reads = MOST_READS): void {
--- a/packages/controller/src/jobs/live-job.ts
+++ b/packages/controller/src/jobs/live-job.ts
@@ -102,7 +102,7 @@
 
   markDone(index: number): boolean {
     if (this.isDone(index)) return false;
-    this.bits[index >> 3]! |= 1 << (index & 7);
+    this.bits[index >> 3] = (this.bits[index >> 3] ?? 0) | (1 << (index & 7));
     this.doneCount++;
     this.open.delete(index);
     this.uncommitted.add(index);
@@ -114,7 +114,7 @@
     const bytes = Buffer.from(bits, 'base64');
     const base = chunk * CHUNK_TASKS;
     for (let i = 0; i < bytes.length * 8 && base + i < this.spec.taskCount; i++) {
-      if ((bytes[i >> 3]! & (1 << (i & 7))) === 0) continue;
+      if (((bytes[i >> 3] ?? 0) & (1 << (i & 7))) === 0) continue;
       this.markDone(base + i);
       this.uncommitted.delete(base + i);
     }
--- a/packages/controller/src/leadership/delegated-renewal.ts
+++ b/packages/controller/src/leadership/delegated-renewal.ts
@@ -11,7 +11,7 @@
 import type { Peers } from '../peers/peers.js';
 import { maxStaleness } from './freshness.js';
 import { PRIORITY } from '../runtime/ports.js';
-import type { Liveness } from '../requests/job-requests.js';
+import type { Liveness } from '../jobs/job-lookup.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { StateStore } from '../state/state-store.js';
 import { shortestElsewhere } from '../runtime/clock-drift.js';
--- a/packages/controller/src/leadership/leadership.ts
+++ b/packages/controller/src/leadership/leadership.ts
@@ -13,6 +13,7 @@
 /** After giving leadership up, others get this long to take it. */
 const STAND_BACK = 12_000;
 
+/** Leadership that is surely held until an instant. */
 export interface Held {
   fencingToken: number;
   validUntil: Instant;
@@ -157,7 +158,9 @@
   }
 
   private obtainLease(version: number): void {
-    if (this.lease !== null && this.runtime.now < this.leaseUntil) return this.campaign(version);
+    if (this.lease !== null && this.runtime.now < this.leaseUntil) {
+      return this.campaign(version, this.lease);
+    }
     const sent = this.runtime.now;
     this.state.grant(this.runtime.operator.leadership.lease, (lease) => {
       if (lease === null) {
@@ -167,15 +170,14 @@
       this.lease = lease;
       this.leaseUntil = 0;
       this.extend(sent);
-      this.campaign(version);
+      this.campaign(version, lease);
     });
   }
 
-  private campaign(version: number): void {
+  private campaign(version: number, lease: number): void {
     // Kept after an unanswered commit: the next read recognises it as our own.
     this.nonce = `${this.runtime.today.getTime()}-${Math.floor(this.runtime.env.random() * 2 ** 31)}`;
     const value: LeaderValue = { member: this.runtime.settings.member, nonce: this.nonce };
-    const lease = this.lease!;
     const write = { put: LEADER_KEY, value, lease };
     this.state.commit([{ key: LEADER_KEY, version }], [write], PRIORITY.lease, (committed) => {
       this.electing = false;
--- a/packages/controller/src/machines/machine.ts
+++ b/packages/controller/src/machines/machine.ts
@@ -9,6 +9,7 @@
 import { Fetches } from './image-fetches.js';
 import { NOTHING, minus, plus, type Place, type Resources } from '@tealdock/scheduler';
 
+/** How a task is to be stopped, and why. */
 export interface StopWish {
   grace: number;
   reason: string;
--- a/packages/controller/src/peers/peers.ts
+++ b/packages/controller/src/peers/peers.ts
@@ -15,6 +15,7 @@
 const ASK_TIMEOUT = 2000;
 const REFUSED_FRESH = 5000;
 
+/** Tasks of a job that are done and that run, for display. */
 export type JobCounts = Pick<JobCount, 'done' | 'running'>;
 
 type Beat = Extract<Command, { kind: 'beat' }>;
@@ -78,7 +79,7 @@
   /** A peer that reaches the state service, if any. */
   get served(): string | null {
     const peer = this.runtime.settings.peers.find(
-      (p) => this.alive(p.member) && this.beats.get(p.member)!.beat.stateOk,
+      (p) => this.alive(p.member) && this.beats.get(p.member)?.beat.stateOk === true,
     );
     return peer?.member ?? null;
   }
--- a/packages/controller/src/peers/successor-hints.ts
+++ b/packages/controller/src/peers/successor-hints.ts
@@ -21,6 +21,7 @@
   };
 }
 
+/** Starts a term from what the last leader had learnt. */
 export function useHints(hints: Hints, term: Term): void {
   for (const { jobClass, ratio } of hints.ratios) term.ratios.set(jobClass, ratio);
   term.fetchSharing.likely = hints.fetchSharing;
--- a/packages/controller/src/placement/machine-capacity.ts
+++ b/packages/controller/src/placement/machine-capacity.ts
@@ -38,6 +38,7 @@
   return `${cpus} ${gpus} ${memoryGb} ${types?.join(',') ?? '*'} ${zone ?? '*'} ${spot} ${own}`;
 }
 
+/** The machines on which tasks of a job may be placed, by its type, zone and kind. */
 export function allowedMachines(
   job: LiveJob,
   machines: MachineCapacity[],
@@ -122,6 +123,7 @@
   return Math.max(1, (imageGb / Math.max(0.01, type.fetchGbPerS)) * 1000);
 }
 
+/** How volunteers for the tasks of one job are compared. */
 export interface VolunteerRules {
   ranks: ImageRanks;
   priceOf: (m: Machine, type: MachineType) => number;
@@ -167,15 +169,14 @@
     this.candidates.splice(at, 1);
     if (!fits(wanted, capacity.free)) return;
     const changed = this.candidate(capacity);
-    if (!changed) return void this.tooSlow++;
-    this.candidates.splice(this.placeFor(changed, at), 0, changed);
+    if (changed) this.candidates.splice(this.placeFor(changed, at), 0, changed);
+    else this.tooSlow++;
   }
 
   private placeFor(changed: Candidate, from: number): number {
-    let at = from;
-    if (!this.rules.gathers) return at;
-    while (at > 0 && byGathering(changed, this.candidates[at - 1]!) < 0) at--;
-    return at;
+    if (!this.rules.gathers) return from;
+    const before = this.candidates.slice(0, from);
+    return before.findLastIndex((candidate) => byGathering(changed, candidate) >= 0) + 1;
   }
 
   private candidate(capacity: MachineCapacity): Candidate | null {
@@ -183,7 +184,7 @@
     const imageRank = this.rules.ranks.of(capacity);
     if (imageRank === null) return null;
     return {
-      capacity: capacity,
+      capacity,
       load: bookedShare(type, free),
       price: this.rules.priceOf(machine, type),
       recent: machine.recent / Math.max(1, type.cpus),
--- a/packages/controller/src/placement/preemption.ts
+++ b/packages/controller/src/placement/preemption.ts
@@ -75,7 +75,7 @@
     const plan = planPreemption(capacity.freeAfterStops, this.victims(capacity), this.wanted);
     // Room where the image would come too late is no room.
     if (!plan || this.ranks.of(capacity) === null) return null;
-    return { ...plan, capacity: capacity, cost: plan.lost + this.ranks.delay(capacity.machine) };
+    return { ...plan, capacity, cost: plan.lost + this.ranks.delay(capacity.machine) };
   }
 
   private victims(capacity: MachineCapacity): Victim<Binding>[] {
@@ -83,7 +83,8 @@
     const guaranteed = this.guaranteed();
     for (const binding of capacity.machine.bindings.values()) {
       if (!this.mayStop(binding, guaranteed)) continue;
-      const other = this.term.jobs.get(binding.job)!;
+      const other = this.term.jobs.get(binding.job);
+      if (!other) continue;
       victims.push({
         of: binding,
         size: binding.size,
--- a/packages/controller/src/placement/scheduler.ts
+++ b/packages/controller/src/placement/scheduler.ts
@@ -265,10 +265,17 @@
     const wanted = need(job.spec);
     const willDo = (d: MachineCapacity) => fits(wanted, d.freeAfterStops) && ranks.of(d) !== null;
     let at = 0;
+    const nextMachine = () => {
+      for (; at < machines.length; at++) {
+        const machine = machines[at];
+        if (machine && willDo(machine)) return machine;
+      }
+      return undefined;
+    };
     for (let left = tasks; left > 0; left--) {
-      while (at < machines.length && !willDo(machines[at]!)) at++;
-      if (at < machines.length) {
-        this.promise(job, machines[at]!);
+      const machine = nextMachine();
+      if (machine) {
+        this.promise(job, machine);
         continue;
       }
       if (!this.mayPreempt(job, preemption, cycle)) return;
@@ -413,7 +420,7 @@
     const ran = this.runtime.now - (b.runningSince ?? this.runtime.now);
     const ratio = this.term.ratios.get(job.spec.jobClass) ?? 1;
     const left = job.spec.estimate * ratio - ran;
-    const notice = machine.noticeUntil! - this.runtime.now;
+    const notice = (machine.noticeUntil ?? Infinity) - this.runtime.now;
     if (b.state === 'running' && left < notice) return;
     this.term.bindings.stop(b, { grace: job.spec.save, reason: 'notice' });
   }
--- a/packages/controller/src/requests/job-requests.ts
+++ b/packages/controller/src/requests/job-requests.ts
@@ -4,7 +4,6 @@
   isJobId,
   parseSubmission,
   predecessorsOf,
-  renderJobView,
   submissionId,
   unpackBody,
   type JobSpec,
@@ -12,52 +11,20 @@
 } from '@tealdock/wire';
 import { whyNever } from '@tealdock/scheduler';
 import type { Catalog } from '../machines/catalog.js';
-import {
-  endedKey,
-  endedValue,
-  fitsValue,
-  readLive,
-  specKey,
-  type EndedValue,
-  type LiveValue,
-} from '../state/keys.js';
+import { endedKey, endedValue, fitsValue, specKey, type LiveValue } from '../state/keys.js';
 import { AncestorCheck } from '../jobs/ancestor-check.js';
-import { LivenessProofs } from '../jobs/liveness-proofs.js';
+import type { JobLookup, Located } from '../jobs/job-lookup.js';
 import type { JobCounts, Peers } from '../peers/peers.js';
-import { PRIORITY, type Command, type Reply } from '../runtime/ports.js';
+import { PRIORITY, type HttpRequest, type Reply } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { StateStore } from '../state/state-store.js';
-import { BoundedMap } from '../runtime/bounded.js';
+import { RETRY_AFTER, methodNotAllowed, refuse, shown, unsure } from './replies.js';
 
-type Request = Extract<Command, { kind: 'request' }>;
 type Answer = (reply: Reply) => void;
 
-/** What the state service says of a job; `unsure` when it can't be told. */
-export type Known =
-  | { kind: 'live'; value: LiveValue | null; version: number }
-  | { kind: 'ended'; view: JobView }
-  | { kind: 'none' }
-  | { kind: 'unsure' };
-
-/** Without the value where a proof said that the job is live. */
-export type Located = Known | { kind: 'live' };
-
-/** `unsure` also for a job that was never accepted. */
-export type Liveness = 'live' | 'ended' | 'unsure';
-
-const RETRY_AFTER = 1000;
-const MOST_CACHED = 2000;
 const MOST_PENDING = 400;
 const CANCEL_TRIES = 5;
 
-const refuse = (status: number, error: string): Reply => ({ status, body: { error } });
-const unsure = (): Reply => ({
-  status: 503,
-  body: { error: 'state service not reached' },
-  retryAfter: RETRY_AFTER,
-});
-const shown = (view: JobView, status = 200): Reply => ({ status, body: renderJobView(view) });
-
 /** Why a job can't wait for the jobs that it names, whatever these are. */
 function misnames(spec: JobSpec): string | null {
   const wrong = predecessorsOf(spec).find((p) => !isJobId(p) || p === spec.id);
@@ -70,33 +37,26 @@
 /**
  * Users' requests, served on any node from the state service: a job is accepted,
  * done or cancelled when its key says so, and polls read or compare keys after they
- * arrive. Only final answers are cached, since they can't change.
+ * arrive.
  */
 export class JobRequests {
-  /** Final answers, which can't change. */
-  private readonly ended = new BoundedMap<string, JobView>(MOST_CACHED);
-  private readonly proofs: LivenessProofs;
   private readonly ancestorCheck: AncestorCheck;
   private pending = 0;
 
   constructor(
     private readonly runtime: Runtime,
     private readonly state: StateStore,
+    private readonly lookup: JobLookup,
     private readonly catalog: Catalog,
     private readonly peers: Peers,
     private readonly counts: (id: string) => JobCounts | undefined,
     private readonly onCancelled: (id: string) => void,
   ) {
-    this.proofs = new LivenessProofs(runtime, state);
-    this.ancestorCheck = new AncestorCheck(runtime, {
-      finalState: (id) => this.ended.get(id)?.state,
-      predecessorsOf: (id) => this.proofs.predecessorsOf(id),
-      locate: (id, done) => this.locate(id, done),
-    });
+    this.ancestorCheck = new AncestorCheck(runtime, lookup);
   }
 
   /** False if the path is none of the users'. */
-  handle(request: Request): boolean {
+  handle(request: HttpRequest): boolean {
     const parts = request.path.slice(JOBS_PATH.length).split('/');
     if (!request.path.startsWith(JOBS_PATH) || parts[0] !== '') return false;
     const [, id, verb, more] = parts;
@@ -108,12 +68,9 @@
     return true;
   }
 
-  private only(request: Request, method: string, run: (answer: Answer) => void): void {
+  private only(request: HttpRequest, method: string, run: (answer: Answer) => void): void {
     if (request.method !== method) {
-      return this.runtime.reply(request.id, {
-        ...refuse(405, 'method not allowed'),
-        allow: method,
-      });
+      return methodNotAllowed(this.runtime, request, method);
     }
     if (this.pending >= MOST_PENDING) return this.runtime.reply(request.id, unsure());
     this.pending++;
@@ -121,7 +78,7 @@
   }
 
   /** A node that alone has lost the state service asks a peer that has it. */
-  private finish(request: Request, reply: Reply): void {
+  private finish(request: HttpRequest, reply: Reply): void {
     const relay = reply.status === 503 && request.via === 'public' && this.state.doubtful;
     if (!relay) return this.answer(request, reply);
     const asked = this.peers.ask(request.method, request.path, request.body, (result) => {
@@ -132,7 +89,7 @@
     if (!asked) this.answer(request, reply);
   }
 
-  private answer(request: Request, reply: Reply): void {
+  private answer(request: HttpRequest, reply: Reply): void {
     this.pending--;
     this.runtime.reply(request.id, reply);
   }
@@ -140,21 +97,7 @@
   // --- reading ---------------------------------------------------------------
 
   private poll(id: string, answer: Answer): void {
-    this.locate(id, (known) => this.replyFor(id, known, refuse(404, 'no such job'), answer));
-  }
-
-  /** By a proof shared with others where the job is known to have been live, else by a read. */
-  private locate(id: string, done: (known: Located) => void): void {
-    const proven = this.proofs.ask(id, (proof) => {
-      if (proof === 'changed') this.look(id, done);
-      else done(proof === 'live' ? { kind: 'live' } : { kind: 'unsure' });
-    });
-    if (!proven) this.look(id, done);
-  }
-
-  /** Whether the job was live at some moment after this was asked, or is over for good. */
-  prove(id: string, done: (proof: Liveness) => void): void {
-    this.locate(id, ({ kind }) => done(kind === 'none' ? 'unsure' : kind));
+    this.lookup.locate(id, (known) => this.replyFor(id, known, refuse(404, 'no such job'), answer));
   }
 
   private replyFor(id: string, known: Located, none: Reply, answer: Answer): void {
@@ -182,42 +125,9 @@
     return { id, state: running > 0 ? 'running' : 'queued', done, running };
   }
 
-  /** Live first, then ended: a job moves only from the one to the other. */
-  private look(id: string, done: (known: Known) => void): void {
-    const cached = this.ended.get(id);
-    if (cached) return done({ kind: 'ended', view: cached });
-    if (!isJobId(id)) return done({ kind: 'none' });
-    this.state.get(specKey(id), PRIORITY.user, (got) => {
-      if (got.kind === 'failed') return done({ kind: 'unsure' });
-      if (got.kind === 'missing') return this.lookEnded(id, done);
-      const { key, version } = got.item;
-      const value = readLive(got.item.value);
-      if (!value) this.runtime.env.log('error', { key }, 'stored value can not be read');
-      this.proofs.note(id, version, value ? predecessorsOf(value.spec) : []);
-      done({ kind: 'live', value, version });
-    });
-  }
-
-  private lookEnded(id: string, done: (known: Known) => void): void {
-    this.state.get(endedKey(id), PRIORITY.user, (got) => {
-      if (got.kind === 'failed') return done({ kind: 'unsure' });
-      if (got.kind === 'missing') return done({ kind: 'none' });
-      const value = got.item.value as EndedValue;
-      done({ kind: 'ended', view: this.remember(id, value.state, value.spec.taskCount) });
-    });
-  }
-
-  private remember(id: string, state: EndedValue['state'], tasks: number): JobView {
-    const counts = state === 'done' ? { done: tasks, running: 0 } : {};
-    const view: JobView = { id, state, ...counts };
-    this.proofs.forget(id);
-    this.ended.set(id, view);
-    return view;
-  }
-
   // --- submitting ------------------------------------------------------------
 
-  private submit(request: Request, answer: Answer): void {
+  private submit(request: HttpRequest, answer: Answer): void {
     let body: unknown = null;
     let spec: JobSpec;
     try {
@@ -239,7 +149,7 @@
   /** A refusal is only for a job that is not known already. */
   private judge(id: string | null, reply: Reply, answer: Answer): void {
     if (id === null) return answer(reply);
-    this.look(id, (known) => this.replyFor(id, known, reply, answer));
+    this.lookup.look(id, (known) => this.replyFor(id, known, reply, answer));
   }
 
   /** Each has to have been accepted, and to be known to have been, by its key. */
@@ -249,7 +159,7 @@
     let left = predecessors.length;
     if (left === 0) return this.accept(spec, false, answer);
     for (const id of predecessors) {
-      this.locate(id, (known) => {
+      this.lookup.locate(id, (known) => {
         found.add(known.kind === 'ended' ? known.view.state : known.kind);
         if (--left > 0) return;
         if (found.has('none')) {
@@ -278,8 +188,9 @@
     this.state.commit(guards, [write], PRIORITY.user, (committed) => {
       if (committed.kind === 'ok') {
         this.runtime.env.log('info', { job: spec.id, tasks: spec.taskCount }, 'job accepted');
-        if (predecessorCancelled) return answer(shown(this.remember(spec.id, 'cancelled', 0), 201));
-        this.proofs.note(spec.id, committed.revision, predecessorsOf(spec));
+        if (predecessorCancelled)
+          return answer(shown(this.lookup.noteEnded(spec.id, 'cancelled', 0), 201));
+        this.lookup.noteLive(spec.id, committed.revision, predecessorsOf(spec));
         return answer(shown({ id: spec.id, state: 'queued' }, 201));
       }
       // Known already, or by an earlier commit of this request that got no answer.
@@ -291,7 +202,7 @@
   // --- cancelling ------------------------------------------------------------
 
   private cancel(id: string, tries: number, answer: Answer): void {
-    this.look(id, (known) => {
+    this.lookup.look(id, (known) => {
       if (known.kind === 'unsure' || tries === 0) return answer(unsure());
       if (known.kind === 'none') return answer(refuse(404, 'no such job'));
       if (known.kind === 'ended') return answer(shown({ id, state: known.view.state }));
--- a/packages/controller/src/runtime/ports.ts
+++ b/packages/controller/src/runtime/ports.ts
@@ -1,22 +1,36 @@
 import type { Duration, Instant, Told } from '@tealdock/wire';
 
+/** A request that came in over HTTP, or from another controller. */
+export interface HttpRequest {
+  kind: 'request';
+  id: number;
+  method: string;
+  path: string;
+  body: Buffer;
+  via: Via;
+}
+
 /** What reaches the state owner: everything goes through one queue, in batches. */
 export type Command =
-  | { kind: 'request'; id: number; method: string; path: string; body: Buffer; via: Via }
+  | HttpRequest
   | { kind: 'result'; id: number; result: CallResult }
   | { kind: 'beat'; member: string; leader: string; token: number; stateOk: boolean }
   | { kind: 'told'; message: Told }
   | { kind: 'refused'; member: string }
   | { kind: 'tick' };
 
+/** Where a request came in: from users and workers, or from another controller. */
 export type Via = 'public' | 'peer';
 
+/** What a call goes to. */
 export type Target = 'state' | 'cloud' | 'peer' | 'worker';
 
 /** Lower goes first when tokens are short. */
 export const PRIORITY = { lease: 0, user: 1, leader: 2, background: 3 } as const;
+/** Priority of a call when tokens are short. */
 export type CallPriority = (typeof PRIORITY)[keyof typeof PRIORITY];
 
+/** A request to something outside this process. */
 export interface Call {
   target: Target;
   /** Name of a peer, address of a worker; empty for the others. */
@@ -37,6 +51,7 @@
 export type CallResult =
   { kind: 'answer'; status: number; body: unknown } | { kind: 'unsent' } | { kind: 'lost' };
 
+/** The answer to a request. */
 export interface Reply {
   status: number;
   body: unknown;
@@ -46,6 +61,7 @@
   validUntil?: Instant;
 }
 
+/** What the state owner wants done outside. */
 export type Effect =
   | { kind: 'reply'; id: number; reply: Reply }
   | { kind: 'call'; id: number; call: Call }
@@ -54,7 +70,9 @@
   /** From now on this node may use that part of the changes per second. */
   | { kind: 'share_writes'; part: number };
 
+/** How much a log line matters. */
 export type LogLevel = 'error' | 'info' | 'debug';
+/** Writes one log line. */
 export type Log = (level: LogLevel, fields: Record<string, unknown>, message: string) => void;
 
 /** Uniform in [0, 1), from a seeded generator. */
--- a/packages/controller/src/runtime/runtime.ts
+++ b/packages/controller/src/runtime/runtime.ts
@@ -10,6 +10,7 @@
   run: () => void;
 }
 
+/** What a state owner is given by its process. */
 export interface Environment {
   settings: Settings;
   operator: OperatorSettings;
--- a/packages/controller/src/runtime/stats.ts
+++ b/packages/controller/src/runtime/stats.ts
@@ -13,6 +13,7 @@
   max: number;
 }
 
+/** All that was counted, as `GET /metrics` shows it. */
 export interface StatsView {
   /** What there is at the moment. */
   gauges: Record<string, number>;
@@ -60,7 +61,7 @@
 
 function spread(h: RecordableHistogram): Spread {
   return {
-    count: Number(h.count),
+    count: h.count,
     mean: Math.round(h.mean),
     p50: h.percentile(50),
     p90: h.percentile(90),
--- a/packages/controller/src/state/keys.ts
+++ b/packages/controller/src/state/keys.ts
@@ -24,6 +24,7 @@
   return { job: entry.slice(0, cut), chunk: Number(entry.slice(cut + 1)) };
 }
 
+/** Who leads; the nonce tells the commits of one member apart. */
 export interface LeaderValue {
   member: string;
   nonce: string;
@@ -34,11 +35,13 @@
   /** Time of day at which it was asked for, in ms. */
   at: number;
 }
+/** An accepted job that has not ended. */
 export interface LiveValue {
   spec: JobSpec;
   /** Time of day of the submission, in ms. */
   submitted: number;
 }
+/** A job that has ended, for good. */
 export interface EndedValue {
   state: Extract<JobState, 'done' | 'cancelled'>;
   spec: JobSpec;
@@ -84,7 +87,7 @@
 
 /** An accepted job as stored; null for a value that is none. */
 export function readLive(stored: unknown): LiveValue | null {
-  const value = stored as LiveValue | null;
+  const value = stored as { spec?: { id?: unknown }; submitted?: unknown } | null;
   const whole = typeof value?.spec?.id === 'string' && typeof value.submitted === 'number';
-  return whole ? value : null;
+  return whole ? (stored as LiveValue) : null;
 }
--- a/packages/controller/src/state/sharded-table.ts
+++ b/packages/controller/src/state/sharded-table.ts
@@ -2,12 +2,11 @@
 import { PRIORITY } from '../runtime/ports.js';
 import type { Leadership } from '../leadership/leadership.js';
 import type { Runtime } from '../runtime/runtime.js';
+import { sizeOf, unstored, type Shard } from './shard.js';
 import type { Committed, StateStore } from './state-store.js';
 
 /** Part of a value's limit that a shard is filled to: entries may still grow. */
 const FILL = 0.7;
-/** Quotes, colon and comma around an entry of a map. */
-const ENTRY_OVERHEAD = 6;
 /** Part of what one transaction may hold; the rest is for its conditions. */
 const MOST_BYTES = 48 * 1024;
 /** Something urgent may come meanwhile. */
@@ -17,19 +16,6 @@
 /** Retry after a commit that failed. */
 const RETRY = 300;
 
-interface Shard<V> {
-  key: string;
-  /** Version of the key as last known; null while an unanswered commit leaves it open. */
-  version: number | null;
-  entries: Map<string, V>;
-  bytes: number;
-  dirty: boolean;
-  /** Something in it differs from what is stored, but that can wait. */
-  stale: boolean;
-  /** It has given entries away: what others took in is written before, or with it. */
-  shrunk: boolean;
-}
-
 interface ShardValue<V> {
   entries: Record<string, V>;
 }
@@ -74,8 +60,8 @@
   load(items: StateItem[]): [string, V][] {
     // Of an entry that stands twice the newest counts; the other goes with the next write.
     for (const item of [...items].sort((a, b) => a.version - b.version)) {
-      const entries = (item.value as ShardValue<V> | null)?.entries;
-      if (typeof entries !== 'object' || entries === null) {
+      const entries = (item.value as Partial<ShardValue<V>> | null)?.entries;
+      if (!entries) {
         this.runtime.env.log('error', { key: item.key }, 'stored value can not be read');
         continue;
       }
@@ -88,7 +74,12 @@
     }
     for (const shard of [...this.shards]) this.split(shard);
     if (this.shards.some(unstored)) this.plan();
-    return [...this.home].map(([id, shard]) => [id, shard.entries.get(id)!]);
+    const all: [string, V][] = [];
+    for (const [id, shard] of this.home) {
+      const value = shard.entries.get(id);
+      if (value !== undefined) all.push([id, value]);
+    }
+    return all;
   }
 
   /** Stored under larger limits: what is too much moves on, and stands twice for a while. */
@@ -293,9 +284,3 @@
     });
   }
 }
-
-const unstored = (shard: { dirty: boolean; stale: boolean }): boolean => shard.dirty || shard.stale;
-
-function sizeOf(id: string, value: unknown): number {
-  return id.length + JSON.stringify(value).length + ENTRY_OVERHEAD;
-}
--- a/packages/controller/src/state/state-store.ts
+++ b/packages/controller/src/state/state-store.ts
@@ -38,11 +38,13 @@
 export type Compared =
   { kind: 'equal' } | { kind: 'changed'; failed: string[] } | { kind: 'unsure' };
 
+/** What a watch of keys came to. */
 export type Watched =
   | { kind: 'events'; revision: number; events: StateEvent[] }
   | { kind: 'too_old' }
   | { kind: 'failed' };
 
+/** What the renewal of a lease came to. */
 export type Renewed = 'ok' | 'ended' | 'failed';
 
 const READ_TIMEOUT = 1200;
--- a/packages/controller/src/term/job-watch.ts
+++ b/packages/controller/src/term/job-watch.ts
@@ -1,5 +1,5 @@
 /** News of submissions and cancellations on all nodes, and how fresh it is. */
-import type { Instant, StateEvent } from '@tealdock/wire';
+import type { Instant, StateEvent, StateItem } from '@tealdock/wire';
 import { maxStaleness } from '../leadership/freshness.js';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
@@ -65,10 +65,13 @@
       if (this.term.closed) return;
       if (!live) return this.runtime.after(RETRY, () => this.reread());
       this.knownTo = asked;
-      const specs = live.items.filter((i) => i.key.endsWith('/spec'));
-      const alive = new Set(specs.map((i) => splitLiveKey(i.key)?.job));
-      for (const id of [...this.term.jobs.keys()]) if (!alive.has(id)) this.liveJobs.endJob(id);
-      for (const i of specs) this.liveJobs.addJob(splitLiveKey(i.key)!.job, i.value, i.version);
+      const specs = new Map<string, StateItem>();
+      for (const item of live.items) {
+        const at = splitLiveKey(item.key);
+        if (at?.rest === 'spec') specs.set(at.job, item);
+      }
+      for (const id of [...this.term.jobs.keys()]) if (!specs.has(id)) this.liveJobs.endJob(id);
+      for (const [id, { value, version }] of specs) this.liveJobs.addJob(id, value, version);
       this.follow(live.revision);
     });
   }
--- a/packages/controller/src/term/report-intake.ts
+++ b/packages/controller/src/term/report-intake.ts
@@ -210,24 +210,16 @@
 
   /** A task found on a machine without a binding of this term. */
   private adopt(machine: Machine, t: TaskReport): Binding {
-    const at = splitTaskId(t.task);
-    const job = at ? this.term.jobs.get(at.job) : undefined;
-    const wanted =
-      job !== undefined &&
-      at !== null &&
-      at.index < job.spec.taskCount &&
-      !job.isDone(at.index) &&
-      !job.bound.has(at.index);
+    const at = splitTaskId(t.task) ?? { job: t.task, index: 0 };
+    const job = this.term.jobs.get(at.job);
+    const wanted = job !== undefined && wants(job, at.index);
     const binding: Binding = {
+      ...takes(job),
       task: t.task,
-      job: at?.job ?? t.task,
-      index: at?.index ?? 0,
+      job: at.job,
+      index: at.index,
       attempt: t.attempt,
       machine: machine.id,
-      team: job?.spec.team ?? '',
-      size: job ? need(job.spec) : NOTHING,
-      image: job?.spec.image ?? null,
-      imageGb: job?.spec.imageGb ?? 0,
       phase: 'seen',
       bookedAt: this.runtime.now,
       sentSession: 0,
@@ -247,3 +239,15 @@
     return binding;
   }
 }
+
+/** The task is one of the job's, and is neither done nor bound to another machine. */
+function wants(job: LiveJob, index: number): boolean {
+  return index < job.spec.taskCount && !job.isDone(index) && !job.bound.has(index);
+}
+
+/** What a task of the job takes; nothing where the job is not known, until it is looked up. */
+function takes(job: LiveJob | undefined): Pick<Binding, 'team' | 'size' | 'image' | 'imageGb'> {
+  if (!job) return { team: '', size: NOTHING, image: null, imageGb: 0 };
+  const { team, image, imageGb } = job.spec;
+  return { team, size: need(job.spec), image, imageGb };
+}
--- a/packages/scheduler/src/dependent-demands.ts
+++ b/packages/scheduler/src/dependent-demands.ts
@@ -15,32 +15,35 @@
 /** What a job is to be treated as, for its own sake and that of all that need it. */
 export type DependentDemand = Pick<GraphJob, 'priority' | 'finishBy'>;
 
+interface GraphNode {
+  job: GraphJob;
+  demand: DependentDemand;
+  /** Dependents whose demand is not taken into account yet. */
+  dependentsLeft: number;
+}
+
 /**
  * The priority of a job is the highest among itself and all unfinished jobs that need it;
  * it has to be done in time for each of these to run before its own end is due.
  */
 export function dependentDemands(jobs: Iterable<GraphJob>): Map<string, DependentDemand> {
-  const all = new Map<string, GraphJob>();
-  for (const job of jobs) all.set(job.id, job);
-  const demands = new Map<string, DependentDemand>();
-  const dependents = new Map<string, number>();
-  for (const { id, priority, finishBy } of all.values()) demands.set(id, { priority, finishBy });
-  const known = (job: GraphJob) => job.predecessors.filter((p) => all.has(p));
-  for (const job of all.values()) {
-    for (const p of known(job)) dependents.set(p, (dependents.get(p) ?? 0) + 1);
+  const nodes = new Map<string, GraphNode>();
+  for (const job of jobs) {
+    const { priority, finishBy } = job;
+    nodes.set(job.id, { job, demand: { priority, finishBy }, dependentsLeft: 0 });
   }
-  // From the ends of the chains backwards: a job comes once all that need it have come.
-  const next = [...all.values()].filter((job) => !dependents.has(job.id));
-  for (let job = next.pop(); job; job = next.pop()) {
-    const own = demands.get(job.id)!;
-    for (const p of known(job)) {
-      const before = demands.get(p)!;
-      before.priority = higher(before.priority, own.priority);
-      before.finishBy = Math.min(before.finishBy, own.finishBy - job.run);
-      const left = dependents.get(p)! - 1;
-      dependents.set(p, left);
-      if (left === 0) next.push(all.get(p)!);
+  const predecessors = ({ job }: GraphNode) => job.predecessors.flatMap((p) => nodes.get(p) ?? []);
+  for (const node of nodes.values()) for (const p of predecessors(node)) p.dependentsLeft++;
+  // From the ends of the graph backwards: a job comes once all that need it have come.
+  const next = [...nodes.values()].filter((node) => node.dependentsLeft === 0);
+  for (let node = next.pop(); node; node = next.pop()) {
+    const { job, demand } = node;
+    for (const before of predecessors(node)) {
+      before.demand.priority = higher(before.demand.priority, demand.priority);
+      before.demand.finishBy = Math.min(before.demand.finishBy, demand.finishBy - job.run);
+      before.dependentsLeft--;
+      if (before.dependentsLeft === 0) next.push(before);
     }
   }
-  return demands;
+  return new Map([...nodes].map(([id, { demand }]) => [id, demand]));
 }
--- a/packages/scheduler/src/model.ts
+++ b/packages/scheduler/src/model.ts
@@ -1,5 +1,6 @@
 import type { JobSpec } from '@tealdock/wire';
 
+/** Amounts of what tasks take of a machine. */
 export interface Resources {
   cpus: number;
   gpus: number;
--- a/packages/scheduler/src/preempt.ts
+++ b/packages/scheduler/src/preempt.ts
@@ -8,6 +8,7 @@
   lost: Duration;
 }
 
+/** Tasks to stop on one machine, and the work lost by that. */
 export interface Plan<T> {
   victims: Victim<T>[];
   lost: Duration;
--- a/packages/scheduler/src/rules.ts
+++ b/packages/scheduler/src/rules.ts
@@ -11,6 +11,7 @@
 /** Bound tasks of one job by zone, the unproven ones included. */
 export type ZoneCounts = ReadonlyMap<string, number>;
 
+/** Whether a job may use machines of this type. */
 export function typeAllowed(spec: JobSpec, type: string): boolean {
   return spec.types === null || spec.types.includes(type);
 }
@@ -25,6 +26,7 @@
   return (bound.get(place.zone) ?? 0) + 1 <= Math.ceil(spec.taskCount / 2);
 }
 
+/** Whether a team stays within its limit with what is wanted as well. */
 export function withinLimit(team: Team, used: Resources, wanted: Resources): boolean {
   return (
     used.cpus + wanted.cpus <= team.cpusMax + 1e-6 && used.gpus + wanted.gpus <= team.gpusMax + 1e-6
--- a/packages/testing/src/fake-cloud.ts
+++ b/packages/testing/src/fake-cloud.ts
@@ -1,5 +1,6 @@
 import type { CallResult } from '@tealdock/controller';
 
+/** A rented machine, from the request on. */
 export interface CloudMachine {
   id: string;
   type: string;
--- a/packages/testing/src/fake-state.ts
+++ b/packages/testing/src/fake-state.ts
@@ -25,6 +25,7 @@
   writes: ({ write: string; v: unknown; tenancy?: number } | { delete: string })[];
 }
 
+/** The largest value and transaction that the state service takes. */
 export interface StateCaps {
   valueBytes: number;
   txnOps: number;
--- a/packages/testing/src/fake-worker.ts
+++ b/packages/testing/src/fake-worker.ts
@@ -1,6 +1,7 @@
 import type { CallResult } from '@tealdock/controller';
 import type { CloudMachine } from './fake-cloud.js';
 
+/** A task on a worker, as its reports show it. */
 export interface WorkerTask {
   piece: string;
   try_no: number;
--- a/packages/testing/src/index.ts
+++ b/packages/testing/src/index.ts
@@ -3,4 +3,5 @@
 export * from './fake-cloud.js';
 export * from './fake-worker.js';
 export * from './rule-checker.js';
+export * from './machine-room.js';
 export * from './fake-sockets.js';
--- a/packages/testing/src/rule-checker.ts
+++ b/packages/testing/src/rule-checker.ts
@@ -1,4 +1,6 @@
 import { predecessorsOf, type JobSpec } from '@tealdock/wire';
+import { groupBy } from './group-by.js';
+import { fitsInto, type MachineRoom } from './machine-room.js';
 
 /** No question about a job is answered for this long: it is forgotten. */
 const UNANSWERED = 75_000;
@@ -9,15 +11,9 @@
 /** The largest of a class are this part of it, and one at the least. */
 const LARGEST_PART = 0.25;
 const SERVED_PART = 0.5;
-
-/** What is free on a machine. */
-export interface MachineRoom {
-  type: string;
-  zone: string;
-  spot: boolean;
-  cpus: number;
-  memoryGb: number;
-}
+/** Statuses that take a job in, and those that deny it. */
+const ACCEPTANCES = [200, 201];
+const REFUSALS = [400, 404, 422];
 
 interface Seen {
   spec: JobSpec;
@@ -97,15 +93,9 @@
     finalWhenAsked: string | null,
   ): void {
     const job = this.jobs.get(id);
-    if (!job) {
-      if (this.wrong.has(id) && (status === 200 || status === 201)) this.break('accepted', id);
-      else if (status === 200) this.break('invented', id);
-      return;
-    }
-    if (askedAfterAccept && (status === 404 || status === 400 || status === 422)) {
-      this.break('forgotten', `${id} ${status}`);
-    }
-    if (status !== 200 && status !== 201) return;
+    if (!job) return this.toldOfUnknown(id, status);
+    if (askedAfterAccept && REFUSALS.includes(status)) this.break('forgotten', `${id} ${status}`);
+    if (!ACCEPTANCES.includes(status)) return;
     job.accepted = true;
     job.unanswered = null;
     if (state === undefined) return;
@@ -115,6 +105,11 @@
     this.toldState(id, job, state);
   }
 
+  private toldOfUnknown(id: string, status: number): void {
+    if (this.wrong.has(id) && ACCEPTANCES.includes(status)) this.break('accepted', id);
+    else if (status === 200) this.break('invented', id);
+  }
+
   accepted(id: string): boolean {
     return this.jobs.get(id)?.accepted ?? false;
   }
@@ -256,14 +251,7 @@
     if (spec.kind !== 'array' || spec.oneZone || spec.spread) return false;
     const left = (this.cpuLimits.get(spec.team) ?? 0) - (this.teamUse().get(spec.team) ?? 0);
     if (left < spec.cpus) return false;
-    return rooms.some(
-      (r) =>
-        r.cpus >= spec.cpus &&
-        r.memoryGb >= spec.memoryGb &&
-        (spec.types?.includes(r.type) ?? true) &&
-        (spec.zone ?? r.zone) === r.zone &&
-        (spec.spot || !r.spot),
-    );
+    return rooms.some((room) => fitsInto(spec, room));
   }
 
   private jobOf(task: string): Seen | undefined {
@@ -296,13 +284,3 @@
     this.broken.push(`${rule}: ${what} at ${Math.round(this.now())}`);
   }
 }
-
-function groupBy<T>(items: T[], key: (item: T) => string): Map<string, T[]> {
-  const groups = new Map<string, T[]>();
-  for (const item of items) {
-    const group = groups.get(key(item)) ?? [];
-    group.push(item);
-    groups.set(key(item), group);
-  }
-  return groups;
-}
--- a/packages/testing/src/scenario.ts
+++ b/packages/testing/src/scenario.ts
@@ -1,5 +1,6 @@
 import assert from 'node:assert/strict';
 import type { Reply } from '@tealdock/controller';
+import { job } from './simulated-cluster.js';
 import { SimulatedCluster, type ClusterOptions } from './simulated-cluster.js';
 
 export const A = 'run-000001';
@@ -15,10 +16,12 @@
   return cluster;
 }
 
+/** The nodes that do not lead. */
 export function others(cluster: SimulatedCluster): string[] {
   return cluster.nodes.filter((n) => n !== cluster.leader());
 }
 
+/** The answer to a request, if it comes within seconds. */
 export function ask(
   cluster: SimulatedCluster,
   send: (done: (r: Reply | null) => void) => void,
@@ -29,6 +32,7 @@
   return answer;
 }
 
+/** Tasks that run, on all machines. */
 export function running(cluster: SimulatedCluster): number {
   return [...cluster.workers.values()].flatMap((w) => w.tasks).filter((t) => t.status === 'running')
     .length;
@@ -36,6 +40,7 @@
 
 export const status = (r: Reply | null): unknown => (r?.body as { status?: string } | null)?.status;
 
+/** Whether a job is called done within the limit. */
 export function finished(cluster: SimulatedCluster, id: string, limit = 120_000): boolean {
   const node = () => [...cluster.alive.keys()].at(-1)!;
   const done = () => {
@@ -45,6 +50,77 @@
   return cluster.runUntil(done, limit);
 }
 
+/** Fails the test if any rule of the protocol was broken. */
 export function keepsRules(cluster: SimulatedCluster): void {
   assert.deepEqual(cluster.checker.broken, []);
 }
+
+/** Predecessors by their numbers, as a field of a submission. */
+export const after = (...numbers: number[]): { waits_on: string[] } => ({
+  waits_on: numbers.map(idOf),
+});
+
+/** A user submits a job to some node, which takes it. */
+export function submitted(
+  cluster: SimulatedCluster,
+  n: number,
+  over: Record<string, unknown> = {},
+): void {
+  const nodes = [...cluster.alive.keys()];
+  cluster.submit(job(n, over), nodes[n % nodes.length]!);
+  assert.ok(
+    cluster.runUntil(() => cluster.checker.accepted(idOf(n)), 8000),
+    `${idOf(n)} is accepted`,
+  );
+}
+
+/** A user who repeats a submission until some node has taken it. */
+export function insist(cluster: SimulatedCluster, n: number, over: Record<string, unknown>): void {
+  if (cluster.checker.accepted(idOf(n))) return;
+  const nodes = [...cluster.alive.keys()];
+  if (nodes.length > 0) cluster.submit(job(n, over), nodes[n % nodes.length]!);
+  cluster.at(3000, () => insist(cluster, n, over));
+}
+
+/** Some task of the job has started. */
+export const begun = (cluster: SimulatedCluster, n: number): boolean =>
+  [...cluster.workers.values()].some((w) => w.tasks.some((t) => t.piece.startsWith(idOf(n)))) ||
+  cluster.checker.doneTasks(idOf(n)).size > 0;
+
+/** The leader's process ends, and is back after a while. */
+export function crashLeader(cluster: SimulatedCluster, away = 6000): void {
+  const leader = cluster.leader();
+  if (leader === null) return;
+  cluster.crash(leader);
+  cluster.at(away, () => {
+    if (!cluster.alive.has(leader)) cluster.boot(leader);
+  });
+}
+
+/** Users ask all these nodes about all these jobs. */
+export function pollAll(cluster: SimulatedCluster, jobs: number[], nodes: string[]): void {
+  for (const n of jobs) for (const node of nodes) cluster.poll(idOf(n), node);
+}
+
+const ALL_END_WITHIN = 400_000;
+
+/** All faults are over: each of these jobs ends, and every node says the same of it. */
+export function endsWell(cluster: SimulatedCluster, jobs: number[]): void {
+  cluster.endFaults();
+  const open = () => jobs.filter((n) => cluster.checker.final(idOf(n)) === null);
+  const ended = () => {
+    if (cluster.now() % 1000 === 0) {
+      for (const n of open()) cluster.poll(idOf(n), cluster.nodes[n % 3]!);
+    }
+    return open().length === 0;
+  };
+  assert.ok(cluster.runUntil(ended, ALL_END_WITHIN), `jobs without an end: ${open().join(', ')}`);
+  for (const node of cluster.nodes) {
+    pollAll(cluster, jobs, [node]);
+    cluster.run(2000);
+  }
+  cluster.run(cluster.times.cancelWithin + 5000);
+  assert.equal(running(cluster), 0);
+  assert.deepEqual(cluster.checker.unserved(), []);
+  keepsRules(cluster);
+}
--- a/packages/testing/src/simulated-cluster.ts
+++ b/packages/testing/src/simulated-cluster.ts
@@ -23,7 +23,8 @@
 import { FakeSockets } from './fake-sockets.js';
 import { FakeState, type StateCaps } from './fake-state.js';
 import { FakeWorker, type WireCommands, type WorkerHost } from './fake-worker.js';
-import { RuleChecker, type MachineRoom } from './rule-checker.js';
+import type { MachineRoom } from './machine-room.js';
+import { RuleChecker } from './rule-checker.js';
 
 const STEP = 50;
 const HALF_TRIP = 5;
@@ -36,6 +37,7 @@
 /** A call that is lost before or after it is carried out, or is carried out (so much) later. */
 type StateFault = 'lost_before' | 'lost_after' | 'late' | number;
 
+/** What a simulated cluster is made of. */
 export interface ClusterOptions {
   seed?: number;
   capacity?: number;
@@ -95,6 +97,7 @@
   leaderLease: 10_000,
 };
 
+/** A node's settings, as a platform would hand them over. */
 export function settingsFor(
   member: string,
   cpuLimit: number,
@@ -387,6 +390,16 @@
     if (call.target === 'worker') return this.command(from, call, done);
     if (this.cut(from, call.target)) return lost();
     if (call.target === 'cloud') return done(this.cloud.handle(call.path, call.body));
+    this.askState(from, call, done, lost);
+  }
+
+  /** A call to the state service, with whatever befalls it on its way. */
+  private askState(
+    from: string,
+    call: Call,
+    done: (result: CallResult) => void,
+    lost: () => void,
+  ): void {
     if (this.older.has(from)) withoutEndTimes(call);
     const fault = this.stateFault?.(from, call);
     if (fault === 'lost_before') return lost();
--- a/packages/wire/src/cancellations.ts
+++ b/packages/wire/src/cancellations.ts
@@ -7,6 +7,7 @@
 
 const cancellations = z.object({ jobs: z.array(z.string().refine(isJobId)).max(1000) });
 
+/** Ids of jobs that a controller has cancelled. */
 export function parseCancellations(body: unknown): string[] {
   const parsed = cancellations.safeParse(body);
   if (!parsed.success) throw new WireError(issueText(parsed.error));
--- a/packages/wire/src/cloud.ts
+++ b/packages/wire/src/cloud.ts
@@ -10,6 +10,7 @@
 export const MAX_RETURN = 100;
 export const MAX_LIST = 500;
 
+/** A request for machines; its name makes it idempotent. */
 export interface RentRequest {
   request: string;
   type: string;
@@ -18,7 +19,7 @@
   count: number;
 }
 
-const amount = z.number().finite().nonnegative();
+const amount = z.number().nonnegative();
 const catalog = z.object({
   flavours: z.array(
     z.object({
@@ -57,6 +58,7 @@
   return parsed.data;
 }
 
+/** Machine types that the cloud offers. */
 export function parseCatalog(body: unknown): MachineType[] {
   return check(catalog, body).flavours.map((f) => ({
     name: f.label,
@@ -87,6 +89,7 @@
 export const listPath = (after: string): string =>
   `${MACHINES_PATH}?after=${encodeURIComponent(after)}&most=${MAX_LIST}`;
 
+/** One page of the machine list. */
 export function parseList(body: unknown): { machines: ListedMachine[]; more: boolean } {
   const list = check(listing, body);
   return {
--- a/packages/wire/src/domain.ts
+++ b/packages/wire/src/domain.ts
@@ -8,11 +8,13 @@
 /** A reading of the steady clock. */
 export type Instant = DOMHighResTimeStamp;
 
+/** How urgent a job is, from the highest to the lowest. */
 export type Priority = 'production' | 'high' | 'normal' | 'low';
 
 /** `gang`: all tasks run at the same time. `service`: runs until it is cancelled. */
 export type JobKind = 'array' | 'gang' | 'service';
 
+/** A job as its user described it. */
 export interface JobSpec {
   id: string;
   kind: JobKind;
@@ -40,8 +42,10 @@
 
 export const predecessorsOf = (spec: JobSpec): string[] => spec.predecessors ?? [];
 
+/** How a job stands, as users are told. */
 export type JobState = 'queued' | 'running' | 'done' | 'cancelled';
 
+/** What users are told of a job. */
 export interface JobView {
   id: string;
   state: JobState;
@@ -49,9 +53,12 @@
   running?: number;
 }
 
+/** State of a task on its machine. */
 export type TaskState = 'fetching' | 'running' | 'saving' | 'exited';
+/** Why a task is over. */
 export type ExitReason = 'done' | 'stopped' | 'error' | 'no_room' | 'busy' | 'unknown';
 
+/** A task as its worker reports it. */
 export interface TaskReport {
   task: string;
   attempt: number;
@@ -60,6 +67,7 @@
   saved: boolean;
 }
 
+/** A worker's report: all that is on its machine. */
 export interface WorkerReport {
   machine: string;
   addr: string;
@@ -73,11 +81,13 @@
   tasks: TaskReport[];
 }
 
+/** What a worker is told to do with one task. */
 export type Order =
   | { op: 'start'; task: string; attempt: number }
   | { op: 'stop'; task: string; attempt: number; grace: Duration }
   | { op: 'forget'; task: string; attempt: number };
 
+/** A kind of machine as the catalog describes it. */
 export interface MachineType {
   name: string;
   cpus: number;
@@ -91,6 +101,7 @@
   zones: string[];
 }
 
+/** A machine in the cloud's list. */
 export interface ListedMachine {
   id: string;
   addr: string;
@@ -104,7 +115,8 @@
 /** `run-000412/3`: the third task of a job. */
 export const taskId = (job: string, index: number): string => `${job}/${index}`;
 
+/** Job and index of a task id; null for anything else. */
 export function splitTaskId(task: string): { job: string; index: number } | null {
-  const match = /^(.+)\/(\d{1,6})$/.exec(task);
-  return match ? { job: match[1]!, index: Number(match[2]) } : null;
+  const [, job, index] = /^(.+)\/(\d{1,6})$/.exec(task) ?? [];
+  return job === undefined ? null : { job, index: Number(index) };
 }
--- a/packages/wire/src/jobs.ts
+++ b/packages/wire/src/jobs.ts
@@ -6,17 +6,21 @@
 export const HEALTH_PATH = '/healthz';
 export const MAX_TASKS = 100_000;
 
-const PRIORITIES: Record<string, Priority> = {
+const PRIORITIES = {
   prod: 'production',
   urgent: 'high',
   normal: 'normal',
   idle: 'low',
-};
+} as const satisfies Record<string, Priority>;
 
-const KINDS: Record<string, JobKind> = { array: 'array', group: 'gang', service: 'service' };
+const KINDS = {
+  array: 'array',
+  group: 'gang',
+  service: 'service',
+} as const satisfies Record<string, JobKind>;
 
 const name = z.string().min(1).max(200);
-const amount = z.number().finite().nonnegative();
+const amount = z.number().nonnegative();
 const flag = z.boolean();
 
 const submission = z.object({
@@ -53,6 +57,7 @@
   return isJobId(ref) ? ref : null;
 }
 
+/** The job that a submission describes; throws `WireError` naming the wrong field. */
 export function parseSubmission(body: unknown): JobSpec {
   const parsed = submission.safeParse(body);
   if (!parsed.success) throw new WireError(issueText(parsed.error));
@@ -60,10 +65,10 @@
   if (!isJobId(s.ref)) throw new WireError('ref: not a job id');
   return {
     id: s.ref,
-    kind: KINDS[s.shape]!,
+    kind: KINDS[s.shape],
     jobClass: s.jobclass,
     team: s.owner,
-    priority: PRIORITIES[s.urgency]!,
+    priority: PRIORITIES[s.urgency],
     taskCount: s.batch,
     cpus: s.cpus,
     gpus: s.accelerators,
@@ -83,6 +88,7 @@
   };
 }
 
+/** How a job stands, as users read it. */
 export function renderJobView(view: JobView): Record<string, unknown> {
   return {
     ref: view.id,
@@ -91,6 +97,7 @@
   };
 }
 
+/** The first thing that is wrong with a value, with its path. */
 export function issueText(error: z.ZodError): string {
   const issue = error.issues[0];
   const path = issue?.path.map(String).join('.') ?? '';
--- a/packages/wire/src/peers.ts
+++ b/packages/wire/src/peers.ts
@@ -84,9 +84,8 @@
       if (this.rest.length < HEADER_BYTES + length) return messages;
       const kind = KINDS[this.rest.readUInt8(4)];
       if (!kind) throw new Error('unknown peer frame');
-      const record = TYPES[kind].fromBuffer(
-        this.rest.subarray(HEADER_BYTES, HEADER_BYTES + length),
-      );
+      const bytes = this.rest.subarray(HEADER_BYTES, HEADER_BYTES + length);
+      const record = TYPES[kind].fromBuffer(bytes) as object;
       messages.push({ kind, ...record } as PeerMessage);
       this.rest = this.rest.subarray(HEADER_BYTES + length);
     }
--- a/packages/wire/src/settings.ts
+++ b/packages/wire/src/settings.ts
@@ -5,8 +5,8 @@
 import { issueText } from './jobs.js';
 
 const address = z.string().regex(/^[0-9.]+:\d{1,5}$/, 'expected IP:port');
-const amount = z.number().finite().nonnegative();
-const positive = z.number().finite().positive();
+const amount = z.number().nonnegative();
+const positive = z.number().positive();
 
 const team = z.object({
   name: z.string(),
@@ -57,6 +57,7 @@
   }),
 });
 
+/** A team with its guarantee and its limit. */
 export interface Team {
   name: string;
   cpus: number;
@@ -64,11 +65,13 @@
   gpus: number;
   gpusMax: number;
 }
+/** An aim for a class of jobs. */
 export interface Objective {
   kind: string;
   jobClass: string | null;
   within: number | null;
 }
+/** The platform's settings of one node. */
 export interface Settings {
   member: string;
   zone: string;
@@ -172,6 +175,7 @@
     .prefault({}),
 });
 
+/** The operators' own settings. */
 export interface OperatorSettings {
   window: { lambda: number; closeEarly: number; holdAnswer: number };
   leadership: { lease: number; resignDeaf: number };
@@ -183,6 +187,7 @@
   };
 }
 
+/** Reads the operators' INI file; throws `WireError` naming the wrong setting. */
 export function parseOperatorSettings(text: string): OperatorSettings {
   const parsed = operator.safeParse(parseIni(text));
   if (!parsed.success) throw new WireError(issueText(parsed.error));
--- a/packages/wire/src/state.ts
+++ b/packages/wire/src/state.ts
@@ -5,16 +5,20 @@
 export const COMMIT_PATH = '/commit';
 export const GRANTS_PATH = '/grants';
 
+/** A stored key with its value and version. */
 export interface StateItem {
   key: string;
   value: unknown;
   version: number;
 }
+/** A condition of a transaction: the key has this version, 0 if it does not exist. */
 export interface Guard {
   key: string;
   version: number;
 }
+/** A change of a transaction. */
 export type Write = { put: string; value: unknown; lease?: number } | { remove: string };
+/** A change of a key that was watched. */
 export interface StateEvent {
   key: string;
   /** Undefined for a removal. */
@@ -62,6 +66,7 @@
 export const leasePath = (lease: number): string => `${GRANTS_PATH}/${lease}`;
 
 export const parseItem = (body: unknown): StateItem => fromWire(check(item, body));
+/** One page of stored keys. */
 export function parsePage(body: unknown): { items: StateItem[]; more: boolean; revision: number } {
   const p = check(page, body);
   return { items: p.items.map(fromWire), more: p.has_next ?? false, revision: p.epoch };
@@ -69,6 +74,7 @@
 export const parseCommitted = (body: unknown): number => check(committed, body).epoch;
 export const parseRefused = (body: unknown): string[] => check(refused, body).failed;
 export const parseGrant = (body: unknown): number => check(grant, body).tenancy;
+/** The changes that a watch was answered with. */
 export function parseChanges(body: unknown): { revision: number; events: StateEvent[] } {
   const c = check(changes, body);
   return {
@@ -82,6 +88,7 @@
   };
 }
 
+/** The body of a transaction. */
 export function renderCommit(guards: Guard[], writes: Write[]): Record<string, unknown> {
   return {
     guards: guards.map((g) => ({ key: g.key, stamp: g.version })),
--- a/packages/wire/src/workers.ts
+++ b/packages/wire/src/workers.ts
@@ -6,14 +6,14 @@
 export const REPORT_PATH = '/hello';
 export const COMMANDS_PATH = '/commands';
 
-const STATES: Record<string, TaskState> = {
+const STATES = {
   pulling: 'fetching',
   // A gang's task that waits for the others has its image, but does not run yet.
   waiting: 'fetching',
   running: 'running',
   saving: 'saving',
   exited: 'exited',
-};
+} as const satisfies Record<string, TaskState>;
 const REASONS: Record<string, ExitReason> = {
   done: 'done',
   stopped: 'stopped',
@@ -48,6 +48,7 @@
   ),
 });
 
+/** A report in the terms of this project; throws `WireError`. */
 export function parseReport(body: unknown): WorkerReport {
   const parsed = report.safeParse(body);
   if (!parsed.success) throw new WireError(issueText(parsed.error));
@@ -65,7 +66,7 @@
     tasks: r.batch.map((t) => ({
       task: t.piece,
       attempt: t.try_no,
-      state: STATES[t.status]!,
+      state: STATES[t.status],
       // A reason this version does not know is a failure like any other.
       reason: t.status === 'exited' ? (REASONS[t.reason ?? ''] ?? 'error') : null,
       saved: t.saved ?? false,
@@ -79,6 +80,7 @@
   return { verb: order.op, ...base };
 }
 
+/** The answer to a report that renews the worker's lease. */
 export function renderReportAnswer(token: number, orders: Order[]): Record<string, unknown> {
   return { fence: token, orders: orders.map(renderOrder) };
 }
