--- a/packages/adapters/src/peer-link.ts
+++ b/packages/adapters/src/peer-link.ts
@@ -13,13 +13,13 @@
 
 const RECONNECT = 1000;
 const CONNECT_TIMEOUT = 2000;
-/** A peer beats every second; a link without anything for this long is cut. */
+/** A peer sends a heartbeat every second; a link without anything for this long is cut. */
 const SILENCE = 5000;
 const MOST_BUFFERED = 512 * 1024;
 
 /** What is heard from the other controllers. */
 export interface PeerEvents {
-  beat(message: Extract<PeerMessage, { kind: 'beat' }>): void;
+  heartbeat(message: Extract<PeerMessage, { kind: 'beat' }>): void;
   told(message: Told): void;
   refused(member: string): void;
   ask(
@@ -52,7 +52,7 @@
     for (const peer of this.peers) this.dial(peer);
   }
 
-  beat(member: string, leader: string, token: number, stateOk: boolean): void {
+  heartbeat(member: string, leader: string, token: number, stateOk: boolean): void {
     const frame = packPeer({ kind: 'beat', member, leader, token, stateOk });
     for (const socket of this.sockets.values()) this.write(socket, frame);
   }
@@ -107,7 +107,7 @@
     this.read(socket, peer.member);
   }
 
-  /** Frames from either side; only accepted connections hear beats, so silence there ends them. */
+  /** Frames from either side; only accepted connections get heartbeats, so one without any is closed. */
   private read(socket: Socket, dialled?: string): void {
     const decoder = new PeerDecoder();
     if (dialled === undefined) socket.setTimeout(SILENCE, () => socket.destroy());
@@ -123,7 +123,7 @@
   }
 
   private take(socket: Socket, message: PeerMessage): void {
-    if (message.kind === 'beat') this.events.beat(message);
+    if (message.kind === 'beat') this.events.heartbeat(message);
     else if (message.kind === 'counts' || message.kind === 'hints') this.events.told(message);
     else if (message.kind === 'answer') {
       const body = message.body.length > 0 ? unpackBody(message.body) : null;
--- a/packages/adapters/src/service.ts
+++ b/packages/adapters/src/service.ts
@@ -65,7 +65,7 @@
     this.peers = new PeerLink(
       settings.peers,
       {
-        beat: (m) => this.push({ ...m }),
+        heartbeat: (m) => this.push({ ...m, kind: 'heartbeat' }),
         told: (message) => this.push({ kind: 'told', message }),
         refused: (member) => this.push({ kind: 'refused', member }),
         ask: (m, respond) =>
@@ -139,9 +139,9 @@
     if (effect.kind === 'reply') {
       this.responders.get(effect.id)?.(effect.reply);
       this.responders.delete(effect.id);
-    } else if (effect.kind === 'beat') {
+    } else if (effect.kind === 'heartbeat') {
       const { leader, token, stateOk } = effect;
-      this.peers.beat(this.parts.settings.member, leader, token, stateOk);
+      this.peers.heartbeat(this.parts.settings.member, leader, token, stateOk);
     } else if (effect.kind === 'tell') this.peers.tell(effect.message);
     else if (effect.kind === 'share_writes') this.gates.shareWrites(effect.part);
     else this.call(effect.id, effect.call);
--- a/packages/controller/src/autoscaling/autoscaler.ts
+++ b/packages/controller/src/autoscaling/autoscaler.ts
@@ -29,7 +29,7 @@
 const GIVE_BACK_EVERY = 300;
 /** Machines that one plan may rent. */
 const MAX_PLANNED = 400;
-/** Renting goes on after this even if some of the roster is not accounted for. */
+/** Renting goes on after this even if some of the machines is not accounted for. */
 const REBUILD_PATIENCE = 15_000;
 /** Boots take up to half as long again as their type says. */
 const BOOT_LEAD = 1.5;
@@ -184,7 +184,9 @@
       machine.quarantinedUntil > this.runtime.now
     )
       return false;
-    return !machine.resolved || (machine.lastCounted !== null && !this.returns.deaf(machine));
+    return (
+      !machine.resolved || (machine.lastCounted !== null && !this.returns.countsNoMore(machine))
+    );
   }
 
   private rent(): void {
@@ -215,7 +217,7 @@
     return Math.max(0, left);
   }
 
-  /** Before the roster is accounted for, tasks that run look like tasks that wait. */
+  /** Before all machines are accounted for, tasks that run look like tasks that wait. */
   private knowsWhatRuns(): boolean {
     return this.term.ready || this.runtime.now - this.term.acquired > REBUILD_PATIENCE;
   }
--- a/packages/controller/src/autoscaling/machine-returns.ts
+++ b/packages/controller/src/autoscaling/machine-returns.ts
@@ -39,7 +39,7 @@
   ) {}
 
   /** Its reports arrive, or did, but none has counted for a whole lease. */
-  deaf(machine: Machine): boolean {
+  countsNoMore(machine: Machine): boolean {
     const since =
       machine.lastCounted ??
       Math.max(this.term.acquired, Math.min(machine.since, this.runtime.now));
@@ -47,7 +47,7 @@
   }
 
   /**
-   * A machine that may have had work is first marked in the roster: no later term
+   * A machine that may have had work is first marked in the machine registry: no later term
    * may give work to a machine that is on its way back.
    */
   giveBack(): void {
@@ -111,7 +111,7 @@
     if (this.inventory.listed.get(machine.id)?.state === 'failed' || this.vanished(machine))
       return true;
     if (this.inventory.isOwned(machine.id) || this.inventory.owned === null) return false;
-    if (machine.lostStarts >= MAX_LOST_STARTS || (machine.resolved && this.deaf(machine)))
+    if (machine.lostStarts >= MAX_LOST_STARTS || (machine.resolved && this.countsNoMore(machine)))
       return true;
     if (!machine.resolved) return heldUp;
     return this.idleLongEnough(machine);
@@ -119,12 +119,12 @@
 
   /**
    * It was there before any moment that the newest list may describe, the list
-   * lacks it, and it is silent. That alone proves nothing; the answer to its
+   * lacks it, and it is not heard. That alone proves nothing; the answer to its
    * return will.
    */
   private vanished(machine: Machine): boolean {
     if (this.inventory.listAsked === null || this.inventory.listed.has(machine.id)) return false;
-    // A new term's machines are silent until they have found it.
+    // A new term's machines are not heard until they have found it.
     const { lastHeard } = machine;
     const silence = this.runtime.now - (lastHeard ?? this.term.acquired);
     const patience =
@@ -134,17 +134,17 @@
   }
 
   /**
-   * Few rented machines stay silent while the rest of the roster has reported:
+   * Few rented machines stay unheard while the rest of the fleet has reported:
    * their return proves them gone sooner than the end of their lease would.
    */
   private termHeldUp(): boolean {
     const age = this.runtime.now - this.term.acquired;
     if (age < FEW_PATIENCE) return false;
-    const silent = this.term.unresolved().length;
+    const expired = this.term.unresolved().length;
     const all = this.term.machines.size;
     // In a small fleet the last one is more likely slow than gone, and dear to lose.
-    if (age < UNHEARD_PATIENCE) return silent <= all * FEW_PART;
-    return silent <= Math.max(1, all * UNHEARD_PART);
+    if (age < UNHEARD_PATIENCE) return expired <= all * FEW_PART;
+    return expired <= Math.max(1, all * UNHEARD_PART);
   }
 
   private idleLongEnough(machine: Machine): boolean {
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -34,7 +34,7 @@
 const MOST_COUNTS = 4000;
 const HINTS_EVERY = 5000;
 /** A term is given this long to hear its first reports. */
-const DEAF_GRACE = 12_000;
+const FIRST_REPORTS_GRACE = 12_000;
 
 /**
  * The one owner of all state of a process. Commands come in batches through
@@ -113,7 +113,7 @@
     this.catalog.start();
     this.peers.start(() => this.tellPeers());
     this.runtime.every(CHECK_EVERY, () => {
-      this.resignIfDeaf();
+      this.resignIfUnreachable();
       return true;
     });
     this.runtime.every(COUNTS_EVERY, () => {
@@ -128,14 +128,18 @@
 
   private apply(command: Command): void {
     if (command.kind === 'result') this.runtime.settle(command.id, command.result);
-    else if (command.kind === 'beat') this.peers.hear(command);
+    else if (command.kind === 'heartbeat') this.peers.hear(command);
     else if (command.kind === 'told') this.peers.hearTold(command.message);
     else if (command.kind === 'refused') this.peers.noteRefused(command.member);
     else if (command.kind === 'request') this.route(command);
   }
 
   private tellPeers(): void {
-    this.runtime.beat(this.leadership.leader ?? '', this.term?.fencingToken ?? 0, this.state.ok);
+    this.runtime.heartbeat(
+      this.leadership.leader ?? '',
+      this.term?.fencingToken ?? 0,
+      this.state.ok,
+    );
   }
 
   /** Counts for display: the leader tells the others, and users as well. */
@@ -195,7 +199,7 @@
   }
 
   /**
-   * What allows an answer that renews a lease: leadership, and news of cancellations that
+   * What allows an answer that renews a lease: leadership, and knowledge of cancellations that
    * is fresh enough. A term that has not read what is live knows of none.
    */
   entitled(): Held | null {
@@ -210,12 +214,16 @@
   }
 
   /** A leader that workers can't reach makes way for one that they can. */
-  private resignIfDeaf(): void {
+  private resignIfUnreachable(): void {
     const term = this.term;
     if (!term || !this.leadership.held() || this.state.doubtful || !term.loaded) return;
     const silence = this.runtime.now - term.lastReport;
-    const young = this.runtime.now - term.acquired < DEAF_GRACE;
-    if (young || term.machines.size < 2 || silence < this.runtime.operator.leadership.resignDeaf)
+    const young = this.runtime.now - term.acquired < FIRST_REPORTS_GRACE;
+    if (
+      young ||
+      term.machines.size < 2 ||
+      silence < this.runtime.operator.leadership.resignUnreachable
+    )
       return;
     this.leadership.resign('no reports arrive');
   }
--- a/packages/controller/src/jobs/dependency-graph.ts
+++ b/packages/controller/src/jobs/dependency-graph.ts
@@ -26,7 +26,7 @@
 /**
  * Which live jobs wait for which others. A job is released only once an ended key, read or
  * committed by this leader, says `done` for each predecessor; nothing else releases
- * (docs/safety.md). One that says `cancelled` dooms all that need that job.
+ * (docs/safety.md). One that says `cancelled` cancels all that need that job.
  */
 export class DependencyGraph {
   /** Jobs that wait for a job, by that job. */
@@ -111,7 +111,7 @@
       this.state.get(endedKey(id), PRIORITY.leader, (got) => {
         this.reading--;
         if (got.kind === 'found') this.settle(id, endOf(got.item));
-        // It was accepted, so it is live: news of that may still be on its way.
+        // It was accepted, so it is live: the event may still be on its way.
         else if (got.kind === 'failed' || !this.term.jobs.has(id)) this.askLater(id);
         this.read();
       });
--- a/packages/controller/src/leadership/delegated-renewal.ts
+++ b/packages/controller/src/leadership/delegated-renewal.ts
@@ -22,7 +22,7 @@
 const GRANT_MARGIN = 100;
 /** It is renewed when less than this is left. */
 const RENEW_GRANT_BEFORE_END = 3000;
-/** How long a leader's beats must be missing; a dead one's key is mostly gone by then. */
+/** How long a leader's heartbeats must be missing; a dead one's key is mostly gone by then. */
 const LEADER_UNREACHABLE_AFTER = 6500;
 /** A job that was live at most this long ago may keep its workers. */
 const PROOF_VALIDITY = 2000;
@@ -39,7 +39,7 @@
  * Keeps workers' leases alive while a cut between zones parts them from a leader
  * that still leads. A grant in the state service, guarded by the leader's key, lets
  * this node answer reports with the leader's token and without orders; leaders look
- * for grants before they call a machine silent (docs/safety.md). Each task on a kept
+ * for grants before they call a machine's lease expired (docs/safety.md). Each task on such a
  * worker is of a job proven live just now, or is stopped by the same answer.
  */
 export class DelegatedRenewal {
--- a/packages/controller/src/leadership/freshness.ts
+++ b/packages/controller/src/leadership/freshness.ts
@@ -15,7 +15,7 @@
 type LeaseTimes = Pick<Settings, 'cancelWithin' | 'workerLease'>;
 
 /**
- * How old the news of cancellations may be on which an answer rests that renews a lease.
+ * How stale the known cancellations may be on which an answer rests that renews a lease.
  * Whatever such an answer does not know of and so keeps running ends a lease later, which
  * must still be within `cancel_s` of the cancellation (docs/safety.md).
  */
--- a/packages/controller/src/machines/lease-expiry.ts
+++ b/packages/controller/src/machines/lease-expiry.ts
@@ -43,8 +43,8 @@
   constructor(
     private readonly runtime: Runtime,
     private readonly state: StateStore,
-    private readonly roster: RegisteredMachines,
-    private readonly onExpired: (silent: Machine[]) => void,
+    private readonly registry: RegisteredMachines,
+    private readonly onExpired: (expired: Machine[]) => void,
   ) {}
 
   check(): void {
@@ -54,10 +54,10 @@
     this.lastRead = asked;
     this.state.readAll(GRANT_PREFIX, PRIORITY.leader, (grants) => {
       this.reading = false;
-      if (!grants || this.roster.closed) return;
+      if (!grants || this.registry.closed) return;
       for (const item of grants.items) this.noteGrant(item);
-      const silent = this.expiredAt(asked);
-      if (silent.length > 0) this.onExpired(silent);
+      const expired = this.expiredAt(asked);
+      if (expired.length > 0) this.onExpired(expired);
     });
   }
 
@@ -69,7 +69,7 @@
   /** Some machine that matters is late, or has not been heard at all in this term. */
   private missesReports(): boolean {
     const late = this.runtime.settings.reportEvery * MISSED_REPORTS;
-    for (const machine of this.roster.machines.values()) {
+    for (const machine of this.registry.machines.values()) {
       if (!machine.resolved) return true;
       if (
         machine.bindings.size > 0 &&
@@ -98,12 +98,12 @@
 
   /** Machines whose lease was over at that instant, where something depends on it. */
   private expiredAt(instant: Instant): Machine[] {
-    const silent: Machine[] = [];
-    for (const machine of this.roster.machines.values()) {
+    const expired: Machine[] = [];
+    for (const machine of this.registry.machines.values()) {
       const matters = !machine.resolved || machine.bindings.size > 0 || !machine.registered;
-      const answered = Math.max(machine.lastHeard ?? this.roster.acquired, this.delegatedUntil);
-      if (matters && instant >= this.leaseEnd(answered)) silent.push(machine);
+      const answered = Math.max(machine.lastHeard ?? this.registry.acquired, this.delegatedUntil);
+      if (matters && instant >= this.leaseEnd(answered)) expired.push(machine);
     }
-    return silent;
+    return expired;
   }
 }
--- a/packages/controller/src/machines/machine.ts
+++ b/packages/controller/src/machines/machine.ts
@@ -73,7 +73,7 @@
   answeredFrom: Instant | null = null;
   /** Its tasks are known in this term, or it is proven to have none of older terms. */
   resolved = false;
-  /** The roster in the state service has it; no start goes out before. */
+  /** The machine registry has it; no start goes out before. */
   registered = false;
   returning = false;
   returnCommitted = false;
@@ -101,7 +101,7 @@
   ) {}
 
   /** True for a report newer than any counted one. */
-  isNews(report: WorkerReport): boolean {
+  isNewer(report: WorkerReport): boolean {
     if (report.session !== this.session) return report.session > this.session;
     return report.seq > this.seq;
   }
--- a/packages/controller/src/peers/peers.ts
+++ b/packages/controller/src/peers/peers.ts
@@ -10,7 +10,7 @@
 import { PRIORITY, type CallPriority, type CallResult, type Command } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
 
-const BEAT_EVERY = 1000;
+const HEARTBEAT_INTERVAL = 1000;
 const FRESH = 3200;
 const ASK_TIMEOUT = 2000;
 const REFUSED_FRESH = 5000;
@@ -18,11 +18,11 @@
 /** Tasks of a job that are done and that run, for display. */
 export type JobCounts = Pick<JobCount, 'done' | 'running'>;
 
-type Beat = Extract<Command, { kind: 'beat' }>;
+type Heartbeat = Extract<Command, { kind: 'heartbeat' }>;
 
 /** What the other controllers have said of themselves lately. Never a proof of anything. */
 export class Peers {
-  private readonly beats = new Map<string, { beat: Beat; heard: Instant }>();
+  private readonly heartbeats = new Map<string, { heartbeat: Heartbeat; heard: Instant }>();
 
   /** What the last leader had learnt, as far as this node was told. */
   hints: Hints | null = null;
@@ -34,14 +34,14 @@
 
   start(tell: () => void): void {
     this.started = this.runtime.now;
-    this.runtime.every(BEAT_EVERY, () => {
+    this.runtime.every(HEARTBEAT_INTERVAL, () => {
       tell();
       return true;
     });
   }
 
-  hear(beat: Beat): void {
-    this.beats.set(beat.member, { beat, heard: this.runtime.now });
+  hear(heartbeat: Heartbeat): void {
+    this.heartbeats.set(heartbeat.member, { heartbeat, heard: this.runtime.now });
   }
 
   /** The leader's counts for display, and what it has learnt. */
@@ -64,11 +64,11 @@
   }
 
   lastHeard(member: string): Instant {
-    return this.beats.get(member)?.heard ?? this.started;
+    return this.heartbeats.get(member)?.heard ?? this.started;
   }
 
   alive(member: string): boolean {
-    const known = this.beats.get(member);
+    const known = this.heartbeats.get(member);
     return known !== undefined && this.runtime.now - known.heard <= FRESH;
   }
 
@@ -79,7 +79,7 @@
   /** A peer that reaches the state service, if any. */
   get served(): string | null {
     const peer = this.runtime.settings.peers.find(
-      (p) => this.alive(p.member) && this.beats.get(p.member)?.beat.stateOk === true,
+      (p) => this.alive(p.member) && this.heartbeats.get(p.member)?.heartbeat.stateOk === true,
     );
     return peer?.member ?? null;
   }
--- a/packages/controller/src/placement/machine-capacity.ts
+++ b/packages/controller/src/placement/machine-capacity.ts
@@ -15,7 +15,7 @@
 import type { LiveJob } from '../jobs/live-job.js';
 import type { Machine } from '../machines/machine.js';
 
-/** Room on one machine while a pass goes on. */
+/** Room on one machine while a cycle goes on. */
 export interface MachineCapacity {
   machine: Machine;
   type: MachineType;
--- a/packages/controller/src/placement/scheduling-cycle.ts
+++ b/packages/controller/src/placement/scheduling-cycle.ts
@@ -3,21 +3,21 @@
 import type { LiveJob } from '../jobs/live-job.js';
 import type { UsageLedger } from '../machines/usage-ledger.js';
 
-/** A pass that books more goes on in the next one: reports are answered in between. */
+/** A cycle that books more goes on in the next one: reports are answered in between. */
 const MAX_BOOKINGS = 300;
 /** Plans to make room look at every task of every machine that is looked at. */
 const MAX_PREEMPTION_PLANS = 6;
-/** So many machines a pass, and one plan at least: the cost must not grow with the fleet. */
+/** So many machines a cycle, and one plan at least: the cost must not grow with the fleet. */
 const MAX_PLANNED_MACHINES = 1200;
 
-/** What a pass has to know of the term. */
+/** What a cycle has to know of the term. */
 interface BoundTasks {
   readonly jobs: ReadonlyMap<string, LiveJob>;
   readonly ledger: UsageLedger;
 }
 
 /**
- * What one pass sees of the fleet, and what it has found out so far. In overload
+ * What one cycle sees of the fleet, and what it has found out so far. In overload
  * hundreds of jobs wait and almost every machine is full: what no waiting task could
  * use is sorted out once, not once for each job.
  */
--- a/packages/controller/src/requests/report-requests.ts
+++ b/packages/controller/src/requests/report-requests.ts
@@ -27,7 +27,7 @@
 export interface Leading {
   readonly term: Term | null;
   readonly longPolls: LongPolls | null;
-  /** Set while answers may renew leases (docs/safety.md, News of cancellations). */
+  /** Set while answers may renew leases (docs/safety.md, Freshness of cancellations). */
   entitled(): Held | null;
 }
 
@@ -64,7 +64,7 @@
   private take(request: HttpRequest, report: WorkerReport): void {
     const { term, longPolls } = this.leader;
     this.leadership.outranked(report.token);
-    // Also while it may not answer: a leader that an outage silenced is not deaf.
+    // Also while it may not answer: a leader that an outage kept from answering is reachable.
     if (term) term.lastReport = this.runtime.now;
     const held = this.leader.entitled();
     if (!held || !term) return this.redirect(request, report);
--- a/packages/controller/src/runtime/ports.ts
+++ b/packages/controller/src/runtime/ports.ts
@@ -14,7 +14,7 @@
 export type Command =
   | HttpRequest
   | { kind: 'result'; id: number; result: CallResult }
-  | { kind: 'beat'; member: string; leader: string; token: number; stateOk: boolean }
+  | { kind: 'heartbeat'; member: string; leader: string; token: number; stateOk: boolean }
   | { kind: 'told'; message: Told }
   | { kind: 'refused'; member: string }
   | { kind: 'tick' };
@@ -65,7 +65,7 @@
 export type Effect =
   | { kind: 'reply'; id: number; reply: Reply }
   | { kind: 'call'; id: number; call: Call }
-  | { kind: 'beat'; leader: string; token: number; stateOk: boolean }
+  | { kind: 'heartbeat'; leader: string; token: number; stateOk: boolean }
   | { kind: 'tell'; message: Told }
   /** From now on this node may use that part of the changes per second. */
   | { kind: 'share_writes'; part: number };
--- a/packages/controller/src/runtime/runtime.ts
+++ b/packages/controller/src/runtime/runtime.ts
@@ -57,8 +57,8 @@
     this.effects.push({ kind: 'reply', id, reply });
   }
 
-  beat(leader: string, token: number, stateOk: boolean): void {
-    this.effects.push({ kind: 'beat', leader, token, stateOk });
+  heartbeat(leader: string, token: number, stateOk: boolean): void {
+    this.effects.push({ kind: 'heartbeat', leader, token, stateOk });
   }
 
   tell(message: Told): void {
--- a/packages/controller/src/state/keys.ts
+++ b/packages/controller/src/state/keys.ts
@@ -69,7 +69,7 @@
   const kept = fitsValue(spec, valueBytes) ? spec : { ...spec, types: null, predecessors: [] };
   return { state, spec: kept, at: at.getTime() };
 }
-/** A machine in the roster: type, zone, spot, returning, and since when it is known, in s. */
+/** A machine in the machine registry: type, zone, spot, returning, and since when it is known, in s. */
 export type RegistryEntry = [
   type: string,
   zone: string,
--- a/packages/controller/src/term/job-watch.ts
+++ b/packages/controller/src/term/job-watch.ts
@@ -1,4 +1,4 @@
-/** News of submissions and cancellations on all nodes, and how fresh it is. */
+/** Submissions and cancellations on all nodes, and how fresh the knowledge of them is. */
 import type { Instant, StateEvent, StateItem } from '@tealdock/wire';
 import { maxStaleness } from '../leadership/freshness.js';
 import { PRIORITY } from '../runtime/ports.js';
@@ -10,12 +10,12 @@
 import type { TermState } from './term-state.js';
 
 const RETRY = 400;
-/** Short, since the send of an answered watch is how far this term surely knows the news. */
+/** Short, since the send of an answered watch is how far this term surely knows what was cancelled. */
 const WATCH_HOLD = 1000;
 
 /**
  * Watches the keys of live jobs. Answers that renew leases rest on how fresh this is
- * (docs/safety.md, News of cancellations).
+ * (docs/safety.md, Freshness of cancellations).
  */
 export class JobWatch {
   /** Every cancellation committed before this is known here. */
--- a/packages/controller/src/term/live-jobs.ts
+++ b/packages/controller/src/term/live-jobs.ts
@@ -18,7 +18,7 @@
 export class LiveJobs {
   readonly graph: DependencyGraph;
   readonly progress: ShardedTable<string>;
-  /** Jobs that have ended. News of their submission may still be on its way. */
+  /** Jobs that have ended. The event of their submission may still be on its way. */
   private readonly over = new BoundedSet<string>(MAX_ENDED);
 
   constructor(
--- a/packages/controller/src/term/membership.ts
+++ b/packages/controller/src/term/membership.ts
@@ -43,7 +43,7 @@
     return machine;
   }
 
-  /** The roster gets a machine before the machine gets its first start. */
+  /** The registry gets a machine before the machine gets its first start. */
   join(machine: Machine): void {
     if (!machine.registered && this.registry.get(machine.id) === undefined) this.enroll(machine);
   }
@@ -70,7 +70,7 @@
     }
   }
 
-  /** Gets no more work; kept in the roster too, so that no later term gives it any. */
+  /** Gets no more work; kept in the machine registry too, so that no later term gives it any. */
   markReturning(machine: Machine): void {
     if (machine.returning) return;
     machine.returning = true;
--- a/packages/controller/src/term/orders.ts
+++ b/packages/controller/src/term/orders.ts
@@ -14,7 +14,7 @@
 import type { JobWatch } from './job-watch.js';
 import type { TermState } from './term-state.js';
 
-/** A start leaves only while the news of cancellations is at most this old. */
+/** A start leaves only while the known cancellations are at most this stale. */
 const MAX_STALENESS_OF_STARTS = 2000;
 
 /** Starts, stops and forgets. Starts leave nowhere else (docs/safety.md, Starts). */
@@ -54,7 +54,7 @@
 
   /**
    * How long an answer without orders may be kept back: a machine with free room
-   * may get a start, while the news of a full one should not wait for it.
+   * may get a start, while the end of a task on a full one should not wait for it.
    */
   holdFor(machineId: string, type: MachineType): Duration {
     const machine = this.term.machines.get(machineId);
--- a/packages/controller/src/term/rebuild.ts
+++ b/packages/controller/src/term/rebuild.ts
@@ -31,14 +31,14 @@
   load(): void {
     if (this.term.closed) return;
     const retry = () => this.runtime.after(RETRY, () => this.load());
-    this.readTables((roster, progress) => {
-      if (!roster || !progress) return retry();
+    this.readTables((registry, progress) => {
+      if (!registry || !progress) return retry();
       const asked = this.runtime.now;
       this.state.readAll(LIVE_PREFIX, PRIORITY.leader, (live) => {
         if (!live) return retry();
         if (this.term.closed) return;
         this.watch.knownTo = asked;
-        for (const [id, entry] of this.membership.registry.load(roster))
+        for (const [id, entry] of this.membership.registry.load(registry))
           this.loadMachine(id, entry);
         this.loadJobs(live.items);
         for (const job of this.term.jobs.values()) this.liveJobs.graph.readEnds(job);
@@ -49,12 +49,12 @@
   }
 
   private readTables(
-    done: (roster: StateItem[] | null, progress: StateItem[] | null) => void,
+    done: (registry: StateItem[] | null, progress: StateItem[] | null) => void,
   ): void {
-    this.state.readAll(REGISTRY_PREFIX, PRIORITY.leader, (roster) => {
-      if (!roster) return done(null, null);
+    this.state.readAll(REGISTRY_PREFIX, PRIORITY.leader, (registry) => {
+      if (!registry) return done(null, null);
       this.state.readAll(PROGRESS_PREFIX, PRIORITY.leader, (progress) =>
-        done(roster.items, progress?.items ?? null),
+        done(registry.items, progress?.items ?? null),
       );
     });
   }
--- a/packages/controller/src/term/report-intake.ts
+++ b/packages/controller/src/term/report-intake.ts
@@ -20,7 +20,7 @@
 const FIRST_BACKOFF = 1000;
 const MAX_BACKOFF = 60_000;
 /** A worker learns the token from the first answer that it hears. */
-const DEAF_PATIENCE = 8000;
+const MISSED_ANSWERS_PATIENCE = 8000;
 /** Weight of the newest task in the learnt ratio of run times, and what it may tell at most. */
 const RATIO_WEIGHT = 0.1;
 const MAX_RATIO = 10;
@@ -51,32 +51,32 @@
   report(report: WorkerReport): ReportOutcome {
     if (this.membership.isGone(report.machine)) return IGNORED;
     const machine = this.machineOf(report);
-    if (this.deafToTerm(machine, report)) return UNANSWERED;
+    if (this.missesAnswers(machine, report)) return UNANSWERED;
     // Its lease is renewed by the answer, whatever the report is worth otherwise.
     machine.lastHeard = this.runtime.now;
     // Tasks of a report sent before the worker saw this token may be outdated by
     // a start of the term before; a late report is outdated by a newer one.
-    if (report.token !== this.term.fencingToken || !machine.isNews(report)) return IGNORED;
+    if (report.token !== this.term.fencingToken || !machine.isNewer(report)) return IGNORED;
     this.absorb(report);
     return { counted: true, answered: true, orders: this.orders.ordersFor(machine) };
   }
 
   /**
    * Its reports go on under an older token although they were answered under ours: it
-   * hears nothing. Each answer would make its lease look renewed, and the whole roster
-   * would wait for it for as long as it is deaf. Without answers its lease surely ends.
+   * hears nothing. Each answer would make its lease look renewed, and the whole fleet
+   * would wait for it for as long as that lasts. Without answers its lease surely ends.
    */
-  private deafToTerm(machine: Machine, report: WorkerReport): boolean {
+  private missesAnswers(machine: Machine, report: WorkerReport): boolean {
     if (machine.resolved || report.token === this.term.fencingToken) return false;
     machine.answeredFrom ??= this.runtime.now;
-    return this.runtime.now - machine.answeredFrom > DEAF_PATIENCE;
+    return this.runtime.now - machine.answeredFrom > MISSED_ANSWERS_PATIENCE;
   }
 
   private machineOf(report: WorkerReport): Machine {
     let machine = this.term.machines.get(report.machine);
     if (!machine) {
       machine = this.membership.newMachine(report.machine, report);
-      // Not in the roster, so no term has ever sent a start to it.
+      // Not in the machine registry, so no term has ever sent a start to it.
       machine.resolved = true;
       this.term.machines.set(machine.id, machine);
     }
--- a/packages/controller/src/term/term.ts
+++ b/packages/controller/src/term/term.ts
@@ -64,7 +64,7 @@
     this.leaseExpiry = new LeaseExpiry(runtime, state, this, (expired) => this.endExpired(expired));
   }
 
-  /** Each machine of the roster is accounted for. */
+  /** Each machine of all machines are accounted for. */
   get ready(): boolean {
     return this.settled && this.unresolved().length === 0;
   }
@@ -75,7 +75,7 @@
   }
 
   /**
-   * Placing waits until the roster is accounted for. A job that was committed, or of which a
+   * Placing waits until all machines are accounted for. A job that was committed, or of which a
    * predecessor ended, after this term's token is an exception: no older term can have
    * started any of it (docs/safety.md, Rebuild).
    */
@@ -98,7 +98,7 @@
     this.liveJobs.progress.close();
   }
 
-  /** Notes when the roster is accounted for, which is when all work may be placed. */
+  /** Notes when all machines are accounted for, which is when all work may be placed. */
   private noteReady(): void {
     if (this.wasReady || !this.ready) return;
     this.wasReady = true;
@@ -112,7 +112,7 @@
   }
 
   private sweep(): void {
-    // While the lease is in doubt nothing is heard, so silence means nothing.
+    // While the lease is in doubt nothing is heard, so missing reports mean nothing.
     if (!this.leadership.held()) return;
     this.noteReady();
     this.orders.updateSmallest();
@@ -120,8 +120,8 @@
     for (const machine of this.machines.values()) {
       machine.accumulate(SWEEP_EVERY);
       const patience = this.runtime.settings.reportEvery * BOOKING_PATIENCE;
-      const silent = this.runtime.now - (machine.lastCounted ?? this.acquired) > patience;
-      if (silent || machine.returning || machine.noticeUntil !== null)
+      const expired = this.runtime.now - (machine.lastCounted ?? this.acquired) > patience;
+      if (expired || machine.returning || machine.noticeUntil !== null)
         this.bindings.unbookAll(machine);
       const idle = machine.bindings.size === 0;
       machine.idleSince = idle ? (machine.idleSince ?? this.runtime.now) : null;
@@ -129,10 +129,10 @@
   }
 
   /** Their leases are surely over: the workers have killed all they had. */
-  private endExpired(silent: Machine[]): void {
-    const machines = silent.map((m) => m.id);
+  private endExpired(expired: Machine[]): void {
+    const machines = expired.map((m) => m.id);
     this.runtime.env.log('info', { machines }, 'leases of silent machines ran out');
-    for (const machine of silent) {
+    for (const machine of expired) {
       this.bindings.endAll(machine, 'lease ran out');
       machine.resolved = true;
       // Never enrolled, so without tasks: what a late copy of a report told of.
--- a/packages/testing/src/combined-faults.test.ts
+++ b/packages/testing/src/combined-faults.test.ts
@@ -117,7 +117,7 @@
 });
 
 // Nothing tells the leader of jobs any more, while its lease is renewed.
-onEachDeployment('no start leaves on old news', (times) => {
+onEachDeployment('no start leaves on stale knowledge of cancellations', (times) => {
   const cluster = start(times, { runTime: 12_000 }, 1);
   cluster.submit(job(1, { batch: 4 }), 'n-0');
   assert.ok(cluster.runUntil(() => running(cluster) === 4, 40_000));
@@ -134,22 +134,25 @@
   endsWell(cluster, [1, 2]);
 });
 
-onEachDeployment('a leader that an outage silenced is not deaf and goes on', (times) => {
-  const cluster = busy(times, 2, 4);
-  const leader = cluster.leader()!;
-  cluster.run(10_000);
-  cluster.state.down = true;
-  cluster.run(times.leaderLease + 8000);
-  cluster.state.restore();
-  cluster.run(4000);
-  assert.equal(cluster.leader(), leader);
-  assert.ok(!cluster.log.some((l) => l.message === 'resigning leadership'));
-  assert.equal(running(cluster), 8);
-  endsWell(cluster, [1, 2]);
-});
+onEachDeployment(
+  'a leader that an outage kept from answering is reachable and goes on',
+  (times) => {
+    const cluster = busy(times, 2, 4);
+    const leader = cluster.leader()!;
+    cluster.run(10_000);
+    cluster.state.down = true;
+    cluster.run(times.leaderLease + 8000);
+    cluster.state.restore();
+    cluster.run(4000);
+    assert.equal(cluster.leader(), leader);
+    assert.ok(!cluster.log.some((l) => l.message === 'resigning leadership'));
+    assert.equal(running(cluster), 8);
+    endsWell(cluster, [1, 2]);
+  },
+);
 
 onEachDeployment(
-  'gap: a start that waits in a held answer is not sent for a cancelled job',
+  'gap: a start that waits in a long poll is not sent for a cancelled job',
   (times) => {
     const cluster = start(times, {}, 1);
     cluster.submit(job(1, { batch: 4, expected_s: 150 }), 'n-0');
@@ -249,7 +252,7 @@
 onEachDeployment('a direct command waits in a machine that hangs', (times) => {
   const cluster = busy(times, 2, 6);
   const victim = workers(cluster)[0]!;
-  cluster.mute(victim.machine.id);
+  cluster.cutReportsOf(victim.machine.id);
   cluster.run(times.reportEvery * 2 + 2000);
   victim.hanging = true;
   cancelled(cluster, 1, others(cluster)[0]!);
@@ -327,19 +330,19 @@
 
 onEachDeployment('machines can not open connections, while direct commands reach them', (times) => {
   const cluster = busy(times, 2, 6);
-  const mute = workers(cluster).slice(0, 2);
-  for (const w of mute) cluster.mute(w.machine.id);
+  const unheard = workers(cluster).slice(0, 2);
+  for (const w of unheard) cluster.cutReportsOf(w.machine.id);
   cluster.run(times.reportEvery * 2 + 1000);
   cancelled(cluster, 1, others(cluster)[0]!);
   cluster.run(2000);
-  const left = mute.flatMap((w) => w.tasks).filter((t) => t.piece.startsWith(A));
+  const left = unheard.flatMap((w) => w.tasks).filter((t) => t.piece.startsWith(A));
   assert.deepEqual(
     left.filter((t) => t.status !== 'exited'),
     [],
     'told directly',
   );
   cluster.run(times.lease + 10_000);
-  assert.ok(mute.every((w) => w.shift > 1));
+  assert.ok(unheard.every((w) => w.shift > 1));
   endsWell(cluster, [1, 2]);
 });
 
@@ -376,7 +379,7 @@
 });
 
 onEachDeployment(
-  'a team at its limit, a change of leader, silent machines and a cancellation',
+  'a team at its limit, a change of leader, unreachable machines and a cancellation',
   (times) => {
     const cluster = busy(times, 2, 4, {}, { cpuLimit: 8 });
     cluster.submit(job(3, { batch: 6, expected_s: 20 }), 'n-0');
@@ -480,12 +483,12 @@
     cluster.copyDelay = null;
     cluster.submit(job(1, { batch: 16, expected_s: 60 }), 'n-0');
     assert.ok(cluster.runUntil(() => running(cluster) === 16, 4000));
-    for (const w of workers(cluster)) cluster.mute(w.machine.id);
+    for (const w of workers(cluster)) cluster.cutReportsOf(w.machine.id);
     cluster.copyTo = () => cluster.leader();
     cluster.crash(cluster.leader()!);
     for (let i = 0; i < 4; i++) cluster.cloud.add('a');
     cluster.run(18_000);
-    for (const w of workers(cluster)) cluster.unmute(w.machine.id);
+    for (const w of workers(cluster)) cluster.restoreReportsOf(w.machine.id);
     endsWell(cluster, [1]);
   },
 );
@@ -520,7 +523,7 @@
       const cluster = busy(times, 2, 6);
       const victim = workers(cluster)[0]!.machine.id;
       if (how === 'reached') cluster.cuts.add(victim);
-      else cluster.deafen(victim);
+      else cluster.cutAnswersTo(victim);
       cluster.crash(cluster.leader()!);
       cluster.run(3000);
       const from = cluster.now();
--- a/packages/testing/src/dependencies.test.ts
+++ b/packages/testing/src/dependencies.test.ts
@@ -306,7 +306,7 @@
 });
 
 // Its predecessor's end is newer than the term, so no older leader can have started it.
-test('a job released within a term is placed before the whole roster is known, others are not', () => {
+test('a job released within a term is placed before the whole registry is known, others are not', () => {
   const cluster = settled({
     capacity: 4,
     runTimeOf: (p) => (p.startsWith(A) ? 20_000 : p.startsWith(idOf(3)) ? 1000 : 40_000),
@@ -332,7 +332,7 @@
   assert.deepEqual(
     earlier.filter((l) => term.indexOf(l) > since),
     [],
-    'a job released before the term waits for the roster',
+    'a job released before the term waits for the registry',
   );
   cluster.endFaults();
   assert.ok(finished(cluster, idOf(4), 300_000));
--- a/packages/testing/src/dependency-faults.test.ts
+++ b/packages/testing/src/dependency-faults.test.ts
@@ -78,14 +78,14 @@
 
 const MACHINE_FAULTS: MachineFault[] = [
   {
-    name: 'are deaf',
-    begin: (cluster, workers) => workers.forEach((w) => cluster.deafen(w.machine.id)),
-    end: (cluster, workers) => workers.forEach((w) => cluster.undeafen(w.machine.id)),
+    name: 'get no answers',
+    begin: (cluster, workers) => workers.forEach((w) => cluster.cutAnswersTo(w.machine.id)),
+    end: (cluster, workers) => workers.forEach((w) => cluster.restoreAnswersTo(w.machine.id)),
   },
   {
-    name: 'are mute',
-    begin: (cluster, workers) => workers.forEach((w) => cluster.mute(w.machine.id)),
-    end: (cluster, workers) => workers.forEach((w) => cluster.unmute(w.machine.id)),
+    name: 'reach no controller',
+    begin: (cluster, workers) => workers.forEach((w) => cluster.cutReportsOf(w.machine.id)),
+    end: (cluster, workers) => workers.forEach((w) => cluster.restoreReportsOf(w.machine.id)),
   },
   {
     name: 'hang',
--- a/packages/testing/src/fleet.test.ts
+++ b/packages/testing/src/fleet.test.ts
@@ -37,7 +37,7 @@
   const [known, lost] = [ready(), 4000 - running(cluster)];
   assert.ok(
     cluster.runUntil(() => ready() > known, 15_000),
-    'the roster is accounted for',
+    'all machines are accounted for',
   );
   assert.ok(cluster.now() - from < cluster.lease, 'well within the workers lease');
   assert.ok(
--- a/packages/testing/src/guards.test.ts
+++ b/packages/testing/src/guards.test.ts
@@ -137,7 +137,7 @@
 });
 
 /** A zone whose workers are kept by a follower, which can't tell how their jobs stand. */
-function keptWithoutProofs(): { cluster: SimulatedCluster; follower: string; near: string } {
+function delegatedWithoutProofs(): { cluster: SimulatedCluster; follower: string; near: string } {
   const cluster = settled({ capacity: 4, runTime: 120_000 }, 4);
   cluster.submit(job(1, { batch: 10, expected_s: 120 }), 'n-0');
   assert.ok(cluster.runUntil(() => running(cluster) === 10, 20_000));
@@ -153,7 +153,7 @@
 }
 
 test('a proof that fails under a grant renews no lease of a cancelled task', () => {
-  const { cluster, near } = keptWithoutProofs();
+  const { cluster, near } = delegatedWithoutProofs();
   assert.equal(status(ask(cluster, (d) => cluster.cancel(A, near, d))), 'aborted');
   cluster.run(cluster.times.cancelWithin + 10_000);
   assert.equal(running(cluster), 0);
@@ -161,7 +161,7 @@
 });
 
 test('a proof that fails under a grant stops no task of a live job', () => {
-  const { cluster } = keptWithoutProofs();
+  const { cluster } = delegatedWithoutProofs();
   cluster.run(cluster.lease / 2);
   cluster.stateFault = null;
   cluster.run(15_000);
--- a/packages/testing/src/older-versions.test.ts
+++ b/packages/testing/src/older-versions.test.ts
@@ -75,7 +75,7 @@
 });
 
 fromEach(
-  'what the older version stored is read whole: jobs, ends, progress and roster',
+  'what the older version stored is read whole: jobs, ends, progress and registry',
   (recorded) => {
     const cluster = inherited(recorded, { runTime: 3000 });
     const live = recorded.keys.filter((k) => k.key.includes('/live/'));
--- a/packages/testing/src/random-faults.test.ts
+++ b/packages/testing/src/random-faults.test.ts
@@ -56,11 +56,11 @@
   if (id) cluster.cloud.take(id);
 }
 
-function deafen(cluster: SimulatedCluster): void {
+function cutAnswers(cluster: SimulatedCluster): void {
   const id = pick(cluster, [...cluster.workers.keys()]);
   if (!id) return;
-  cluster.deafen(id);
-  cluster.at(cluster.random() * 40_000, () => cluster.undeafen(id));
+  cluster.cutAnswersTo(id);
+  cluster.at(cluster.random() * 40_000, () => cluster.restoreAnswersTo(id));
 }
 
 function copies(cluster: SimulatedCluster): void {
@@ -102,11 +102,11 @@
   cluster.at(cluster.random() * 15_000, () => (cluster.stateDelay = null));
 }
 
-function mute(cluster: SimulatedCluster): void {
+function unheard(cluster: SimulatedCluster): void {
   const id = pick(cluster, [...cluster.workers.keys()]);
   if (!id) return;
-  cluster.mute(id);
-  cluster.at(cluster.random() * 40_000, () => cluster.unmute(id));
+  cluster.cutReportsOf(id);
+  cluster.at(cluster.random() * 40_000, () => cluster.restoreReportsOf(id));
 }
 
 /** The state service refuses one node, perhaps the leader, and soon perhaps everybody. */
@@ -147,8 +147,8 @@
 const FAULTS = [
   lateWrites,
   slow,
-  mute,
-  mute,
+  unheard,
+  unheard,
   refuse,
   refuse,
   cancelNow,
@@ -163,7 +163,7 @@
   outage,
   losses,
   take,
-  deafen,
+  cutAnswers,
   copies,
   isolate,
   part,
--- a/packages/testing/src/scale.test.ts
+++ b/packages/testing/src/scale.test.ts
@@ -29,7 +29,7 @@
   assert.ok(sumWrites(calls) < 120, `${sumWrites(calls)} changes`);
 });
 
-test('the roster of a thousand machines outlives its leader, and none is written twice', () => {
+test('the registry of a thousand machines outlives its leader, and none is written twice', () => {
   const cluster = settled({ cpuLimit: 10_000 }, 300);
   cluster.submit(job(1, { batch: 900, expected_s: 40 }), 'n-0');
   assert.ok(cluster.runUntil(() => running(cluster) === 900, 30_000));
--- a/packages/testing/src/scenarios.test.ts
+++ b/packages/testing/src/scenarios.test.ts
@@ -252,7 +252,7 @@
   keepsRules(cluster);
 });
 
-test("the team's limit holds through a rebuild with a silent machine", () => {
+test("the team's limit holds through a rebuild with an unreachable machine", () => {
   const cluster = settled({ cpuLimit: 4 }, 2);
   cluster.submit(job(1, { batch: 12, expected_s: 30 }), 'n-0');
   assert.ok(cluster.runUntil(() => running(cluster) === 4, 20_000));
@@ -301,7 +301,7 @@
   keepsRules(cluster);
 });
 
-test('a faulty machine is put aside and its tasks run elsewhere', () => {
+test('a faulty machine is quarantined and its tasks run elsewhere', () => {
   const cluster = settled({ fails: (_piece, machine) => machine === 'm-000001', runTime: 2000 }, 2);
   for (let i = 1; i <= 4; i++) cluster.submit(job(i), 'n-0');
   for (let i = 1; i <= 4; i++) assert.ok(finished(cluster, `run-00000${i}`, 200_000));
--- a/packages/testing/src/simulated-cluster.ts
+++ b/packages/testing/src/simulated-cluster.ts
@@ -345,7 +345,7 @@
 
   private carryOut(node: Node, effect: Effect): void {
     if (effect.kind === 'reply') this.reply(node, effect.id, effect.reply);
-    else if (effect.kind === 'beat') this.beat(node, effect);
+    else if (effect.kind === 'heartbeat') this.heartbeat(node, effect);
     else if (effect.kind === 'tell') this.tell(node, effect.message);
     else if (effect.kind === 'share_writes') node.gates?.shareWrites(effect.part);
     else {
@@ -364,11 +364,11 @@
     respond?.(late ? { status: 503, body: {} } : reply);
   }
 
-  private beat(node: Node, beat: Extract<Effect, { kind: 'beat' }>): void {
-    const { leader, token, stateOk } = beat;
+  private heartbeat(node: Node, heartbeat: Extract<Effect, { kind: 'heartbeat' }>): void {
+    const { leader, token, stateOk } = heartbeat;
     for (const other of this.alive.values()) {
       if (other === node || this.cut(node.name, other.name)) continue;
-      this.push(other, { kind: 'beat', member: node.name, leader, token, stateOk });
+      this.push(other, { kind: 'heartbeat', member: node.name, leader, token, stateOk });
     }
   }
 
@@ -495,17 +495,17 @@
   }
 
   /** Reports of a machine arrive, but no answer reaches it. */
-  deafen(machine: string): void {
+  cutAnswersTo(machine: string): void {
     for (const n of NODES) this.cuts.add(`${n}>${machine}`);
   }
 
   /** A machine reaches no controller, while direct commands reach it. */
-  mute(machine: string): void {
+  cutReportsOf(machine: string): void {
     for (const n of NODES) this.cuts.add(`${machine}>${n}`);
   }
 
   /** Cuts of one kind end, others stay. */
-  unmute(machine: string): void {
+  restoreReportsOf(machine: string): void {
     for (const n of NODES) this.cuts.delete(`${machine}>${n}`);
   }
 
@@ -558,7 +558,7 @@
     }
   }
 
-  undeafen(machine: string): void {
+  restoreAnswersTo(machine: string): void {
     for (const n of NODES) this.cuts.delete(`${n}>${machine}`);
   }
 
--- a/packages/testing/src/single-faults.test.ts
+++ b/packages/testing/src/single-faults.test.ts
@@ -7,8 +7,8 @@
 // Its reports arrive while no answer does: it looks idle, the best of volunteers.
 test('a machine that hears nothing does not eat start after start', () => {
   const cluster = settled({}, 2);
-  const deaf = [...cluster.workers.keys()][0]!;
-  cluster.deafen(deaf);
+  const unanswered = [...cluster.workers.keys()][0]!;
+  cluster.cutAnswersTo(unanswered);
   cluster.submit(job(1, { batch: 4, expected_s: 10 }), 'n-0');
   cluster.submit(job(2, { batch: 8, expected_s: 10 }), 'n-0');
   assert.ok(finished(cluster, A, 90_000));
@@ -21,12 +21,12 @@
 
 test('a machine that hears again is used again', () => {
   const cluster = settled({ capacity: 1 }, 1);
-  const deaf = [...cluster.workers.keys()][0]!;
-  cluster.deafen(deaf);
+  const unanswered = [...cluster.workers.keys()][0]!;
+  cluster.cutAnswersTo(unanswered);
   cluster.submit(job(1), 'n-0');
   cluster.run(40_000);
   assert.equal(cluster.checker.final(A), null);
-  cluster.undeafen(deaf);
+  cluster.restoreAnswersTo(unanswered);
   assert.ok(finished(cluster, A, 180_000));
   keepsRules(cluster);
 });
@@ -35,7 +35,7 @@
   const cluster = settled({}, 2);
   cluster.submit(job(1, { batch: 8, expected_s: 500 }), 'n-0');
   assert.ok(cluster.runUntil(() => running(cluster) === 8, 20_000));
-  cluster.deafen([...cluster.workers.keys()][0]!);
+  cluster.cutAnswersTo([...cluster.workers.keys()][0]!);
   assert.equal(status(ask(cluster, (d) => cluster.cancel(A, 'n-1', d))), 'aborted');
   cluster.run(60_000);
   assert.equal(running(cluster), 0);
@@ -64,7 +64,7 @@
   });
 }
 
-test('a late copy does not end the held answer of a newer report', () => {
+test('a late copy does not end the long poll of a newer report', () => {
   const cluster = settled({ capacity: 1 }, 1);
   const worker = [...cluster.workers.values()][0]!;
   const errors = () => cluster.log.filter((l) => l.message === 'start was lost').length;
@@ -177,7 +177,7 @@
 });
 
 // Shards hold many entries: a late write of an old one would undo all that came since.
-test('a commit that is carried out late does not take later machines off the roster', () => {
+test('a commit that is carried out late does not take later machines off the registry', () => {
   const cluster = settled({ capacity: 6, runTime: 4000 }, 2);
   let late = 0;
   cluster.stateFault = (_node, call) =>
@@ -188,10 +188,10 @@
   cluster.at(5000, () => cluster.cloud.add('b'));
   cluster.run(25_000);
   assert.ok(late > 1, 'one commit was late, others came after it');
-  const roster = [...cluster.state.keys]
+  const registry = [...cluster.state.keys]
     .filter(([key]) => key.includes('/roster/'))
     .flatMap(([, e]) => Object.keys((e.v as { entries: object }).entries));
-  assert.deepEqual(roster.sort(), [...cluster.workers.keys()].sort());
+  assert.deepEqual(registry.sort(), [...cluster.workers.keys()].sort());
   keepsRules(cluster);
 });
 
--- a/packages/testing/src/zones.test.ts
+++ b/packages/testing/src/zones.test.ts
@@ -57,7 +57,7 @@
   }
 });
 
-// A grant seen for the first time as a lease runs out is taken to begin then: the roster
+// A grant seen for the first time as a lease runs out is taken to begin then: the registry
 // would stay open for a grant and a lease more, with all older work waiting.
 test('grants that were over long ago do not put off the end of leases', () => {
   const cluster = busyCluster();
--- a/packages/wire/src/settings.ts
+++ b/packages/wire/src/settings.ts
@@ -178,7 +178,7 @@
 /** The operators' own settings. */
 export interface OperatorSettings {
   window: { lambda: number; closeEarly: number; holdAnswer: number };
-  leadership: { lease: number; resignDeaf: number };
+  leadership: { lease: number; resignUnreachable: number };
   fleet: {
     idleReturn: number;
     bootPatience: number;
@@ -198,7 +198,7 @@
       closeEarly: millis(w.close_early_s),
       holdAnswer: millis(w.hold_answer_s),
     },
-    leadership: { lease: millis(l.lease_s), resignDeaf: millis(l.resign_deaf_s) },
+    leadership: { lease: millis(l.lease_s), resignUnreachable: millis(l.resign_deaf_s) },
     fleet: {
       idleReturn: millis(f.idle_return_s),
       bootPatience: f.boot_patience,
