--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -8,12 +8,12 @@
   type Told,
 } from '@tealdock/wire';
 import { Catalog } from './machines/catalog.js';
-import { JobCompletion } from './jobs/job-completion.js';
+import { JobCompletion } from './term/job-completion.js';
 import { JobLookup } from './jobs/job-lookup.js';
-import { DirectStops } from './machines/direct-stops.js';
+import { DirectStops } from './term/direct-stops.js';
 import { Autoscaler } from './autoscaling/autoscaler.js';
 import { LongPolls } from './requests/long-polls.js';
-import { hintsOf, useHints } from './peers/successor-hints.js';
+import { hintsOf, useHints } from './term/successor-hints.js';
 import { DelegatedRenewal } from './leadership/delegated-renewal.js';
 import { Leadership, type Held } from './leadership/leadership.js';
 import { Peers } from './peers/peers.js';
--- /dev/null
+++ b/packages/controller/src/jobs/binding.ts
@@ -0,0 +1,42 @@
+/** Tasks on machines, or on their way there. */
+import type { Instant, TaskState } from '@tealdock/wire';
+import type { Resources } from '@tealdock/scheduler';
+
+/** How a task is to be stopped, and why. */
+export interface StopWish {
+  grace: number;
+  reason: string;
+}
+
+/**
+ * A task on a machine, or on its way there. `booked`: not told to the worker
+ * yet. `sent`: a start left in the answer to report (`session`, `seq`). `seen`:
+ * a counted report has it.
+ */
+export interface Binding {
+  readonly task: string;
+  readonly job: string;
+  readonly index: number;
+  readonly attempt: number;
+  readonly machine: string;
+  team: string;
+  size: Resources;
+  phase: 'booked' | 'sent' | 'seen';
+  bookedAt: Instant;
+  sentSession: number;
+  sentSeq: number;
+  state: TaskState | null;
+  runningSince: Instant | null;
+  /** Changed through the term only, since sums depend on it. */
+  stop: StopWish | null;
+  /** The first of a job that waited for too long: it is not stopped for others. */
+  sheltered: boolean;
+  /** Null where the job is not known any more. */
+  readonly image: string | null;
+  readonly imageGb: number;
+  /** Not one that this term wants to run: it is only counted until it is gone. */
+  foreign: boolean;
+}
+
+/** Names a binding among those of its machine. */
+export const bindingKey = (task: string, attempt: number): string => `${task}#${attempt}`;
--- a/packages/controller/src/jobs/live-job.ts
+++ b/packages/controller/src/jobs/live-job.ts
@@ -1,7 +1,7 @@
 import { predecessorsOf, type Instant, type JobSpec } from '@tealdock/wire';
 import type { DependentDemand } from '@tealdock/scheduler';
 import { CHUNK_TASKS } from '../state/keys.js';
-import type { Binding } from '../machines/machine.js';
+import type { Binding } from './binding.js';
 
 /** A task that has opened its window. */
 export interface OpenTask {
--- a/packages/controller/src/machines/usage-ledger.ts
+++ b/packages/controller/src/machines/usage-ledger.ts
@@ -1,5 +1,5 @@
 import { NOTHING, minus, plus, type Resources } from '@tealdock/scheduler';
-import type { Binding } from './machine.js';
+import type { Binding } from '../jobs/binding.js';
 
 interface TeamSums {
   /** Everything bound to the team, the unproven too. */
--- a/packages/controller/src/placement/drain.ts
+++ b/packages/controller/src/placement/drain.ts
@@ -1,5 +1,6 @@
 /** Tasks on machines that the cloud is about to take. */
-import type { Binding, Machine } from '../machines/machine.js';
+import type { Binding } from '../jobs/binding.js';
+import type { Machine } from '../machines/machine.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { Term } from '../term/term.js';
 
--- a/packages/controller/src/placement/preemption.ts
+++ b/packages/controller/src/placement/preemption.ts
@@ -12,7 +12,7 @@
 } from '@tealdock/scheduler';
 import type { MachineCapacity, ImageRanks } from './machine-capacity.js';
 import type { LiveJob } from '../jobs/live-job.js';
-import type { Binding } from '../machines/machine.js';
+import type { Binding } from '../jobs/binding.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { Term } from '../term/term.js';
 
--- a/packages/controller/src/state/sharded-table.ts
+++ b/packages/controller/src/state/sharded-table.ts
@@ -1,6 +1,5 @@
 import type { Guard, Instant, StateItem, Write } from '@tealdock/wire';
 import { PRIORITY } from '../runtime/ports.js';
-import type { Leadership } from '../leadership/leadership.js';
 import type { Runtime } from '../runtime/runtime.js';
 import { sizeOf, unstored, type Shard } from './shard.js';
 import type { Committed, StateStore } from './state-store.js';
@@ -16,6 +15,14 @@
 /** Retry after a commit that failed. */
 const RETRY = 300;
 
+/** What a table has to know of leadership: only a leader writes it. */
+interface LeaderGuard {
+  /** Condition of every transaction of a leader. */
+  guard(): Guard;
+  /** Null unless leadership is surely held. */
+  held(): object | null;
+}
+
 interface ShardValue<V> {
   entries: Record<string, V>;
 }
@@ -40,7 +47,7 @@
   constructor(
     private readonly runtime: Runtime,
     private readonly state: StateStore,
-    private readonly leadership: Leadership,
+    private readonly leadership: LeaderGuard,
     private readonly prefix: string,
     private readonly options: {
       /** Changes are gathered for this long before they are written. */
--- a/packages/controller/src/term/bindings.ts
+++ b/packages/controller/src/term/bindings.ts
@@ -3,7 +3,8 @@
 import { need } from '@tealdock/scheduler';
 import type { LiveJob } from '../jobs/live-job.js';
 import type { Leadership } from '../leadership/leadership.js';
-import { bindingKey, type Binding, type Machine, type StopWish } from '../machines/machine.js';
+import { bindingKey, type Binding, type StopWish } from '../jobs/binding.js';
+import type { Machine } from '../machines/machine.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { TermState } from './term-state.js';
 
--- a/packages/controller/src/machines/direct-stops.ts
+++ b/packages/controller/src/term/direct-stops.ts
@@ -1,8 +1,8 @@
 import { COMMANDS_PATH, renderCommands, type Instant, type Order } from '@tealdock/wire';
-import type { Machine } from './machine.js';
+import type { Machine } from '../machines/machine.js';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
-import type { Term } from '../term/term.js';
+import type { Term } from './term.js';
 
 const LOOK_EVERY = 500;
 const TIMEOUT = 2000;
--- a/packages/controller/src/term/ended-job-lookup.ts
+++ b/packages/controller/src/term/ended-job-lookup.ts
@@ -1,7 +1,7 @@
 /** Sizes and teams of tasks whose jobs have ended, which reports may still show. */
 import type { JobSpec } from '@tealdock/wire';
 import { need } from '@tealdock/scheduler';
-import { bindingKey, type Binding } from '../machines/machine.js';
+import { bindingKey, type Binding } from '../jobs/binding.js';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
 import { endedKey, type EndedValue } from '../state/keys.js';
--- a/packages/controller/src/jobs/job-completion.ts
+++ b/packages/controller/src/term/job-completion.ts
@@ -1,13 +1,13 @@
 import type { Guard, Write } from '@tealdock/wire';
 import { rank } from '@tealdock/scheduler';
-import { endOf, type JobEnd } from './dependency-graph.js';
+import { endOf, type JobEnd } from '../jobs/dependency-graph.js';
 import { endedKey, endedValue, progressEntry, specKey, type EndedValue } from '../state/keys.js';
 import type { Leadership } from '../leadership/leadership.js';
-import type { LiveJob } from './live-job.js';
+import type { LiveJob } from '../jobs/live-job.js';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { StateStore } from '../state/state-store.js';
-import type { Term } from '../term/term.js';
+import type { Term } from './term.js';
 
 const FLUSH_EVERY = 250;
 /** Progress of jobs that go on: one change holds that of many jobs, so it is gathered. */
--- a/packages/controller/src/term/live-jobs.ts
+++ b/packages/controller/src/term/live-jobs.ts
@@ -2,7 +2,7 @@
 import type { Leadership } from '../leadership/leadership.js';
 import { DependencyGraph, type JobEnd } from '../jobs/dependency-graph.js';
 import { LiveJob } from '../jobs/live-job.js';
-import type { Binding } from '../machines/machine.js';
+import type { Binding } from '../jobs/binding.js';
 import { BoundedSet } from '../runtime/bounded.js';
 import type { Runtime } from '../runtime/runtime.js';
 import { PROGRESS_PREFIX, readLive, splitProgressEntry } from '../state/keys.js';
--- a/packages/controller/src/term/orders.ts
+++ b/packages/controller/src/term/orders.ts
@@ -8,7 +8,8 @@
 } from '@tealdock/wire';
 import { NOTHING, fits, least, need, type Resources } from '@tealdock/scheduler';
 import type { Leadership } from '../leadership/leadership.js';
-import type { Binding, Machine } from '../machines/machine.js';
+import type { Binding } from '../jobs/binding.js';
+import type { Machine } from '../machines/machine.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { EndedJobLookup } from './ended-job-lookup.js';
 import type { JobWatch } from './job-watch.js';
--- a/packages/controller/src/term/report-intake.ts
+++ b/packages/controller/src/term/report-intake.ts
@@ -2,7 +2,8 @@
 import { splitTaskId, type Order, type TaskReport, type WorkerReport } from '@tealdock/wire';
 import { NOTHING, need } from '@tealdock/scheduler';
 import type { LiveJob } from '../jobs/live-job.js';
-import { bindingKey, type Binding, type Machine } from '../machines/machine.js';
+import { bindingKey, type Binding } from '../jobs/binding.js';
+import type { Machine } from '../machines/machine.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { Bindings } from './bindings.js';
 import type { EndedJobLookup } from './ended-job-lookup.js';
--- a/packages/controller/src/peers/successor-hints.ts
+++ b/packages/controller/src/term/successor-hints.ts
@@ -1,5 +1,5 @@
 import type { Hints } from '@tealdock/wire';
-import type { Term } from '../term/term.js';
+import type { Term } from './term.js';
 
 /** What this term has learnt that a successor can't read anywhere. */
 export function hintsOf(term: Term): Hints {
