--- a/packages/adapters/src/call-gates.ts
+++ b/packages/adapters/src/call-gates.ts
@@ -1,3 +1,4 @@
+/** Holds calls to the outside back to what it allows. */
 import type { Duration, Instant, Settings } from '@tealdock/wire';
 import type { Call } from '@tealdock/controller';
 import { TokenBucket } from './token-bucket.js';
--- a/packages/adapters/src/command-queue.ts
+++ b/packages/adapters/src/command-queue.ts
@@ -1,3 +1,4 @@
+/** The queue of commands for the state owner. */
 import type { Command } from '@tealdock/controller';
 
 /** A batch holds the state owner for as long as it takes: effects leave after it. */
--- a/packages/adapters/src/connections.ts
+++ b/packages/adapters/src/connections.ts
@@ -1,3 +1,4 @@
+/** Who holds the connections that clients have opened. */
 import type { Duration, Instant } from '@tealdock/wire';
 import type { SocketShares } from '@tealdock/controller';
 
--- a/packages/adapters/src/http-client.ts
+++ b/packages/adapters/src/http-client.ts
@@ -1,3 +1,4 @@
+/** HTTP requests to the outside, over connections that stay open. */
 import { Agent, request, type IncomingMessage } from 'node:http';
 import { packBody, unpackBody } from '@tealdock/wire';
 import type { CallResult } from '@tealdock/controller';
--- a/packages/adapters/src/http-server.ts
+++ b/packages/adapters/src/http-server.ts
@@ -1,3 +1,4 @@
+/** The public HTTP interface. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { HEALTH_PATH, MAX_BODY_BYTES, REPORT_PATH, packBody } from '@tealdock/wire';
 import type { Reply, SocketShares } from '@tealdock/controller';
--- a/packages/adapters/src/index.ts
+++ b/packages/adapters/src/index.ts
@@ -1,3 +1,4 @@
+/** Adapters between the state owner and the outside. */
 export * from './http-client.js';
 export * from './log.js';
 export * from './service.js';
--- a/packages/adapters/src/listen.ts
+++ b/packages/adapters/src/listen.ts
@@ -1,3 +1,4 @@
+/** Listening on an address that an earlier process may still hold. */
 import type { Server } from 'node:net';
 import { splitAddress } from './http-client.js';
 
--- a/packages/adapters/src/log.ts
+++ b/packages/adapters/src/log.ts
@@ -1,3 +1,4 @@
+/** The log on standard error. */
 import pino from 'pino';
 import type { Log } from '@tealdock/controller';
 
--- a/packages/adapters/src/peer-link.ts
+++ b/packages/adapters/src/peer-link.ts
@@ -1,3 +1,4 @@
+/** Links between controllers. */
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import {
   PeerDecoder,
--- a/packages/adapters/src/service.ts
+++ b/packages/adapters/src/service.ts
@@ -1,3 +1,4 @@
+/** A running node. */
 import type { OperatorSettings, Settings } from '@tealdock/wire';
 import {
   CLOUD_SOCKETS,
--- a/packages/adapters/src/token-bucket.ts
+++ b/packages/adapters/src/token-bucket.ts
@@ -1,3 +1,4 @@
+/** Token buckets with priorities. */
 import type { Instant } from '@tealdock/wire';
 
 interface Waiting {
--- a/packages/adapters/src/usage.ts
+++ b/packages/adapters/src/usage.ts
@@ -1,3 +1,4 @@
+/** What the process uses of its host, for the log and the gauges. */
 import type { Log, Stats } from '@tealdock/controller';
 import type { Connections } from './connections.js';
 
--- a/packages/cli/src/cli.ts
+++ b/packages/cli/src/cli.ts
@@ -1,3 +1,4 @@
+/** The commands of `tealdock`. */
 import { readFileSync } from 'node:fs';
 import { Command, Option } from 'commander';
 import { WireError, parseOperatorSettings, parseSettings } from '@tealdock/wire';
--- a/packages/cli/src/client.ts
+++ b/packages/cli/src/client.ts
@@ -1,3 +1,4 @@
+/** Commands that talk to a running node. */
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
 import { HttpClient, splitAddress } from '@tealdock/adapters';
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,3 +1,4 @@
+/** Entry point of the program. */
 import { runCli } from './cli.js';
 
 void runCli(process.argv);
--- a/packages/cli/src/serve.ts
+++ b/packages/cli/src/serve.ts
@@ -1,3 +1,4 @@
+/** The command that runs a node. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { Service, makeLog } from '@tealdock/adapters';
--- a/packages/controller/src/autoscaling/machine-inventory.ts
+++ b/packages/controller/src/autoscaling/machine-inventory.ts
@@ -6,6 +6,7 @@
 import type { Runtime } from '../runtime/runtime.js';
 import { OWNED_KEY } from '../state/keys.js';
 import { attempt, type StateStore } from '../state/state-store.js';
+import { readOwned } from '../state/stored-values.js';
 import type { Term } from '../term/term.js';
 import type { CloudCalls } from './cloud-calls.js';
 
@@ -54,9 +55,9 @@
 
   private readOwned(): void {
     if (this.term.closed) return;
-    this.state.get(OWNED_KEY, PRIORITY.leader, (got) => {
+    this.state.getValue(OWNED_KEY, readOwned, PRIORITY.leader, (got) => {
       if (got.kind === 'failed') return this.runtime.after(RETRY, () => this.readOwned());
-      if (got.kind === 'found') this.owned = (got.item.value as { last: string }).last;
+      if (got.kind === 'found') this.owned = got.value.last;
     });
   }
 
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -1,3 +1,4 @@
+/** Puts the parts of the state owner together. */
 import {
   CANCELLATIONS_PATH,
   HEALTH_PATH,
--- a/packages/controller/src/index.ts
+++ b/packages/controller/src/index.ts
@@ -1,3 +1,4 @@
+/** The state owner of a node, and the ports through which it is driven. */
 export * from './runtime/ports.js';
 export * from './controller.js';
 export * from './runtime/stats.js';
--- a/packages/controller/src/jobs/ancestor-check.ts
+++ b/packages/controller/src/jobs/ancestor-check.ts
@@ -1,3 +1,4 @@
+/** Whether something that a job needs was cancelled. */
 import type { Duration, Instant } from '@tealdock/wire';
 import type { JobLookup } from './job-lookup.js';
 import type { Runtime } from '../runtime/runtime.js';
--- a/packages/controller/src/jobs/dependency-graph.ts
+++ b/packages/controller/src/jobs/dependency-graph.ts
@@ -1,6 +1,8 @@
-import { predecessorsOf, type Instant, type StateItem } from '@tealdock/wire';
+/** Which jobs wait for which others, and what releases them. */
+import { predecessorsOf, type Instant } from '@tealdock/wire';
 import { dependentDemands, type GraphJob } from '@tealdock/scheduler';
 import { endedKey, type EndedValue } from '../state/keys.js';
+import { readEnded } from '../state/stored-values.js';
 import type { LiveJob } from './live-job.js';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
@@ -108,9 +110,9 @@
       if (this.reading >= MOST_READS || this.term.closed) return;
       this.unread.delete(id);
       this.reading++;
-      this.state.get(endedKey(id), PRIORITY.leader, (got) => {
+      this.state.getValue(endedKey(id), readEnded, PRIORITY.leader, (got) => {
         this.reading--;
-        if (got.kind === 'found') this.settle(id, endOf(got.item));
+        if (got.kind === 'found') this.settle(id, endOf(got));
         // It was accepted, so it is live: the event may still be on its way.
         else if (got.kind === 'failed' || !this.term.jobs.has(id)) this.askLater(id);
         this.read();
@@ -160,7 +162,6 @@
 }
 
 /** What an ended key says, with the revision that wrote it. */
-export function endOf(item: StateItem): JobEnd {
-  const { state, at } = item.value as EndedValue;
-  return { state, at, revision: item.version };
+export function endOf({ value, version }: { value: EndedValue; version: number }): JobEnd {
+  return { state: value.state, at: value.at, revision: version };
 }
--- a/packages/controller/src/jobs/job-lookup.ts
+++ b/packages/controller/src/jobs/job-lookup.ts
@@ -3,8 +3,9 @@
 import { BoundedMap } from '../runtime/bounded.js';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
-import { endedKey, readLive, specKey, type EndedValue, type LiveValue } from '../state/keys.js';
+import { endedKey, specKey, type EndedValue, type LiveValue } from '../state/keys.js';
 import type { StateStore } from '../state/state-store.js';
+import { readEnded, readLive } from '../state/stored-values.js';
 import { LivenessProofs } from './liveness-proofs.js';
 
 /** Final answers that are remembered. */
@@ -32,7 +33,7 @@
   private readonly proofs: LivenessProofs;
 
   constructor(
-    private readonly runtime: Runtime,
+    runtime: Runtime,
     private readonly state: StateStore,
   ) {
     this.proofs = new LivenessProofs(runtime, state);
@@ -75,20 +76,20 @@
     this.state.get(specKey(id), PRIORITY.user, (got) => {
       if (got.kind === 'failed') return done({ kind: 'unsure' });
       if (got.kind === 'missing') return this.lookEnded(id, done);
-      const { key, version } = got.item;
-      const value = readLive(got.item.value);
-      if (!value) this.runtime.env.log('error', { key }, 'stored value can not be read');
+      const { version } = got.item;
+      // Known by its key, also where the value can't be read.
+      const value = this.state.decode(got.item, readLive);
       this.noteLive(id, version, value ? predecessorsOf(value.spec) : []);
       done({ kind: 'live', value, version });
     });
   }
 
   private lookEnded(id: string, done: (known: Known) => void): void {
-    this.state.get(endedKey(id), PRIORITY.user, (got) => {
+    this.state.getValue(endedKey(id), readEnded, PRIORITY.user, (got) => {
       if (got.kind === 'failed') return done({ kind: 'unsure' });
       if (got.kind === 'missing') return done({ kind: 'none' });
-      const value = got.item.value as EndedValue;
-      done({ kind: 'ended', view: this.noteEnded(id, value.state, value.spec.taskCount) });
+      const { state, spec } = got.value;
+      done({ kind: 'ended', view: this.noteEnded(id, state, spec.taskCount) });
     });
   }
 
--- a/packages/controller/src/jobs/live-job.ts
+++ b/packages/controller/src/jobs/live-job.ts
@@ -1,3 +1,4 @@
+/** A job that has not ended, as the leader knows it. */
 import { predecessorsOf, type Instant, type JobSpec } from '@tealdock/wire';
 import type { DependentDemand } from '@tealdock/scheduler';
 import { CHUNK_TASKS } from '../state/keys.js';
--- a/packages/controller/src/jobs/liveness-proofs.ts
+++ b/packages/controller/src/jobs/liveness-proofs.ts
@@ -1,3 +1,4 @@
+/** Proofs that jobs are live, shared by many polls. */
 import type { Guard } from '@tealdock/wire';
 import { specKey } from '../state/keys.js';
 import type { Runtime } from '../runtime/runtime.js';
--- a/packages/controller/src/leadership/delegated-renewal.ts
+++ b/packages/controller/src/leadership/delegated-renewal.ts
@@ -1,3 +1,4 @@
+/** Renewal of workers' leases by a follower, for a leader that they can't reach. */
 import {
   renderReportAnswer,
   splitTaskId,
--- a/packages/controller/src/leadership/freshness.ts
+++ b/packages/controller/src/leadership/freshness.ts
@@ -1,3 +1,4 @@
+/** How stale the known cancellations may be. */
 import type { Duration, Settings } from '@tealdock/wire';
 import { longestElsewhere } from '../runtime/clock-drift.js';
 
--- a/packages/controller/src/leadership/leadership.ts
+++ b/packages/controller/src/leadership/leadership.ts
@@ -1,8 +1,10 @@
+/** Election and the leader's lease. */
 import type { Instant } from '@tealdock/wire';
 import { LEADER_KEY, type LeaderValue } from '../state/keys.js';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { StateStore } from '../state/state-store.js';
+import { readLeader } from '../state/stored-values.js';
 import { shortestElsewhere } from '../runtime/clock-drift.js';
 
 const LEASE_MARGIN = 100;
@@ -113,11 +115,11 @@
 
   /** Reads the key, acts on it, then watches for its next change. */
   private follow(): void {
-    this.state.get(LEADER_KEY, PRIORITY.lease, (got) => {
+    this.state.getValue(LEADER_KEY, readLeader, PRIORITY.lease, (got) => {
       if (got.kind === 'failed') return this.runtime.after(RETRY, () => this.follow());
       if (got.kind === 'missing') this.seeVacant();
-      else this.seeHolder(got.item.value as LeaderValue, got.item.version);
-      const version = got.kind === 'found' ? got.item.version : null;
+      else this.seeHolder(got.value, got.version);
+      const version = got.kind === 'found' ? got.version : null;
       if (version === null || this.electing)
         return this.runtime.after(RETRY / 2, () => this.follow());
       this.watchFrom(version);
--- a/packages/controller/src/machines/catalog.ts
+++ b/packages/controller/src/machines/catalog.ts
@@ -1,4 +1,6 @@
+/** Machine types that the cloud offers. */
 import { CATALOG_PATH, parseCatalog, type MachineType } from '@tealdock/wire';
+import { readMachineType } from '../state/stored-values.js';
 import { CATALOG_PREFIX, typeKey } from '../state/keys.js';
 import type { Leadership } from '../leadership/leadership.js';
 import { PRIORITY } from '../runtime/ports.js';
@@ -70,7 +72,7 @@
     this.state.readAll(CATALOG_PREFIX, PRIORITY.leader, (all) => {
       if (this.known) return;
       if (!all || all.items.length === 0) return this.runtime.after(RETRY, () => this.readStored());
-      this.types = all.items.map((i) => i.value as MachineType);
+      this.types = all.items.flatMap((item) => this.state.decode(item, readMachineType) ?? []);
     });
   }
 }
--- a/packages/controller/src/machines/image-fetches.ts
+++ b/packages/controller/src/machines/image-fetches.ts
@@ -1,3 +1,4 @@
+/** What machines fetch, and how soon it will be there. */
 import type { Duration, Instant } from '@tealdock/wire';
 
 interface Fetch {
--- a/packages/controller/src/machines/lease-expiry.ts
+++ b/packages/controller/src/machines/lease-expiry.ts
@@ -1,6 +1,8 @@
+/** When a worker's lease is surely over. */
 import type { Instant, StateItem } from '@tealdock/wire';
 import { GRANT_DURATION } from '../leadership/delegated-renewal.js';
-import { GRANT_PREFIX, type GrantValue } from '../state/keys.js';
+import { GRANT_PREFIX } from '../state/keys.js';
+import { readGrant } from '../state/stored-values.js';
 import type { Machine } from './machine.js';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
@@ -85,10 +87,11 @@
     return sent + longestElsewhere(this.runtime.settings.workerLease) + LEASE_MARGIN;
   }
 
-  private noteGrant({ key, value, version }: StateItem): void {
+  private noteGrant(item: StateItem): void {
+    const { key, version } = item;
     if (this.grantsSeen.get(key) === version) return;
     this.grantsSeen.set(key, version);
-    const age = this.runtime.today.getTime() - ((value as GrantValue | null)?.at ?? Infinity);
+    const age = this.runtime.today.getTime() - (this.state.decode(item, readGrant)?.at ?? Infinity);
     if (age > GRANT_STALE_AFTER + 2 * this.runtime.settings.clockError) return;
     this.delegatedUntil = Math.max(
       this.delegatedUntil,
--- a/packages/controller/src/machines/machine.ts
+++ b/packages/controller/src/machines/machine.ts
@@ -1,3 +1,4 @@
+/** A machine as the leader knows it. */
 import type { Duration, Instant, MachineType, TaskReport, WorkerReport } from '@tealdock/wire';
 import type { Binding } from '../jobs/binding.js';
 import { Fetches } from './image-fetches.js';
--- a/packages/controller/src/machines/usage-ledger.ts
+++ b/packages/controller/src/machines/usage-ledger.ts
@@ -1,3 +1,4 @@
+/** Sums over bindings: by team and by zone. */
 import { NOTHING, minus, plus, type Resources } from '@tealdock/scheduler';
 import type { Binding } from '../jobs/binding.js';
 
--- a/packages/controller/src/peers/peers.ts
+++ b/packages/controller/src/peers/peers.ts
@@ -1,3 +1,4 @@
+/** What the other controllers say. */
 import {
   CANCELLATIONS_PATH,
   packBody,
--- a/packages/controller/src/placement/machine-capacity.ts
+++ b/packages/controller/src/placement/machine-capacity.ts
@@ -1,3 +1,4 @@
+/** What is free on machines, and which of them may take a task. */
 import type { Duration, Instant, JobSpec, MachineType } from '@tealdock/wire';
 import {
   bookedShare,
--- a/packages/controller/src/placement/preemption.ts
+++ b/packages/controller/src/placement/preemption.ts
@@ -1,3 +1,4 @@
+/** Stopping tasks so that others can start. */
 import type { Duration, Instant } from '@tealdock/wire';
 import {
   fits,
--- a/packages/controller/src/placement/scheduling-cycle.ts
+++ b/packages/controller/src/placement/scheduling-cycle.ts
@@ -1,3 +1,4 @@
+/** One run through all waiting jobs. */
 import { fits, least, need, rank, type Resources } from '@tealdock/scheduler';
 import { allowedMachines, type MachineCapacity } from './machine-capacity.js';
 import type { LiveJob } from '../jobs/live-job.js';
--- a/packages/controller/src/placement/start-deadlines.ts
+++ b/packages/controller/src/placement/start-deadlines.ts
@@ -1,3 +1,4 @@
+/** Until when jobs should start to meet their aims. */
 import type { Instant, Settings } from '@tealdock/wire';
 import type { LiveJob } from '../jobs/live-job.js';
 
--- a/packages/controller/src/requests/job-requests.ts
+++ b/packages/controller/src/requests/job-requests.ts
@@ -1,3 +1,4 @@
+/** Users' requests about jobs. */
 import {
   JOBS_PATH,
   WireError,
--- a/packages/controller/src/requests/long-polls.ts
+++ b/packages/controller/src/requests/long-polls.ts
@@ -1,3 +1,4 @@
+/** Answers to reports that wait for a start. */
 import { renderReportAnswer, type Duration } from '@tealdock/wire';
 import type { Held } from '../leadership/leadership.js';
 import type { Runtime } from '../runtime/runtime.js';
--- a/packages/controller/src/runtime/ports.ts
+++ b/packages/controller/src/runtime/ports.ts
@@ -1,3 +1,4 @@
+/** What reaches the state owner, and what it wants done. */
 import type { Duration, Instant, Told } from '@tealdock/wire';
 
 /** A request that came in over HTTP, or from another controller. */
--- a/packages/controller/src/runtime/runtime.ts
+++ b/packages/controller/src/runtime/runtime.ts
@@ -1,3 +1,4 @@
+/** Time, timers, calls and effects of the state owner. */
 import TinyQueue from 'tinyqueue';
 import type { Duration, Instant, OperatorSettings, Settings, Told } from '@tealdock/wire';
 import type { Call, CallResult, Effect, Log, Random, Reply } from './ports.js';
--- a/packages/controller/src/runtime/sockets.ts
+++ b/packages/controller/src/runtime/sockets.ts
@@ -1,3 +1,4 @@
+/** How the sockets of a process are shared out. */
 import type { Settings } from '@tealdock/wire';
 
 /** Sockets for calls to the state service, and to the cloud. */
--- a/packages/controller/src/runtime/stats.ts
+++ b/packages/controller/src/runtime/stats.ts
@@ -1,3 +1,4 @@
+/** Counters, gauges and histograms. */
 import { createHistogram, type RecordableHistogram } from 'node:perf_hooks';
 
 /** Up to two hours in ms; the default range takes some hundred KB for each histogram. */
--- a/packages/controller/src/state/keys.ts
+++ b/packages/controller/src/state/keys.ts
@@ -1,3 +1,4 @@
+/** Keys of the state service and what is stored under them. */
 import type { JobSpec, JobState } from '@tealdock/wire';
 
 /** Layout of the state service's keys; see docs/design.md. */
@@ -84,10 +85,3 @@
   const cut = path.indexOf('/');
   return cut < 0 ? null : { job: path.slice(0, cut), rest: path.slice(cut + 1) };
 }
-
-/** An accepted job as stored; null for a value that is none. */
-export function readLive(stored: unknown): LiveValue | null {
-  const value = stored as { spec?: { id?: unknown }; submitted?: unknown } | null;
-  const whole = typeof value?.spec?.id === 'string' && typeof value.submitted === 'number';
-  return whole ? (stored as LiveValue) : null;
-}
--- a/packages/controller/src/state/sharded-table.ts
+++ b/packages/controller/src/state/sharded-table.ts
@@ -1,8 +1,10 @@
+/** Tables of small entries, spread over few keys. */
 import type { Guard, Instant, StateItem, Write } from '@tealdock/wire';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
 import { sizeOf, unstored, type Shard } from './shard.js';
 import type { Committed, StateStore } from './state-store.js';
+import { readShard } from './stored-values.js';
 
 /** Part of a value's limit that a shard is filled to: entries may still grow. */
 const FILL = 0.7;
@@ -23,10 +25,6 @@
   held(): object | null;
 }
 
-interface ShardValue<V> {
-  entries: Record<string, V>;
-}
-
 /**
  * A table of small entries packed into few keys, since the state service counts
  * changes of keys: a thousand machines are a dozen changes instead of a thousand.
@@ -67,13 +65,10 @@
   load(items: StateItem[]): [string, V][] {
     // Of an entry that stands twice the newest counts; the other goes with the next write.
     for (const item of [...items].sort((a, b) => a.version - b.version)) {
-      const entries = (item.value as Partial<ShardValue<V>> | null)?.entries;
-      if (!entries) {
-        this.runtime.env.log('error', { key: item.key }, 'stored value can not be read');
-        continue;
-      }
+      const entries = this.state.decode(item, readShard);
+      if (!entries) continue;
       const shard = this.addShard(item.key, item.version);
-      for (const [id, value] of Object.entries(entries)) {
+      for (const [id, value] of Object.entries(entries as Record<string, V>)) {
         const older = this.home.get(id);
         if (older) this.shrink(older, id);
         this.place(shard, id, value);
--- a/packages/controller/src/state/state-store.ts
+++ b/packages/controller/src/state/state-store.ts
@@ -1,3 +1,4 @@
+/** Calls to the state service. */
 import {
   COMMIT_PATH,
   GRANTS_PATH,
@@ -26,6 +27,10 @@
 /** A read that failed says nothing about the key. */
 export type Got = { kind: 'found'; item: StateItem } | { kind: 'missing' } | { kind: 'failed' };
 
+/** The same with a decoded value; one that can't be decoded counts as a failed read. */
+export type GotValue<T> =
+  { kind: 'found'; value: T; version: number } | { kind: 'missing' } | { kind: 'failed' };
+
 /** `refused`: surely not executed. `unknown`: perhaps executed, now or later. */
 export type Committed =
   | { kind: 'ok'; revision: number }
@@ -80,6 +85,31 @@
     });
   }
 
+  /** A decoded value. A malformed one is logged, and is never taken for a missing one. */
+  getValue<T>(
+    key: string,
+    decode: (stored: unknown) => T | null,
+    priority: CallPriority,
+    done: (got: GotValue<T>) => void,
+  ): void {
+    this.get(key, priority, (got) => {
+      if (got.kind !== 'found') return done(got);
+      const value = this.decode(got.item, decode);
+      done(
+        value === null ? { kind: 'failed' } : { kind: 'found', value, version: got.item.version },
+      );
+    });
+  }
+
+  /** Decodes an item that was read; logs one that can't be. */
+  decode<T>(item: StateItem, decode: (stored: unknown) => T | null): T | null {
+    const value = decode(item.value);
+    if (value === null) {
+      this.runtime.env.log('error', { key: item.key }, 'stored value can not be read');
+    }
+    return value;
+  }
+
   /** Every item with the prefix, or null if that can't be told. */
   readAll(
     prefix: string,
--- a/packages/controller/src/state/write-share.ts
+++ b/packages/controller/src/state/write-share.ts
@@ -1,3 +1,4 @@
+/** The leader's share of the changes per second. */
 import type { Duration, StateEvent } from '@tealdock/wire';
 import type { Runtime } from '../runtime/runtime.js';
 
--- a/packages/controller/src/term/direct-stops.ts
+++ b/packages/controller/src/term/direct-stops.ts
@@ -1,3 +1,4 @@
+/** Stops that are sent to workers directly. */
 import { COMMANDS_PATH, renderCommands, type Instant, type Order } from '@tealdock/wire';
 import type { Machine } from '../machines/machine.js';
 import { PRIORITY } from '../runtime/ports.js';
--- a/packages/controller/src/term/ended-job-lookup.ts
+++ b/packages/controller/src/term/ended-job-lookup.ts
@@ -4,8 +4,9 @@
 import { bindingKey, type Binding } from '../jobs/binding.js';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
-import { endedKey, type EndedValue } from '../state/keys.js';
+import { endedKey } from '../state/keys.js';
 import type { StateStore } from '../state/state-store.js';
+import { readEnded } from '../state/stored-values.js';
 import type { Bindings } from './bindings.js';
 import type { LiveJobs } from './live-jobs.js';
 import type { TermState } from './term-state.js';
@@ -42,14 +43,14 @@
   }
 
   private askFor(job: string): void {
-    this.state.get(endedKey(job), PRIORITY.leader, (got) => {
+    this.state.getValue(endedKey(job), readEnded, PRIORITY.leader, (got) => {
       if (this.term.closed) return;
       if (got.kind === 'failed') return this.runtime.after(RETRY, () => this.askFor(job));
       const bindings = this.lookups.get(job) ?? [];
       this.lookups.delete(job);
       if (got.kind === 'found') {
         this.liveJobs.noteOver(job);
-        this.fill(bindings, (got.item.value as EndedValue).spec);
+        this.fill(bindings, got.value.spec);
       }
       if (this.settled) this.markBookedDirty();
     });
--- a/packages/controller/src/term/job-completion.ts
+++ b/packages/controller/src/term/job-completion.ts
@@ -1,3 +1,4 @@
+/** Commits ends of jobs and progress of tasks. */
 import type { Guard, Write } from '@tealdock/wire';
 import { rank } from '@tealdock/scheduler';
 import { endOf, type JobEnd } from '../jobs/dependency-graph.js';
@@ -7,6 +8,7 @@
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { StateStore } from '../state/state-store.js';
+import { readEnded } from '../state/stored-values.js';
 import type { Term } from './term.js';
 
 const FLUSH_EVERY = 250;
@@ -134,8 +136,8 @@
    */
   private reconcile(batch: Ending[]): void {
     for (const { job } of batch) {
-      this.state.get(endedKey(job.id), PRIORITY.leader, (got) => {
-        if (got.kind === 'found') this.ended(job, endOf(got.item));
+      this.state.getValue(endedKey(job.id), readEnded, PRIORITY.leader, (got) => {
+        if (got.kind === 'found') this.ended(job, endOf(got));
       });
     }
   }
--- a/packages/controller/src/term/successor-hints.ts
+++ b/packages/controller/src/term/successor-hints.ts
@@ -1,3 +1,4 @@
+/** What a leader tells its successor. */
 import type { Hints } from '@tealdock/wire';
 import type { Term } from './term.js';
 
--- a/packages/scheduler/src/dependent-demands.ts
+++ b/packages/scheduler/src/dependent-demands.ts
@@ -1,3 +1,4 @@
+/** Priority and due time that jobs inherit from their dependents. */
 import type { Duration, Instant, Priority } from '@tealdock/wire';
 import { higher } from './order.js';
 
--- a/packages/scheduler/src/index.ts
+++ b/packages/scheduler/src/index.ts
@@ -1,3 +1,4 @@
+/** Pure decisions, without time or state of their own. */
 export * from './model.js';
 export * from './front.js';
 export * from './rules.js';
--- a/packages/scheduler/src/model.ts
+++ b/packages/scheduler/src/model.ts
@@ -1,3 +1,4 @@
+/** Resources and arithmetic on them. */
 import type { JobSpec } from '@tealdock/wire';
 
 /** Amounts of what tasks take of a machine. */
--- a/packages/scheduler/src/order.ts
+++ b/packages/scheduler/src/order.ts
@@ -1,3 +1,4 @@
+/** The order in which jobs are placed. */
 import type { Instant, JobSpec, Priority } from '@tealdock/wire';
 
 const RANKS: Record<Priority, number> = { production: 3, high: 2, normal: 1, low: 0 };
--- a/packages/scheduler/src/preempt.ts
+++ b/packages/scheduler/src/preempt.ts
@@ -1,3 +1,4 @@
+/** What to stop on one machine. */
 import type { Duration } from '@tealdock/wire';
 import { fits, plus, type Resources } from './model.js';
 
--- a/packages/scheduler/src/rental-plan.ts
+++ b/packages/scheduler/src/rental-plan.ts
@@ -1,3 +1,4 @@
+/** Which machines to rent for a backlog. */
 import type { JobSpec, MachineType } from '@tealdock/wire';
 import { fits, least, minus, need, slots, type Resources } from './model.js';
 import { placeAllowed, type Place } from './rules.js';
--- a/packages/scheduler/src/rules.ts
+++ b/packages/scheduler/src/rules.ts
@@ -1,3 +1,4 @@
+/** Rules that bound where a job may be placed. */
 import type { JobSpec, MachineType, Team } from '@tealdock/wire';
 import { fits, need, type Resources } from './model.js';
 
--- a/packages/testing/src/combined-faults.test.ts
+++ b/packages/testing/src/combined-faults.test.ts
@@ -6,19 +6,11 @@
   type SimulatedCluster,
   type ClusterOptions,
 } from './index.js';
-import { onEachDeployment } from './deployments.js';
-import { A, ask, endsWell, idOf, others, running, settled, status } from './scenario.js';
+import { onEachDeployment, start } from './deployments.js';
+import { A, ask, endsWell, idOf, others, running, status } from './scenario.js';
 
 // Two faults at the same time, with the times of both deployments.
 
-function start(
-  times: DeploymentTimes,
-  options: ClusterOptions = {},
-  machines = 4,
-): SimulatedCluster {
-  return settled({ times, capacity: machines, ...options }, machines);
-}
-
 /** A cluster with `jobs` jobs of `tasks` long tasks each, all of which run. */
 function busy(
   times: DeploymentTimes,
--- a/packages/testing/src/dependency-faults.test.ts
+++ b/packages/testing/src/dependency-faults.test.ts
@@ -1,13 +1,7 @@
 import assert from 'node:assert/strict';
 import type { Call } from '@tealdock/controller';
-import {
-  job,
-  type FakeWorker,
-  type DeploymentTimes,
-  type SimulatedCluster,
-  type ClusterOptions,
-} from './index.js';
-import { onEachDeployment } from './deployments.js';
+import { job, type FakeWorker, type SimulatedCluster } from './index.js';
+import { onEachDeployment, start } from './deployments.js';
 import {
   A,
   after,
@@ -20,7 +14,6 @@
   others,
   pollAll,
   running,
-  settled,
   status,
   submitted,
 } from './scenario.js';
@@ -29,14 +22,6 @@
 
 const LIMIT = 400_000;
 
-function start(
-  times: DeploymentTimes,
-  options: ClusterOptions = {},
-  machines = 4,
-): SimulatedCluster {
-  return settled({ times, capacity: machines, ...options }, machines);
-}
-
 const workersOf = (cluster: SimulatedCluster, n: number): FakeWorker[] =>
   [...cluster.workers.values()].filter((w) => w.tasks.some((t) => t.piece.startsWith(idOf(n))));
 
--- a/packages/testing/src/deployments.ts
+++ b/packages/testing/src/deployments.ts
@@ -1,5 +1,7 @@
+/** Tests that run with the times of each deployment. */
 import { test } from 'node:test';
-import type { DeploymentTimes } from './simulated-cluster.js';
+import { settled } from './scenario.js';
+import type { ClusterOptions, DeploymentTimes, SimulatedCluster } from './simulated-cluster.js';
 
 /** Times of the deployments that tealdock was built for, in ms. */
 const DEPLOYMENTS: Record<string, DeploymentTimes> = {
@@ -13,3 +15,12 @@
     test(`${name} (${site})`, () => play(times));
   }
 }
+
+/** A cluster on a deployment's times, with machines up and a leader that knows them. */
+export function start(
+  times: DeploymentTimes,
+  options: ClusterOptions = {},
+  machines = 4,
+): SimulatedCluster {
+  return settled({ times, capacity: machines, ...options }, machines);
+}
--- a/packages/testing/src/fake-cloud.ts
+++ b/packages/testing/src/fake-cloud.ts
@@ -1,3 +1,4 @@
+/** The cloud in memory. */
 import type { CallResult } from '@tealdock/controller';
 
 /** A rented machine, from the request on. */
--- a/packages/testing/src/fake-sockets.ts
+++ b/packages/testing/src/fake-sockets.ts
@@ -1,3 +1,4 @@
+/** The sockets of a simulated process. */
 import type { Settings } from '@tealdock/wire';
 import { CLOUD_SOCKETS, STATE_SOCKETS, WORKER_SOCKETS, socketShares } from '@tealdock/controller';
 import { Connections, type Closable, type Holder } from '@tealdock/adapters';
--- a/packages/testing/src/fake-state.ts
+++ b/packages/testing/src/fake-state.ts
@@ -1,3 +1,4 @@
+/** The state service in memory. */
 import type { CallResult } from '@tealdock/controller';
 
 interface Entry {
--- a/packages/testing/src/fake-worker.ts
+++ b/packages/testing/src/fake-worker.ts
@@ -1,3 +1,4 @@
+/** A worker in memory. */
 import type { CallResult } from '@tealdock/controller';
 import type { CloudMachine } from './fake-cloud.js';
 
--- a/packages/testing/src/guards.test.ts
+++ b/packages/testing/src/guards.test.ts
@@ -171,3 +171,29 @@
   assert.ok(finished(cluster, A, 200_000));
   keepsRules(cluster);
 });
+
+test('a stored value that can not be read is named in the log and never taken for a missing one', () => {
+  const cluster = settled({ runTime: 3000 });
+  const garbage = { v: 'garbage', stamp: cluster.state.epoch, lease: null };
+  const keys = [`tealdock/ended/${A}`, 'tealdock/keeper/n-9', 'tealdock/roster/777'];
+  for (const key of keys) cluster.state.keys.set(key, { ...garbage });
+  for (const node of cluster.nodes) {
+    const told = ask(cluster, (d) => cluster.poll(A, node, d));
+    assert.equal(told?.status, 503, 'neither known nor unknown');
+    const taken = ask(cluster, (d) => cluster.submit(job(1), node, d));
+    assert.equal(taken?.status, 503);
+  }
+  for (const node of cluster.nodes) cluster.crash(node);
+  cluster.run(1000);
+  for (const node of cluster.nodes) cluster.boot(node);
+  cluster.run(cluster.lease + 20_000);
+  const named = cluster.log.filter((l) => l.message === 'stored value can not be read');
+  for (const key of keys)
+    assert.ok(
+      named.some((l) => l.fields['key'] === key),
+      key,
+    );
+  cluster.submit(job(2), 'n-0');
+  assert.ok(finished(cluster, idOf(2)), 'everything else goes on');
+  keepsRules(cluster);
+});
--- a/packages/testing/src/index.ts
+++ b/packages/testing/src/index.ts
@@ -1,3 +1,4 @@
+/** Fakes of the outside, and a cluster on them in simulated time. */
 export * from './simulated-cluster.js';
 export * from './fake-state.js';
 export * from './fake-cloud.js';
--- a/packages/testing/src/machine-room.ts
+++ b/packages/testing/src/machine-room.ts
@@ -1,3 +1,4 @@
+/** What is free on a machine, seen from outside. */
 import type { JobSpec } from '@tealdock/wire';
 
 /** What is free on a machine. */
--- a/packages/testing/src/predecessor-lists.test.ts
+++ b/packages/testing/src/predecessor-lists.test.ts
@@ -1,20 +1,12 @@
 import assert from 'node:assert/strict';
 import { packBody } from '@tealdock/wire';
 import type { Reply } from '@tealdock/controller';
-import { job, type ClusterOptions, type DeploymentTimes, type SimulatedCluster } from './index.js';
-import { onEachDeployment } from './deployments.js';
-import { A, after, endsWell, idOf, keepsRules, settled, submitted } from './scenario.js';
+import { job, type SimulatedCluster } from './index.js';
+import { onEachDeployment, start } from './deployments.js';
+import { A, after, endsWell, idOf, keepsRules, submitted } from './scenario.js';
 
 const LIMIT = 400_000;
 
-function start(
-  times: DeploymentTimes,
-  options: ClusterOptions = {},
-  machines = 4,
-): SimulatedCluster {
-  return settled({ times, capacity: machines, ...options }, machines);
-}
-
 /** The answer to a body sent as it is, and how long it took. */
 function post(
   cluster: SimulatedCluster,
--- a/packages/testing/src/rule-checker.ts
+++ b/packages/testing/src/rule-checker.ts
@@ -1,3 +1,4 @@
+/** The protocol's rules, checked from outside. */
 import { predecessorsOf, type JobSpec } from '@tealdock/wire';
 import { groupBy } from './group-by.js';
 import { fitsInto, type MachineRoom } from './machine-room.js';
--- a/packages/testing/src/scenario.ts
+++ b/packages/testing/src/scenario.ts
@@ -1,3 +1,4 @@
+/** Steps that many scenarios share. */
 import assert from 'node:assert/strict';
 import type { Reply } from '@tealdock/controller';
 import { job } from './simulated-cluster.js';
--- a/packages/testing/src/simulated-cluster.ts
+++ b/packages/testing/src/simulated-cluster.ts
@@ -1,3 +1,4 @@
+/** A whole cluster in one process and in simulated time. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import {
--- a/packages/wire/src/body.ts
+++ b/packages/wire/src/body.ts
@@ -1,3 +1,4 @@
+/** Bodies of requests and answers. */
 import { decode, encode } from '@msgpack/msgpack';
 
 /** Thrown when a body does not have the form its interface asks for. */
--- a/packages/wire/src/cancellations.ts
+++ b/packages/wire/src/cancellations.ts
@@ -1,3 +1,4 @@
+/** What controllers tell each other of cancellations. */
 import { z } from 'zod';
 import { WireError } from './body.js';
 import { isJobId, issueText } from './jobs.js';
--- a/packages/wire/src/cloud.ts
+++ b/packages/wire/src/cloud.ts
@@ -1,3 +1,4 @@
+/** The cloud's interface. */
 import { z } from 'zod';
 import { WireError, millis } from './body.js';
 import { issueText } from './jobs.js';
--- a/packages/wire/src/domain.ts
+++ b/packages/wire/src/domain.ts
@@ -1,3 +1,4 @@
+/** The project's own terms for what the interfaces carry. */
 declare global {
   /** The standard's type for steady instants and durations; Node's own typings leave it out. */
   type DOMHighResTimeStamp = number;
--- a/packages/wire/src/index.ts
+++ b/packages/wire/src/index.ts
@@ -1,3 +1,4 @@
+/** Formats of all interfaces. */
 export * from './domain.js';
 export * from './body.js';
 export * from './jobs.js';
--- a/packages/wire/src/jobs.ts
+++ b/packages/wire/src/jobs.ts
@@ -1,3 +1,4 @@
+/** Users' interface. */
 import { z } from 'zod';
 import { WireError, millis } from './body.js';
 import type { JobKind, JobSpec, JobView, Priority } from './domain.js';
--- a/packages/wire/src/peers.ts
+++ b/packages/wire/src/peers.ts
@@ -1,3 +1,4 @@
+/** Messages between controllers. */
 import avsc from 'avsc';
 
 /** Tasks of a live job that are done and that run, for display. */
--- a/packages/wire/src/settings.ts
+++ b/packages/wire/src/settings.ts
@@ -1,3 +1,4 @@
+/** The platform's settings and the operators'. */
 import { parse as parseIni } from 'ini';
 import { parse as parseToml } from 'smol-toml';
 import { z } from 'zod';
--- a/packages/wire/src/state.ts
+++ b/packages/wire/src/state.ts
@@ -1,3 +1,4 @@
+/** The state service's interface. */
 import { z } from 'zod';
 import { WireError } from './body.js';
 import { issueText } from './jobs.js';
--- a/packages/wire/src/workers.ts
+++ b/packages/wire/src/workers.ts
@@ -1,3 +1,4 @@
+/** Workers' interface. */
 import { z } from 'zod';
 import { WireError, millis, seconds } from './body.js';
 import { issueText } from './jobs.js';
