--- a/eslint.config.js
+++ b/eslint.config.js
@@ -4,10 +4,7 @@
 
 /** Files over a limit, each with the reason; the list only gets shorter. */
 const LONG_TEST_FILES = {
-  'packages/testing/src/simulated-cluster.ts': 'network, processes and users are to be parted',
-  'packages/testing/src/combined-faults.test.ts': 'one file for each kind of fault is to follow',
-  'packages/testing/src/dependencies.test.ts': 'release, cancellation and limits are to be parted',
-  'packages/testing/src/scenarios.test.ts': 'one file for each kind of scenario is to follow',
+  'packages/testing/src/simulated-cluster.ts': 'processes, workers and users are to be parted',
 };
 
 export default tseslint.config(
--- a/packages/testing/src/deployments.ts
+++ b/packages/testing/src/deployments.ts
@@ -1,7 +1,10 @@
 /** Tests that run with the times of each deployment. */
+import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { settled } from './scenario.js';
-import type { ClusterOptions, DeploymentTimes, SimulatedCluster } from './simulated-cluster.js';
+import { running, settled } from './scenario.js';
+import type { ClusterOptions, DeploymentTimes } from './cluster-options.js';
+import type { SimulatedCluster } from './simulated-cluster.js';
+import { job } from './small-job.js';
 
 /** Times of the deployments that tealdock was built for, in ms. */
 const DEPLOYMENTS: Record<string, DeploymentTimes> = {
@@ -24,3 +27,19 @@
 ): SimulatedCluster {
   return settled({ times, capacity: machines, ...options }, machines);
 }
+
+/** A cluster with `jobs` jobs of `tasks` long tasks each, all of which run. */
+export function busy(
+  times: DeploymentTimes,
+  jobs: number,
+  tasks: number,
+  over: Record<string, unknown> = {},
+  options: ClusterOptions = {},
+): SimulatedCluster {
+  const cluster = start(times, options);
+  for (let n = 1; n <= jobs; n++) {
+    cluster.submit(job(n, { batch: tasks, expected_s: 150, ...over }), cluster.nodes[n % 3]!);
+  }
+  assert.ok(cluster.runUntil(() => running(cluster) === jobs * tasks, 40_000));
+  return cluster;
+}
--- /dev/null
+++ b/packages/testing/src/lowered-limits.test.ts
@@ -0,0 +1,91 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { parseSettings } from '@tealdock/wire';
+import { SimulatedCluster, job } from './index.js';
+import {
+  A,
+  after,
+  crashLeader,
+  finished,
+  idOf,
+  keepsRules,
+  running,
+  settled,
+  submitted,
+} from './scenario.js';
+
+/** Entries of all shards below a prefix, and whether any shard is too large. */
+function entriesOf(cluster: SimulatedCluster, prefix: string): Set<string> {
+  const shards = [...cluster.state.keys].filter(([key]) => key.includes(prefix));
+  return new Set(shards.flatMap(([, e]) => Object.keys((e.v as { entries: object }).entries)));
+}
+
+function largestShard(cluster: SimulatedCluster): number {
+  const shards = [...cluster.state.keys].filter(([k]) => /roster|progress/.test(k));
+  return Math.max(...shards.map(([, e]) => JSON.stringify(e.v).length));
+}
+
+test('the lower of both limits holds from the first start', () => {
+  const text = (next: string) =>
+    [
+      'member = "n-0"\nzone = "a"\npublic_addr = "10.0.0.1:1"\ncluster_listen = "10.0.0.1:2"',
+      '[external]\ncloud = "10.0.0.2:1"\nstate = "10.0.0.3:1"',
+      '[settings.workers]\nreport_s = 3.0\nlease_s = 20.0\ncancel_s = 45.0',
+      '[settings.cloud]\nrps = 6.0\nlist_lag_s = 1.0',
+      '[settings.state]\nrps = 100.0\nwrite_rps = 40.0\nvalue_kb = 16.0\ntxn_ops = 12',
+      next,
+    ].join('\n');
+  const limits = (next: string) => parseSettings(text(next)).state;
+  assert.deepEqual(limits(''), { rps: 100, writeRps: 40, valueBytes: 16384, txnOps: 12 });
+  assert.deepEqual(limits('[settings.state.next]\nwrite_rps = 28.0\nvalue_kb = 2.0\ntxn_ops = 4'), {
+    rps: 100,
+    writeRps: 28,
+    valueBytes: 2048,
+    txnOps: 4,
+  });
+  assert.throws(() => limits('[settings.state.next]\ntxn_ops = 0'), /txn_ops/);
+  assert.throws(() => limits('[settings.state.next]\nvalue_kb = -1'), /value_kb/);
+});
+
+test('limits are lowered with large shards stored: no entry is missing at any moment', () => {
+  for (const crashes of [false, true]) {
+    const options = { cpuLimit: 10_000, valueBytes: 16_384, txnOps: 12, runTime: 40_000 };
+    const cluster = settled(options, 300);
+    submitted(cluster, 1, { batch: 1000, expected_s: 40 });
+    cluster.run(8000);
+    const machines = entriesOf(cluster, '/roster/');
+    assert.equal(machines.size, 300);
+    assert.ok(largestShard(cluster) > 8000);
+    cluster.options.next = { valueBytes: 2048, txnOps: 4 };
+    for (const n of cluster.nodes) {
+      cluster.crash(n);
+      cluster.boot(n);
+    }
+    const whole = () => [...machines].every((m) => entriesOf(cluster, '/roster/').has(m));
+    for (let i = 0; i < 200; i++) {
+      if (i === 3) cluster.lowerLimits();
+      if (crashes && i % 8 === 7 && i < 60) crashLeader(cluster, 400);
+      cluster.run(100);
+      assert.ok(whole(), `after ${i * 100} ms`);
+    }
+    assert.ok(largestShard(cluster) <= 2048);
+    assert.equal(cluster.state.refusals, 0, 'nothing was written that is too large');
+    assert.ok(finished(cluster, A, 300_000));
+    keepsRules(cluster);
+  }
+});
+
+test('many jobs under low limits: nothing is too large, all run', () => {
+  const next = { valueBytes: 2048, txnOps: 2 };
+  const cluster = settled({ capacity: 6, runTime: 3000, next }, 6);
+  cluster.lowerLimits();
+  for (let n = 1; n <= 30; n++) {
+    const over = n > 3 ? after(n - 1, n - 3) : {};
+    cluster.submit(job(n, { ...over, batch: 4 }), cluster.nodes[n % 3]!);
+    cluster.run(200);
+  }
+  assert.ok(finished(cluster, idOf(30), 300_000));
+  assert.equal(cluster.state.refusals, 0);
+  assert.equal(running(cluster), 0);
+  keepsRules(cluster);
+});
--- a/packages/testing/src/scenario.ts
+++ b/packages/testing/src/scenario.ts
@@ -1,8 +1,10 @@
 /** Steps that many scenarios share. */
 import assert from 'node:assert/strict';
 import type { Reply } from '@tealdock/controller';
-import { job } from './simulated-cluster.js';
-import { SimulatedCluster, type ClusterOptions } from './simulated-cluster.js';
+import type { FakeWorker } from './fake-worker.js';
+import { job } from './small-job.js';
+import type { ClusterOptions } from './cluster-options.js';
+import { SimulatedCluster } from './simulated-cluster.js';
 
 export const A = 'run-000001';
 
@@ -125,3 +127,17 @@
   assert.deepEqual(cluster.checker.unserved(), []);
   keepsRules(cluster);
 }
+
+/** The second job of a scenario. */
+export const B = idOf(2);
+
+/** What a node says of a job. */
+export const told = (cluster: SimulatedCluster, n: number, node: string): unknown =>
+  status(ask(cluster, (d) => cluster.poll(idOf(n), node, d)));
+
+/** All machines that are up. */
+export const workers = (cluster: SimulatedCluster): FakeWorker[] => [...cluster.workers.values()];
+
+/** A user cancels a job, and is told so. */
+export const cancelled = (cluster: SimulatedCluster, n: number, node: string): void =>
+  assert.equal(status(ask(cluster, (d) => cluster.cancel(idOf(n), node, d))), 'aborted');
--- a/packages/testing/src/simulated-cluster.ts
+++ b/packages/testing/src/simulated-cluster.ts
@@ -20,6 +20,14 @@
   type Reply,
 } from '@tealdock/controller';
 import { CallGates, CommandQueue } from '@tealdock/adapters';
+import {
+  NODES,
+  USUAL_TIMES,
+  settingsFor,
+  type ClusterOptions,
+  type DeploymentTimes,
+} from './cluster-options.js';
+import { CutNetwork } from './cut-network.js';
 import { FakeCloud, TYPE } from './fake-cloud.js';
 import { FakeSockets } from './fake-sockets.js';
 import { FakeState, type StateCaps } from './fake-state.js';
@@ -33,45 +41,10 @@
 /** Rooms and questions are looked at this often. */
 const LOOK_EVERY = 1000;
 const TODAY = Date.UTC(2026, 0, 1);
-export const NODES = ['n-0', 'n-1', 'n-2'];
 
 /** A call that is lost before or after it is carried out, or is carried out (so much) later. */
 type StateFault = 'lost_before' | 'lost_after' | 'late' | number;
 
-/** What a simulated cluster is made of. */
-export interface ClusterOptions {
-  seed?: number;
-  capacity?: number;
-  cpuLimit?: number;
-  /** Guarantee of each of two teams, `team` and `other`. */
-  guarantee?: number;
-  /** Changes that one transaction may hold. */
-  txnOps?: number;
-  runTime?: number;
-  /** Run times of single tasks, in place of `runTime`. */
-  runTimeOf?: (piece: string) => number | undefined;
-  /** A task that fails wherever it runs, or on one machine. */
-  fails?: (piece: string, machine: string) => boolean;
-  /** GB a second of a machine's image fetches, and whether those at the same time share it. */
-  fetches?: { gbPerS: number; shared: boolean };
-  /** Sockets of a process, and what the state service serves a second; enforced if named. */
-  limits?: { sockets: number; rps: number; writeRps: number };
-  valueBytes?: number;
-  /** What the limits of the state service will be lowered to. */
-  next?: StateCaps;
-  /** What the controllers take for the workers' lease; a wrong one breaks a guard on purpose. */
-  believedLease?: number;
-  times?: DeploymentTimes;
-}
-
-/** Times of a deployment, in ms. */
-export interface DeploymentTimes {
-  reportEvery: number;
-  lease: number;
-  cancelWithin: number;
-  leaderLease: number;
-}
-
 interface Node {
   name: string;
   controller: Controller;
@@ -91,50 +64,8 @@
   run: () => void;
 }
 
-const USUAL: DeploymentTimes = {
-  reportEvery: 3000,
-  lease: 20_000,
-  cancelWithin: 45_000,
-  leaderLease: 10_000,
-};
-
-/** A node's settings, as a platform would hand them over. */
-export function settingsFor(
-  member: string,
-  cpuLimit: number,
-  guarantee = 0,
-  times = USUAL,
-): Settings {
-  const peers = NODES.filter((n) => n !== member).map((n) => ({ member: n, addr: `${n}:1` }));
-  return {
-    member,
-    zone: 'a',
-    publicAddr: `${member}:1`,
-    clusterListen: `${member}:2`,
-    peers,
-    cloudAddr: 'cloud:1',
-    stateAddr: 'state:1',
-    zones: ['a', 'b'],
-    clockError: 0,
-    teams: ['team', 'other'].map((name) => ({
-      name,
-      cpus: guarantee,
-      cpusMax: cpuLimit,
-      gpus: 0,
-      gpusMax: Infinity,
-    })),
-    objectives: [],
-    reportEvery: times.reportEvery,
-    workerLease: times.lease,
-    cancelWithin: times.cancelWithin,
-    state: { rps: 100, writeRps: 100, valueBytes: 4096, txnOps: 8 },
-    cloud: { rps: 6, listLag: 1000 },
-    maxConnections: 4000,
-  };
-}
-
 /** Everything in memory and in simulated time: nodes, workers, state, cloud, network. */
-export class SimulatedCluster implements WorkerHost {
+export class SimulatedCluster extends CutNetwork implements WorkerHost {
   readonly nodes = NODES;
   readonly times: DeploymentTimes;
   readonly reportEvery: number;
@@ -145,8 +76,6 @@
   readonly random: Random;
   readonly workers = new Map<string, FakeWorker>();
   readonly alive = new Map<string, Node>();
-  /** Names whose traffic is cut; `a>b` cuts one direction of one pair. */
-  readonly cuts = new Set<string>();
   readonly log: { node: string; message: string; fields: Record<string, unknown> }[] = [];
   /** What a state call of a node comes to instead; undefined leaves it alone. */
   stateFault: ((node: string, call: Call) => StateFault | undefined) | null = null;
@@ -171,7 +100,8 @@
   private lives = 0;
 
   constructor(readonly options: ClusterOptions = {}) {
-    this.times = options.times ?? USUAL;
+    super();
+    this.times = options.times ?? USUAL_TIMES;
     this.reportEvery = this.times.reportEvery;
     this.lease = this.times.lease;
     const generator = xoroshiro128plus(options.seed ?? 1);
@@ -381,10 +311,6 @@
     }
   }
 
-  cut(from: string, to: string): boolean {
-    return this.cuts.has(from) || this.cuts.has(to) || this.cuts.has(`${from}>${to}`);
-  }
-
   private call(from: string, call: Call, done: (result: CallResult) => void): void {
     const lost = () => this.at(call.timeout, () => done({ kind: 'lost' }));
     if (call.target === 'peer') return this.relay(from, call, done);
@@ -485,31 +411,6 @@
     this.alive.get(node)?.sockets.hangUp(worker.machine.id);
   }
 
-  /** Takes a node's way to the state service and to its peers, but not to workers and users. */
-  isolate(name: string): void {
-    this.cuts.add(`${name}>state`);
-    for (const peer of NODES) {
-      if (peer === name) continue;
-      this.cuts.add(`${name}>${peer}`);
-      this.cuts.add(`${peer}>${name}`);
-    }
-  }
-
-  /** Reports of a machine arrive, but no answer reaches it. */
-  cutAnswersTo(machine: string): void {
-    for (const n of NODES) this.cuts.add(`${n}>${machine}`);
-  }
-
-  /** A machine reaches no controller, while direct commands reach it. */
-  cutReportsOf(machine: string): void {
-    for (const n of NODES) this.cuts.add(`${machine}>${n}`);
-  }
-
-  /** Cuts of one kind end, others stay. */
-  restoreReportsOf(machine: string): void {
-    for (const n of NODES) this.cuts.delete(`${machine}>${n}`);
-  }
-
   /** All faults are over: from now on nothing excuses a job that waits or is not known. */
   endFaults(): void {
     this.cuts.clear();
@@ -542,27 +443,16 @@
     return rooms;
   }
 
+  protected machineNames(): Iterable<string> {
+    return this.workers.keys();
+  }
+
   /** A connection from one node to another is refused. */
   refuse(from: string, to: string): void {
     const node = this.alive.get(from);
     if (node) this.push(node, { kind: 'refused', member: to });
   }
 
-  /** Cuts these nodes and machines off from all others, but from nothing regional. */
-  part(side: string[]): void {
-    const others = [...NODES, ...this.workers.keys()].filter((name) => !side.includes(name));
-    for (const here of side) {
-      for (const there of others) {
-        this.cuts.add(`${here}>${there}`);
-        this.cuts.add(`${there}>${here}`);
-      }
-    }
-  }
-
-  restoreAnswersTo(machine: string): void {
-    for (const n of NODES) this.cuts.delete(`${n}>${machine}`);
-  }
-
   runTime(piece: string): number | null {
     const spec = this.jobs.get(piece.split('/')[0]!);
     const own = this.options.runTimeOf?.(piece);
@@ -675,30 +565,3 @@
   const { writes } = body as { writes: { write?: string; v?: { at?: number } }[] };
   for (const { write, v } of writes) if (write?.includes('/ended/') && v) delete v.at;
 }
-
-/** A small job; anything in it can be replaced. */
-export function job(id: number, over: Record<string, unknown> = {}): Record<string, unknown> {
-  return {
-    ref: `run-${String(id).padStart(6, '0')}`,
-    jobclass: 'plain',
-    owner: 'team',
-    shape: 'array',
-    urgency: 'normal',
-    batch: 2,
-    cpus: 1,
-    accelerators: 0,
-    mem_gb: 1,
-    bundle: 'img-1',
-    image_gb: 1,
-    flavours: null,
-    hall: null,
-    same_place: false,
-    apart: false,
-    spare: false,
-    expected_s: 10,
-    snapshot_s: 0,
-    flush_s: 0,
-    due_s: null,
-    ...over,
-  };
-}
--- /dev/null
+++ b/packages/testing/src/small-job.ts
@@ -0,0 +1,28 @@
+/** Jobs for scenarios. */
+
+/** A small job; anything in it can be replaced. */
+export function job(id: number, over: Record<string, unknown> = {}): Record<string, unknown> {
+  return {
+    ref: `run-${String(id).padStart(6, '0')}`,
+    jobclass: 'plain',
+    owner: 'team',
+    shape: 'array',
+    urgency: 'normal',
+    batch: 2,
+    cpus: 1,
+    accelerators: 0,
+    mem_gb: 1,
+    bundle: 'img-1',
+    image_gb: 1,
+    flavours: null,
+    hall: null,
+    same_place: false,
+    apart: false,
+    spare: false,
+    expected_s: 10,
+    snapshot_s: 0,
+    flush_s: 0,
+    due_s: null,
+    ...over,
+  };
+}
