--- a/packages/controller/src/autoscaling/autoscaler.ts
+++ b/packages/controller/src/autoscaling/autoscaler.ts
@@ -29,7 +29,7 @@
 const GIVE_BACK_EVERY = 300;
 /** Machines that one plan may rent. */
 const MAX_PLANNED = 400;
-/** Renting goes on after this even if some of the machines is not accounted for. */
+/** Renting goes on after this even if some machines are not accounted for. */
 const REBUILD_PATIENCE = 15_000;
 /** Boots take up to half as long again as their type says. */
 const BOOT_LEAD = 1.5;
@@ -171,8 +171,8 @@
       if (usable) add(machine, machine.free(type));
     }
     for (const c of this.inventory.provisioning.values()) add(c, types.get(c.type));
-    for (const result of this.rentals.requests.values()) {
-      for (let i = 0; i < result.count; i++) add(result, types.get(result.type));
+    for (const rental of this.rentals.requests.values()) {
+      for (let i = 0; i < rental.count; i++) add(rental, types.get(rental.type));
     }
     return capacities;
   }
--- a/packages/controller/src/autoscaling/rental-requests.ts
+++ b/packages/controller/src/autoscaling/rental-requests.ts
@@ -67,9 +67,9 @@
 
   /** Without an answer the same name is asked for again, so nothing is rented twice. */
   repeatRentals(): void {
-    for (const [request, result] of this.requests) {
-      if (this.runtime.now - result.asked > CALL_TIMEOUT + REPEAT_AFTER_TIMEOUT)
-        this.askRental(request);
+    const patience = CALL_TIMEOUT + REPEAT_AFTER_TIMEOUT;
+    for (const [request, { asked }] of this.requests) {
+      if (this.runtime.now - asked > patience) this.askRental(request);
     }
   }
 
--- a/packages/controller/src/requests/report-requests.ts
+++ b/packages/controller/src/requests/report-requests.ts
@@ -54,11 +54,13 @@
   /** Takes a report in; its answer may be kept back, or come from another node. */
   handle(request: HttpRequest): void {
     if (request.method !== 'POST') return methodNotAllowed(this.runtime, request, 'POST');
+    let report: WorkerReport;
     try {
-      this.take(request, parseReport(unpackBody(request.body)));
+      report = parseReport(unpackBody(request.body));
     } catch (error) {
-      malformed(this.runtime, request, error);
+      return malformed(this.runtime, request, error);
     }
+    this.take(request, report);
   }
 
   private take(request: HttpRequest, report: WorkerReport): void {
--- a/packages/controller/src/state/write-share.ts
+++ b/packages/controller/src/state/write-share.ts
@@ -22,7 +22,6 @@
  */
 export class WriteShare {
   private readonly changes: { at: number; count: number }[] = [];
-  private part = USUAL_PART;
 
   constructor(
     private readonly runtime: Runtime,
@@ -31,7 +30,8 @@
 
   start(): void {
     this.runtime.every(ADJUST_EVERY, () => {
-      this.apply(this.leads() ? this.affordable() : USUAL_PART);
+      // Said each time: what an earlier term of this node says last must not stand.
+      this.runtime.shareWrites(this.leads() ? this.affordable() : USUAL_PART);
       return this.leads();
     });
   }
@@ -51,10 +51,4 @@
     const left = 1 - RESERVED_PART - perSecond / this.runtime.settings.state.writeRps;
     return Math.max(USUAL_PART, Math.min(MOST_PART, left));
   }
-
-  private apply(part: number): void {
-    if (part === this.part) return;
-    this.part = part;
-    this.runtime.shareWrites(part);
-  }
 }
--- a/packages/controller/src/term/job-completion.ts
+++ b/packages/controller/src/term/job-completion.ts
@@ -157,8 +157,8 @@
 }
 
 /** The higher priority first, then the earlier due time; both include those of dependents. */
-function byUrgency(a: LiveJob, binding: LiveJob): number {
-  const byPriority = rank(binding.spec) - rank(a.spec);
-  if (byPriority !== 0 || a.finishBy === binding.finishBy) return byPriority;
-  return a.finishBy - binding.finishBy;
+function byUrgency(a: LiveJob, b: LiveJob): number {
+  const byPriority = rank(b.spec) - rank(a.spec);
+  if (byPriority !== 0 || a.finishBy === b.finishBy) return byPriority;
+  return a.finishBy - b.finishBy;
 }
--- a/packages/controller/src/term/term.ts
+++ b/packages/controller/src/term/term.ts
@@ -64,7 +64,7 @@
     this.leaseExpiry = new LeaseExpiry(runtime, state, this, (expired) => this.endExpired(expired));
   }
 
-  /** Each machine of all machines are accounted for. */
+  /** All machines of the registry are accounted for. */
   get ready(): boolean {
     return this.settled && this.unresolved().length === 0;
   }
@@ -120,8 +120,8 @@
     for (const machine of this.machines.values()) {
       machine.accumulate(SWEEP_EVERY);
       const patience = this.runtime.settings.reportEvery * BOOKING_PATIENCE;
-      const expired = this.runtime.now - (machine.lastCounted ?? this.acquired) > patience;
-      if (expired || machine.returning || machine.noticeUntil !== null)
+      const late = this.runtime.now - (machine.lastCounted ?? this.acquired) > patience;
+      if (late || machine.returning || machine.noticeUntil !== null)
         this.bindings.unbookAll(machine);
       const idle = machine.bindings.size === 0;
       machine.idleSince = idle ? (machine.idleSince ?? this.runtime.now) : null;
--- a/packages/testing/src/scenario.ts
+++ b/packages/testing/src/scenario.ts
@@ -6,10 +6,13 @@
 import type { ClusterOptions } from './cluster-options.js';
 import { SimulatedCluster } from './simulated-cluster.js';
 
-export const A = 'run-000001';
-
+/** Id of a job by its number. */
 export const idOf = (n: number): string => `run-${String(n).padStart(6, '0')}`;
 
+/** The first jobs of a scenario. */
+export const A = idOf(1);
+export const B = idOf(2);
+
 /** A cluster with machines up and a leader that knows them. */
 export function settled(options: ClusterOptions = {}, machines = 2): SimulatedCluster {
   const cluster = new SimulatedCluster(options);
@@ -19,6 +22,9 @@
   return cluster;
 }
 
+/** All machines that are up. */
+export const workers = (cluster: SimulatedCluster): FakeWorker[] => [...cluster.workers.values()];
+
 /** The nodes that do not lead. */
 export function others(cluster: SimulatedCluster): string[] {
   return cluster.nodes.filter((n) => n !== cluster.leader());
@@ -37,8 +43,9 @@
 
 /** Tasks that run, on all machines. */
 export function running(cluster: SimulatedCluster): number {
-  return [...cluster.workers.values()].flatMap((w) => w.tasks).filter((t) => t.status === 'running')
-    .length;
+  return workers(cluster)
+    .flatMap((w) => w.tasks)
+    .filter((t) => t.status === 'running').length;
 }
 
 export const status = (r: Reply | null): unknown => (r?.body as { status?: string } | null)?.status;
@@ -87,7 +94,7 @@
 
 /** Some task of the job has started. */
 export const begun = (cluster: SimulatedCluster, n: number): boolean =>
-  [...cluster.workers.values()].some((w) => w.tasks.some((t) => t.piece.startsWith(idOf(n)))) ||
+  workers(cluster).some((w) => w.tasks.some((t) => t.piece.startsWith(idOf(n)))) ||
   cluster.checker.doneTasks(idOf(n)).size > 0;
 
 /** The leader's process ends, and is back after a while. */
@@ -128,16 +135,10 @@
   keepsRules(cluster);
 }
 
-/** The second job of a scenario. */
-export const B = idOf(2);
-
 /** What a node says of a job. */
 export const told = (cluster: SimulatedCluster, n: number, node: string): unknown =>
   status(ask(cluster, (d) => cluster.poll(idOf(n), node, d)));
 
-/** All machines that are up. */
-export const workers = (cluster: SimulatedCluster): FakeWorker[] => [...cluster.workers.values()];
-
 /** A user cancels a job, and is told so. */
 export const cancelled = (cluster: SimulatedCluster, n: number, node: string): void =>
   assert.equal(status(ask(cluster, (d) => cluster.cancel(idOf(n), node, d))), 'aborted');
