--- a/packages/testing/src/cluster-options.ts
+++ b/packages/testing/src/cluster-options.ts
@@ -1,5 +1,6 @@
 /** What a simulated cluster is made of: nodes, settings and times. */
 import type { Settings } from '@tealdock/wire';
+import type { WireObserver } from './wire-trace/wire-trace.js';
 import type { StateCaps } from './fake-state.js';
 
 /** Names of the controllers. */
@@ -29,6 +30,8 @@
   /** What the controllers take for the workers' lease; a wrong one breaks a guard on purpose. */
   believedLease?: number;
   times?: DeploymentTimes;
+  /** Sees everything that crosses the boundary of the nodes. */
+  observer?: WireObserver;
 }
 
 /** Times of a deployment, in ms. */
--- /dev/null
+++ b/packages/testing/src/random-faults.ts
@@ -0,0 +1,226 @@
+/** Random faults on a simulated cluster, drawn from a seed. */
+import type { ClusterOptions } from './cluster-options.js';
+import { SimulatedCluster } from './simulated-cluster.js';
+import { job } from './small-job.js';
+
+const JOBS = 12;
+const TROUBLED = 120_000;
+const FAULT_EVERY = 4000;
+
+const pick = <T>(cluster: SimulatedCluster, from: T[]): T | undefined =>
+  from[Math.floor(cluster.random() * from.length)];
+
+function crash(cluster: SimulatedCluster): void {
+  const name = pick(cluster, cluster.nodes)!;
+  if (!cluster.alive.has(name)) return;
+  cluster.crash(name);
+  cluster.at(200 + cluster.random() * 8000, () => cluster.alive.has(name) || cluster.boot(name));
+}
+
+function hang(cluster: SimulatedCluster): void {
+  const name = pick(cluster, cluster.nodes)!;
+  cluster.hang(name, true);
+  cluster.at(cluster.random() * 25_000, () => cluster.hang(name, false));
+}
+
+function hangWorker(cluster: SimulatedCluster): void {
+  const worker = pick(cluster, [...cluster.workers.values()]);
+  if (!worker) return;
+  worker.hanging = true;
+  cluster.at(cluster.random() * 25_000, () => (worker.hanging = false));
+}
+
+function cut(cluster: SimulatedCluster): void {
+  const name = pick(cluster, [...cluster.nodes, ...cluster.workers.keys()])!;
+  const other = pick(cluster, cluster.nodes)!;
+  const cut = cluster.random() < 0.5 ? name : `${other}>${name}`;
+  cluster.cuts.add(cut);
+  cluster.at(cluster.random() * 30_000, () => cluster.cuts.delete(cut));
+}
+
+function outage(cluster: SimulatedCluster): void {
+  cluster.state.down = true;
+  cluster.at(cluster.random() * 15_000, () => cluster.state.restore());
+}
+
+function losses(cluster: SimulatedCluster): void {
+  cluster.stateFault = () => {
+    const dice = cluster.random();
+    return dice < 0.1 ? 'lost_before' : dice < 0.2 ? 'lost_after' : undefined;
+  };
+  cluster.at(cluster.random() * 10_000, () => (cluster.stateFault = null));
+}
+
+function take(cluster: SimulatedCluster): void {
+  const id = pick(cluster, [...cluster.cloud.machines.keys()]);
+  if (id) cluster.cloud.take(id);
+}
+
+function cutAnswers(cluster: SimulatedCluster): void {
+  const id = pick(cluster, [...cluster.workers.keys()]);
+  if (!id) return;
+  cluster.cutAnswersTo(id);
+  cluster.at(cluster.random() * 40_000, () => cluster.restoreAnswersTo(id));
+}
+
+function copies(cluster: SimulatedCluster): void {
+  cluster.copyDelay = () => (cluster.random() < 0.3 ? 100 + cluster.random() * 60_000 : null);
+  cluster.at(cluster.random() * 20_000, () => (cluster.copyDelay = null));
+}
+
+function isolate(cluster: SimulatedCluster): void {
+  cluster.isolate(pick(cluster, cluster.nodes)!);
+  cluster.at(cluster.random() * 30_000, () => cluster.cuts.clear());
+}
+
+function part(cluster: SimulatedCluster): void {
+  const machines = [...cluster.workers.values()].filter((w) => w.machine.zone === 'b');
+  cluster.part([pick(cluster, cluster.nodes)!, ...machines.map((w) => w.machine.id)]);
+  cluster.at(cluster.random() * 45_000, () => cluster.cuts.clear());
+}
+
+function reboot(cluster: SimulatedCluster): void {
+  pick(cluster, [...cluster.workers.values()])?.reboot();
+}
+
+function blink(cluster: SimulatedCluster): void {
+  const name = pick(cluster, cluster.nodes)!;
+  if (!cluster.alive.has(name)) return;
+  cluster.crash(name);
+  cluster.at(50 + cluster.random() * 500, () => cluster.alive.has(name) || cluster.boot(name));
+}
+
+/** Transactions get no answer and are carried out after newer ones. */
+function lateWrites(cluster: SimulatedCluster): void {
+  cluster.stateFault = (_node, call) =>
+    call.writes > 0 && cluster.random() < 0.3 ? 2000 + cluster.random() * 10_000 : undefined;
+  cluster.at(cluster.random() * 15_000, () => (cluster.stateFault = null));
+}
+
+function slow(cluster: SimulatedCluster): void {
+  cluster.stateDelay = () => (cluster.random() < 0.5 ? cluster.random() * 1500 : 0);
+  cluster.at(cluster.random() * 15_000, () => (cluster.stateDelay = null));
+}
+
+function unheard(cluster: SimulatedCluster): void {
+  const id = pick(cluster, [...cluster.workers.keys()]);
+  if (!id) return;
+  cluster.cutReportsOf(id);
+  cluster.at(cluster.random() * 40_000, () => cluster.restoreReportsOf(id));
+}
+
+/** The state service refuses one node, perhaps the leader, and soon perhaps everybody. */
+function refuse(cluster: SimulatedCluster): void {
+  const name = (cluster.random() < 0.7 ? cluster.leader() : null) ?? pick(cluster, cluster.nodes)!;
+  cluster.state.refused.add(name);
+  cluster.at(5000 + cluster.random() * 15_000, () => cluster.state.refused.delete(name));
+  if (cluster.random() < 0.5) cluster.at(500 + cluster.random() * 3000, () => outage(cluster));
+}
+
+/** Users call off what runs, and its machines hang. */
+function cancelNow(cluster: SimulatedCluster): void {
+  const here = [...cluster.workers.values()].filter((w) => w.tasks.length > 0);
+  const worker = pick(cluster, here);
+  const piece = worker?.tasks.find((t) => t.status === 'running')?.piece;
+  const node = pick(cluster, [...cluster.alive.keys()]);
+  if (!worker || !piece || !node) return;
+  const id = piece.split('/')[0]!;
+  if (cluster.checker.accepted(id)) cluster.cancel(id, node);
+  worker.hanging = true;
+  cluster.at(cluster.random() * 30_000, () => (worker.hanging = false));
+}
+
+function changeLeaders(cluster: SimulatedCluster): void {
+  for (let i = 0; i < 5; i++) {
+    cluster.at(i * 6000, () => {
+      const leader = cluster.leader();
+      if (!leader || !cluster.alive.has(leader)) return;
+      cluster.crash(leader);
+      cluster.at(
+        300 + cluster.random() * 5000,
+        () => cluster.alive.has(leader) || cluster.boot(leader),
+      );
+    });
+  }
+}
+
+const FAULTS = [
+  lateWrites,
+  slow,
+  unheard,
+  unheard,
+  refuse,
+  refuse,
+  cancelNow,
+  cancelNow,
+  changeLeaders,
+  crash,
+  crash,
+  hang,
+  hangWorker,
+  cut,
+  cut,
+  outage,
+  losses,
+  take,
+  cutAnswers,
+  copies,
+  isolate,
+  part,
+  part,
+  reboot,
+  blink,
+];
+
+function user(cluster: SimulatedCluster, number: number): void {
+  const node = () => pick(cluster, [...cluster.alive.keys()]);
+  const id = `run-${String(number).padStart(6, '0')}`;
+  // Some wait for earlier ones, as far as those were accepted.
+  const chained = cluster.random() < 0.4;
+  const earlier = () =>
+    [number - 1, number - 2, number - 5]
+      .map((n) => `run-${String(n).padStart(6, '0')}`)
+      .filter((other) => cluster.checker.accepted(other));
+  const body = job(number, {
+    batch: 1 + Math.floor(cluster.random() * 6),
+    expected_s: 2 + cluster.random() * 30,
+    urgency: pick(cluster, ['urgent', 'normal', 'idle']),
+  });
+  const step = () => {
+    const at = node();
+    if (cluster.checker.final(id) !== null) return;
+    // A retry is the same request again, so what it names is settled at the first.
+    if (chained) body['waits_on'] ??= earlier();
+    if (at && !cluster.checker.accepted(id)) cluster.submit(body, at);
+    else if (at) cluster.poll(id, at);
+    cluster.at(2500, step);
+  };
+  cluster.at(cluster.random() * TROUBLED, step);
+  if (cluster.random() < 0.3) {
+    cluster.at(cluster.random() * TROUBLED * 1.2, () => {
+      const at = node();
+      if (at && cluster.checker.accepted(id)) cluster.cancel(id, at);
+    });
+  }
+}
+
+/** Random faults for a while, then none; returns the numbers of jobs that have not ended. */
+export function playRandomFaults(options: ClusterOptions): {
+  cluster: SimulatedCluster;
+  open: string[];
+} {
+  const cluster = new SimulatedCluster({ capacity: 6, cpuLimit: 16, ...options });
+  for (let i = 0; i < 3; i++) cluster.cloud.add(i % 2 ? 'a' : 'b');
+  const ids = Array.from({ length: JOBS }, (_, i) => i + 1);
+  for (const i of ids) user(cluster, i);
+  for (let at = 8000; at < TROUBLED; at += FAULT_EVERY) {
+    cluster.at(at, () => pick(cluster, FAULTS)!(cluster));
+  }
+  cluster.run(TROUBLED);
+  cluster.run(30_000);
+  cluster.endFaults();
+  const name = (i: number) => `run-${String(i).padStart(6, '0')}`;
+  const open = () => ids.map(name).filter((id) => cluster.checker.final(id) === null);
+  cluster.runUntil(() => open().length === 0, 400_000);
+  return { cluster, open: open() };
+}
--- a/packages/testing/src/seeded-random.ts
+++ b/packages/testing/src/seeded-random.ts
@@ -29,3 +29,14 @@
   if (chosen === undefined) throw new RangeError('nothing to pick from');
   return chosen;
 }
+
+/** Seeds like `7`, `1-50` or `1,3,6`; throws `RangeError` for anything else. */
+export function parseSeeds(text: string): number[] {
+  return text.split(',').flatMap((range) => {
+    const [from = NaN, to = from] = range.split('-').map(Number);
+    if (!Number.isInteger(from) || !Number.isInteger(to) || to < from) {
+      throw new RangeError('--seeds: must be like 7, 1-50 or 1,3,6');
+    }
+    return Array.from({ length: to - from + 1 }, (_, i) => from + i);
+  });
+}
--- a/packages/testing/src/simulated-cluster.ts
+++ b/packages/testing/src/simulated-cluster.ts
@@ -267,15 +267,22 @@
     else if (effect.kind === 'tell') this.tell(node, effect.message);
     else if (effect.kind === 'share_writes') node.gates?.shareWrites(effect.part);
     else {
+      this.options.observer?.call(this.clock, node.name, effect.id, effect.call);
       const done = (result: CallResult) =>
-        this.at(HALF_TRIP, () => this.push(node, { kind: 'result', id: effect.id, result }));
+        this.at(HALF_TRIP, () => this.returnResult(node, effect.id, result));
       const send = () => this.at(HALF_TRIP, () => this.call(node.name, effect.call, done));
       if (node.gates) node.gates.pass(effect.call, send, () => done({ kind: 'unsent' }));
       else send();
     }
   }
 
+  private returnResult(node: Node, id: number, result: CallResult): void {
+    this.options.observer?.result(this.clock, node.name, id, result);
+    this.push(node, { kind: 'result', id, result });
+  }
+
   private reply(node: Node, id: number, reply: Reply): void {
+    this.options.observer?.reply(this.clock, node.name, id, reply);
     const respond = node.replies.get(id);
     node.replies.delete(id);
     const late = reply.validUntil !== undefined && this.clock >= reply.validUntil;
@@ -284,8 +291,10 @@
 
   private heartbeat(node: Node, heartbeat: Extract<Effect, { kind: 'heartbeat' }>): void {
     const { leader, token, stateOk } = heartbeat;
+    const beat = { kind: 'beat' as const, member: node.name, leader, token, stateOk };
     for (const other of this.alive.values()) {
       if (other === node || this.cut(node.name, other.name)) continue;
+      this.options.observer?.frame(this.clock, node.name, other.name, beat);
       this.push(other, { kind: 'heartbeat', member: node.name, leader, token, stateOk });
     }
   }
@@ -293,6 +302,7 @@
   private tell(node: Node, message: Told): void {
     for (const other of this.alive.values()) {
       if (other !== node && !this.cut(node.name, other.name)) {
+        this.options.observer?.frame(this.clock, node.name, other.name, message);
         this.push(other, { kind: 'told', message });
       }
     }
@@ -363,7 +373,9 @@
     if (!node) return done(null);
     const id = ++node.lastRequest;
     node.replies.set(id, done);
-    this.push(node, { kind: 'request', id, method, path, body, via });
+    const request = { kind: 'request' as const, id, method, path, body, via };
+    this.options.observer?.request(this.clock, name, request);
+    this.push(node, request);
   }
 
   // --- workers ---------------------------------------------------------------
--- a/packages/testing/src/soak/main.ts
+++ b/packages/testing/src/soak/main.ts
@@ -1,6 +1,7 @@
 /** The soak: `node packages/testing/dist/soak/main.js --seeds 1-50`; see docs/operations.md. */
 import { spawn } from 'node:child_process';
 import { parseArgs } from 'node:util';
+import { parseSeeds } from '../seeded-random.js';
 import { playSeed, type SoakResult } from './soak-run.js';
 
 /** A run with as many machines as controllers have trouble with, for each so many others. */
@@ -22,17 +23,6 @@
 
 const print = (text: string): void => void process.stdout.write(`${text}\n`);
 
-/** Seeds like `7`, `1-50` or `1,3,6`. */
-function seedsOf(text: string): number[] {
-  return text.split(',').flatMap((range) => {
-    const [from = NaN, to = from] = range.split('-').map(Number);
-    if (!Number.isInteger(from) || !Number.isInteger(to) || to < from) {
-      throw new RangeError('--seeds: must be like 7, 1-50 or 1,3,6');
-    }
-    return Array.from({ length: to - from + 1 }, (_, i) => from + i);
-  });
-}
-
 const machinesFor = (seed: number): number =>
   seed % LARGE_EVERY === 0 ? LARGE : Number(values.machines);
 
@@ -90,7 +80,7 @@
   process.exitCode = failed === 0 ? 0 : 1;
 }
 
-const seeds = seedsOf(values.seeds);
+const seeds = parseSeeds(values.seeds);
 if (values.one) {
   const [seed = 1] = seeds;
   const options = {
--- /dev/null
+++ b/packages/testing/src/wire-trace.test.ts
@@ -0,0 +1,58 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import type { Call, Reply } from '@tealdock/controller';
+import type { PeerMessage } from '@tealdock/wire';
+import { traceOf } from './wire-trace/trace-of.js';
+import { WireTrace } from './wire-trace/wire-trace.js';
+
+const SEED = 1;
+
+/** Records one thing of a run otherwise than it was. */
+class AlteredTrace extends WireTrace {
+  private altered = false;
+
+  constructor(private readonly kind: 'reply' | 'call' | 'frame' | 'stored') {
+    super();
+  }
+
+  override reply(at: number, node: string, request: number, reply: Reply): void {
+    const status = this.once('reply') ? reply.status + 1 : reply.status;
+    super.reply(at, node, request, { ...reply, status });
+  }
+
+  override call(at: number, node: string, id: number, call: Call): void {
+    const path = this.once('call') ? `${call.path}x` : call.path;
+    super.call(at, node, id, { ...call, path });
+  }
+
+  override frame(at: number, from: string, to: string, message: PeerMessage): void {
+    const beat = message.kind === 'beat' && this.once('frame');
+    super.frame(at, from, to, beat ? { ...message, stateOk: !message.stateOk } : message);
+  }
+
+  override stored(at: number, entries: Iterable<[string, { v: unknown; stamp: number }]>): void {
+    const altered = [...entries].map(([key, entry]): [string, typeof entry] => [
+      key,
+      this.once('stored') ? { ...entry, v: [entry.v] } : entry,
+    ]);
+    super.stored(at, altered);
+  }
+
+  private once(kind: string): boolean {
+    if (this.altered || kind !== this.kind) return false;
+    this.altered = true;
+    return true;
+  }
+}
+
+test('two runs of a seed cross the same bytes; another seed does not', () => {
+  const first = traceOf(SEED);
+  assert.equal(traceOf(SEED), first);
+  assert.notEqual(traceOf(SEED + 1), first);
+});
+
+for (const kind of ['reply', 'call', 'frame', 'stored'] as const) {
+  test(`one changed byte of a ${kind} changes the trace`, () => {
+    assert.notEqual(traceOf(SEED, new AlteredTrace(kind)), traceOf(SEED));
+  });
+}
