--- a/packages/adapters/src/call-gates.ts
+++ b/packages/adapters/src/call-gates.ts
@@ -27,14 +27,14 @@
     private readonly clock: Clock,
   ) {
     this.state = state;
-    this.stateCalls = this.bucket(state.rps * STATE_PART);
-    this.stateWrites = this.bucket(state.writeRps * STATE_PART, state.txnOps);
-    this.cloudCalls = this.bucket(cloud.rps * CLOUD_PART);
+    this.stateCalls = this.bucket(state.requestsPerSecond * STATE_PART);
+    this.stateWrites = this.bucket(state.writesPerSecond * STATE_PART, state.maxTransactionWrites);
+    this.cloudCalls = this.bucket(cloud.requestsPerSecond * CLOUD_PART);
   }
 
-  /** Which part of the state service's changes per second this node may use from now on. */
-  shareWrites(part: number): void {
-    this.stateWrites.setRate(this.state.writeRps * part);
+  /** Which fraction of the state service's changes per second this node may use from now on. */
+  setWriteFraction(fraction: number): void {
+    this.stateWrites.setRate(this.state.writesPerSecond * fraction);
   }
 
   /** Sends the call once there are tokens for it, or drops it unsent when that takes too long. */
--- a/packages/adapters/src/connections.ts
+++ b/packages/adapters/src/connections.ts
@@ -43,7 +43,7 @@
 
   constructor(
     private readonly shares: SocketShares,
-    private readonly reportEvery: Duration,
+    private readonly heartbeatInterval: Duration,
     private readonly now: () => Instant,
   ) {}
 
@@ -108,7 +108,7 @@
     if (c.surplus) return SURPLUS_LIMIT;
     if (c.holder === 'nobody') return SILENT_LIMIT;
     if (c.holder !== 'worker') return USER_IDLE;
-    return Math.max(LEAST_WORKER_IDLE, this.reportEvery * MISSED_REPORTS);
+    return Math.max(LEAST_WORKER_IDLE, this.heartbeatInterval * MISSED_REPORTS);
   }
 
   private demote(c: Connection): void {
--- a/packages/adapters/src/http-server.ts
+++ b/packages/adapters/src/http-server.ts
@@ -1,6 +1,6 @@
 /** The public HTTP interface. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
-import { HEALTH_PATH, MAX_BODY_BYTES, REPORT_PATH, packBody } from '@tealdock/wire';
+import { HEALTH_PATH, MAX_BODY_BYTES, HEARTBEAT_PATH, packBody } from '@tealdock/wire';
 import type { Reply, SocketShares } from '@tealdock/controller';
 import type { Connections, Holder } from './connections.js';
 import { listen } from './listen.js';
@@ -84,7 +84,7 @@
 const pathOf = (req: IncomingMessage): string => (req.url ?? '/').replace(/\?.*$/s, '');
 
 function holderOf(path: string): Holder {
-  if (path === REPORT_PATH) return 'worker';
+  if (path === HEARTBEAT_PATH) return 'worker';
   return path === HEALTH_PATH ? 'probe' : 'user';
 }
 
--- a/packages/adapters/src/peer-link.ts
+++ b/packages/adapters/src/peer-link.ts
@@ -6,7 +6,8 @@
   packPeer,
   unpackBody,
   type PeerMessage,
-  type Told,
+  type LeaderBroadcast,
+  type PeerHeartbeat,
 } from '@tealdock/wire';
 import type { Call, CallResult, Log } from '@tealdock/controller';
 import { splitAddress } from './http-client.js';
@@ -20,8 +21,8 @@
 
 /** What is heard from the other controllers. */
 export interface PeerEvents {
-  heartbeat(message: Extract<PeerMessage, { kind: 'beat' }>): void;
-  told(message: Told): void;
+  heartbeat(message: PeerHeartbeat): void;
+  broadcast(message: LeaderBroadcast): void;
   refused(member: string): void;
   ask(
     message: Extract<PeerMessage, { kind: 'ask' }>,
@@ -40,7 +41,7 @@
   private lastAsk = 0;
 
   constructor(
-    private readonly peers: { member: string; addr: string }[],
+    private readonly peers: { member: string; address: string }[],
     private readonly events: PeerEvents,
     private readonly log: Log,
   ) {
@@ -53,12 +54,12 @@
     for (const peer of this.peers) this.dial(peer);
   }
 
-  heartbeat(member: string, leader: string, token: number, stateOk: boolean): void {
-    const frame = packPeer({ kind: 'beat', member, leader, token, stateOk });
+  heartbeat(heartbeat: PeerHeartbeat): void {
+    const frame = packPeer(heartbeat);
     for (const socket of this.sockets.values()) this.write(socket, frame);
   }
 
-  tell(message: Told): void {
+  broadcast(message: LeaderBroadcast): void {
     const frame = packPeer(message);
     for (const socket of this.sockets.values()) this.write(socket, frame);
   }
@@ -88,8 +89,8 @@
     else socket.write(frame);
   }
 
-  private dial(peer: { member: string; addr: string }): void {
-    const { host, port } = splitAddress(peer.addr);
+  private dial(peer: { member: string; address: string }): void {
+    const { host, port } = splitAddress(peer.address);
     const socket = connect({ host, port, noDelay: true });
     const giveUp = setTimeout(() => socket.destroy(), CONNECT_TIMEOUT);
     socket.on('connect', () => {
@@ -124,8 +125,8 @@
   }
 
   private take(socket: Socket, message: PeerMessage): void {
-    if (message.kind === 'beat') this.events.heartbeat(message);
-    else if (message.kind === 'counts' || message.kind === 'hints') this.events.told(message);
+    if (message.kind === 'heartbeat') this.events.heartbeat(message);
+    else if (message.kind === 'counts' || message.kind === 'hints') this.events.broadcast(message);
     else if (message.kind === 'answer') {
       const body = message.body.length > 0 ? unpackBody(message.body) : null;
       this.settle(message.id, { kind: 'answer', status: message.status, body });
--- a/packages/adapters/src/service.ts
+++ b/packages/adapters/src/service.ts
@@ -57,7 +57,7 @@
       wake: (delay, run) => void setTimeout(run, delay),
     });
     const shares = socketShares(settings);
-    this.connections = new Connections(shares, settings.reportEvery, now);
+    this.connections = new Connections(shares, settings.heartbeatInterval, now);
     this.front = new HttpFront(
       (method, path, body, respond) => this.request('public', method, path, body, respond),
       this.connections,
@@ -66,9 +66,9 @@
     this.peers = new PeerLink(
       settings.peers,
       {
-        heartbeat: (m) => this.push({ ...m, kind: 'heartbeat' }),
-        told: (message) => this.push({ kind: 'told', message }),
-        refused: (member) => this.push({ kind: 'refused', member }),
+        heartbeat: (message) => this.push(message),
+        broadcast: (message) => this.push({ kind: 'leader_broadcast', message }),
+        refused: (member) => this.push({ kind: 'peer_refused', member }),
         ask: (m, respond) =>
           this.request('peer', m.method, m.path, m.body, (r) => respond(r.status, r.body)),
       },
@@ -79,11 +79,11 @@
   start(failed: (error: Error) => void): void {
     const { settings, log } = this.parts;
     const ready = () => {
-      log('info', { member: settings.member, address: settings.publicAddr }, 'listening');
+      log('info', { member: settings.member, address: settings.publicAddress }, 'listening');
       this.push({ kind: 'tick' });
     };
-    this.front.listen(settings.publicAddr, ready, failed);
-    this.peers.listen(settings.clusterListen, failed);
+    this.front.listen(settings.publicAddress, ready, failed);
+    this.peers.listen(settings.peerListenAddress, failed);
     const usage = new Usage(this.connections, this.parts.stats, log);
     setInterval(() => usage.note(), USAGE_EVERY).unref();
   }
@@ -141,10 +141,9 @@
       this.responders.get(effect.id)?.(effect.reply);
       this.responders.delete(effect.id);
     } else if (effect.kind === 'heartbeat') {
-      const { leader, token, stateOk } = effect;
-      this.peers.heartbeat(this.parts.settings.member, leader, token, stateOk);
-    } else if (effect.kind === 'tell') this.peers.tell(effect.message);
-    else if (effect.kind === 'share_writes') this.gates.shareWrites(effect.part);
+      this.peers.heartbeat({ ...effect, member: this.parts.settings.member });
+    } else if (effect.kind === 'broadcast') this.peers.broadcast(effect.message);
+    else if (effect.kind === 'set_write_fraction') this.gates.setWriteFraction(effect.fraction);
     else this.call(effect.id, effect.call);
   }
 
@@ -155,7 +154,7 @@
       done({ kind: 'unsent' });
     };
     const asked = performance.now();
-    const { stateAddr, cloudAddr } = this.parts.settings;
+    const { stateAddress: stateAddr, cloudAddress: cloudAddr } = this.parts.settings;
     const send = (): void => {
       if (call.target === 'peer') return this.peers.ask(call, done);
       if (call.target === 'worker') return this.send(this.workerHttp, call.to, call, done);
--- a/packages/adapters/src/usage.ts
+++ b/packages/adapters/src/usage.ts
@@ -18,7 +18,7 @@
   note(): void {
     const usage = { ...this.processor(), ...memory(), ...this.connections.counts() };
     for (const [name, value] of Object.entries(usage)) this.stats.gauge(`usage.${name}`, value);
-    this.log('info', usage, 'usage');
+    this.log('info', usage, 'resource usage');
   }
 
   /** Part of a core since the last look. */
--- a/packages/controller/src/authority/authority.ts
+++ b/packages/controller/src/authority/authority.ts
@@ -1,7 +1,7 @@
 /** The one place where a leader asks whether it may start tasks or renew leases. */
 import type { Duration, Instant } from '@tealdock/wire';
 import { maxStaleness } from '../leadership/freshness.js';
-import type { Held } from '../leadership/leadership.js';
+import type { LeaderLease } from '../leadership/leadership.js';
 import type { Runtime } from '../runtime/runtime.js';
 import { evidenceFields, isFresh, refused, type Decision, type Evidence } from './decision.js';
 
@@ -11,25 +11,25 @@
 /** What of a term's knowledge its rights depend on. */
 export interface Knowledge {
   /** The stored state has been read. */
-  readonly loaded: boolean;
+  readonly stateLoaded: boolean;
   readonly closed: boolean;
   /** Every cancellation committed before this is known. */
-  readonly knownTo: Instant;
+  readonly cancellationsKnownUntil: Instant;
   /** All that reports have shown is known by size and team. */
-  readonly settled: boolean;
+  readonly observedJobsLoaded: boolean;
   isLive(job: string): boolean;
 }
 
 /** What of a machine a start depends on. */
 export interface StartTarget {
   readonly registered: boolean;
-  readonly resolved: boolean;
+  readonly reconciled: boolean;
   readonly returning: boolean;
 }
 
 /** The leader's lease. */
 export interface LeaseHolder {
-  held(): Held | null;
+  validLease(): LeaderLease | null;
 }
 
 /**
@@ -55,9 +55,9 @@
     const decision = this.decide(MAX_STALENESS_OF_STARTS);
     if (!decision.granted) return decision;
     if (!machine.registered) return refused('machine_not_registered', decision.evidence);
-    if (!machine.resolved) return refused('machine_unaccounted', decision.evidence);
+    if (!machine.reconciled) return refused('machine_unaccounted', decision.evidence);
     if (machine.returning) return refused('machine_returning', decision.evidence);
-    if (!this.knowledge.settled) return refused('sizes_unknown', decision.evidence);
+    if (!this.knowledge.observedJobsLoaded) return refused('sizes_unknown', decision.evidence);
     return decision;
   }
 
@@ -67,7 +67,7 @@
    * there knows that it has ended, which is final.
    */
   mayStop(job: string): boolean {
-    return this.knowledge.loaded && !this.knowledge.isLive(job);
+    return this.knowledge.stateLoaded && !this.knowledge.isLive(job);
   }
 
   /** Logs when the right to answer reports begins and ends, and why. */
@@ -76,15 +76,15 @@
     if (outcome === this.lastRenewal) return;
     this.lastRenewal = outcome;
     const fields = { outcome, ...evidenceFields(decision.evidence) };
-    this.runtime.env.log('info', fields, 'right to answer reports');
+    this.runtime.env.log('info', fields, 'renewal authority changed');
   }
 
   private decide(limit: Duration): Decision {
-    const held = this.lease.held();
+    const held = this.lease.validLease();
     if (!held) return refused('no_lease');
     if (this.knowledge.closed) return refused('term_over');
-    if (!this.knowledge.loaded) return refused('jobs_not_read');
-    const { knownTo } = this.knowledge;
+    if (!this.knowledge.stateLoaded) return refused('jobs_not_read');
+    const { cancellationsKnownUntil: knownTo } = this.knowledge;
     const evidence: Evidence = { source: 'job watch', age: this.runtime.now - knownTo, limit };
     if (!isFresh(evidence)) return refused('knowledge_stale', evidence);
     const validUntil = Math.min(held.validUntil, knownTo + limit);
--- a/packages/controller/src/authority/invariants.ts
+++ b/packages/controller/src/authority/invariants.ts
@@ -11,7 +11,7 @@
   job: string;
   task: string;
   machine: string;
-  token: number;
+  fencingToken: number;
   evidence: EvidenceSource | 'none';
   ageMs: number | null;
 }
@@ -20,8 +20,8 @@
  * A task on a machine whose job is over. `goneBy` is when it must be gone by the protocol;
  * Infinity once its lateness has been reported.
  */
-export interface Ending {
-  goneBy: Instant | null;
+export interface EndingTask {
+  terminationDeadline: Instant | null;
 }
 
 /** Reports violations in the log and in the counters, and lets the service go on. */
@@ -34,9 +34,10 @@
   }
 
   /** A newest report still shows the task; it must be gone once its limit has passed. */
-  checkGone(ending: Ending, describe: () => Violation): void {
-    if (ending.goneBy === null || this.runtime.now <= ending.goneBy) return;
-    ending.goneBy = Infinity;
+  checkGone(ending: EndingTask, describe: () => Violation): void {
+    if (ending.terminationDeadline === null || this.runtime.now <= ending.terminationDeadline)
+      return;
+    ending.terminationDeadline = Infinity;
     this.violated('ran_past_cancel_limit', describe());
   }
 }
--- a/packages/controller/src/autoscaling/autoscaler.ts
+++ b/packages/controller/src/autoscaling/autoscaler.ts
@@ -1,7 +1,7 @@
 /** How many machines of which kind there should be. */
 import { MAX_RENT, type Instant, type MachineType } from '@tealdock/wire';
 import {
-  leastSlotPrice,
+  minSlotPrice,
   offerings,
   planRentals,
   type Backlog,
@@ -78,7 +78,7 @@
 
   private repeat(period: number, run: () => void): void {
     this.runtime.every(period, () => {
-      if (!this.term.closed && this.leadership.held()) run();
+      if (!this.term.closed && this.leadership.validLease()) run();
       return !this.term.closed;
     });
   }
@@ -105,7 +105,8 @@
   }
 
   private scale(): void {
-    if (!this.term.loaded || this.inventory.owned === null || this.types().length === 0) return;
+    if (!this.term.stateLoaded || this.inventory.owned === null || this.types().length === 0)
+      return;
     this.rentals.repeatRentals();
     this.rent();
   }
@@ -113,7 +114,7 @@
   private backlog(): Backlog[] {
     const inside = guaranteedJobs(this.term.jobs.values(), this.runtime.settings);
     const jobs = [...this.term.jobs.values()]
-      .filter((j) => j.waiting > 0 && j.backoffUntil <= this.runtime.now)
+      .filter((j) => j.unboundTaskCount > 0 && j.backoffUntil <= this.runtime.now)
       .map((job) => ({ job, latest: this.latest(job, inside.has(job.id)) }))
       .sort((a, b) => a.latest - b.latest);
     const all = offerings(this.types(), () => false);
@@ -122,18 +123,18 @@
       const team = this.runtime.settings.teams.find((t) => t.name === job.spec.team);
       const room =
         rest.get(job.spec.team) ??
-        (team?.cpusMax ?? 0) - this.term.ledger.teamUse(job.spec.team).cpus;
-      const most = job.spec.cpus > 0 ? Math.floor(room / job.spec.cpus) : job.waiting;
-      const tasks = Math.max(0, Math.min(job.waiting, most));
+        (team?.maxCpus ?? 0) - this.term.ledger.teamUse(job.spec.team).cpus;
+      const most = job.spec.cpus > 0 ? Math.floor(room / job.spec.cpus) : job.unboundTaskCount;
+      const tasks = Math.max(0, Math.min(job.unboundTaskCount, most));
       rest.set(job.spec.team, room - tasks * job.spec.cpus);
       return { spec: job.spec, tasks, mostPrice: this.mostPrice(job, latest, all) };
     });
   }
 
   private latest(job: LiveJob, guaranteed: boolean): Instant {
-    const ratio = this.term.ratios.get(job.spec.jobClass) ?? 1;
+    const ratio = this.term.runTimeRatios.get(job.spec.jobClass) ?? 1;
     const latest = latestStart(job, ratio, guaranteed, this.runtime.settings);
-    return latest === Infinity ? job.since + AIMLESS_WAIT : latest;
+    return latest === Infinity ? job.startableAt + AIMLESS_WAIT : latest;
   }
 
   /** Dear machines are only for work that would otherwise start too late. */
@@ -143,7 +144,7 @@
     const boot = Math.max(...this.types().map((t) => t.boot));
     const lead = boot * BOOT_LEAD + (job.spec.imageGb / Math.max(0.01, slowest)) * 1000;
     if (this.runtime.now >= latest - lead) return Infinity;
-    return leastSlotPrice(all, job.spec) * CHEAP_ENOUGH;
+    return minSlotPrice(all, job.spec) * CHEAP_ENOUGH;
   }
 
   /** Where starts count more than money, room for a burst is kept beside the work at hand. */
@@ -152,7 +153,7 @@
     const share = this.runtime.operator.fleet.headroom;
     return [...this.term.jobs.values()].map((job) => ({
       spec: job.spec,
-      tasks: Math.ceil(share * (job.waiting + job.bound.size)),
+      tasks: Math.ceil(share * (job.unboundTaskCount + job.bindings.size)),
     }));
   }
 
@@ -180,12 +181,13 @@
   private usable(machine: Machine): boolean {
     if (
       machine.returning ||
-      machine.noticeUntil !== null ||
+      machine.preemptionDeadline !== null ||
       machine.quarantinedUntil > this.runtime.now
     )
       return false;
     return (
-      !machine.resolved || (machine.lastCounted !== null && !this.returns.countsNoMore(machine))
+      !machine.reconciled ||
+      (machine.lastHeartbeatAt !== null && !this.returns.countsNoMore(machine))
     );
   }
 
@@ -219,12 +221,14 @@
 
   /** Before all machines are accounted for, tasks that run look like tasks that wait. */
   private knowsWhatRuns(): boolean {
-    return this.term.ready || this.runtime.now - this.term.acquired > REBUILD_PATIENCE;
+    return (
+      this.term.allMachinesReconciled || this.runtime.now - this.term.electedAt > REBUILD_PATIENCE
+    );
   }
 
   /** What was not rented yet is asked for at once, elsewhere if it was refused. */
   private rentAgain(): void {
-    if (!this.term.closed && this.leadership.held() && this.rentals.requests.size === 0)
+    if (!this.term.closed && this.leadership.validLease() && this.rentals.requests.size === 0)
       this.rent();
   }
 }
--- a/packages/controller/src/autoscaling/cloud-calls.ts
+++ b/packages/controller/src/autoscaling/cloud-calls.ts
@@ -4,7 +4,7 @@
 import type { TermState } from '../term/term-state.js';
 
 /** How long the cloud may take for an answer. */
-export const CALL_TIMEOUT = 4000;
+export const CLOUD_CALL_TIMEOUT_MS = 4000;
 
 /** Sends calls to the cloud; answers that come after the term are dropped. */
 export class CloudCalls {
@@ -28,7 +28,7 @@
       body,
       priority,
       writes: 0,
-      timeout: CALL_TIMEOUT,
+      timeout: CLOUD_CALL_TIMEOUT_MS,
     };
     this.runtime.call(call, (result) => {
       if (!this.term.closed) done(result);
--- a/packages/controller/src/autoscaling/machine-inventory.ts
+++ b/packages/controller/src/autoscaling/machine-inventory.ts
@@ -5,7 +5,7 @@
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
 import { OWNED_KEY } from '../state/keys.js';
-import { attempt, type StateStore } from '../state/state-store.js';
+import { parseOrNull, type StateStore } from '../state/state-store.js';
 import { readOwned } from '../state/stored-values.js';
 import type { Term } from '../term/term.js';
 import type { CloudCalls } from './cloud-calls.js';
@@ -16,7 +16,7 @@
 /** A machine that was rented, or is listed, and has not reported yet. */
 export interface Provisioning extends Place {
   /** When it was asked for. */
-  asked: Instant;
+  requestedAt: Instant;
 }
 
 /** Keeps the newest machine list, which lags, and the machines that are on their way. */
@@ -65,9 +65,9 @@
     if (this.owned !== null) return;
     const heard = [...this.term.machines.keys()];
     const last = [...machines.map((m) => m.id), ...heard].sort().at(-1) ?? '';
-    const guards = [this.leadership.guard(), { key: OWNED_KEY, version: 0 }];
+    const guards = [this.leadership.leaderPrecondition(), { key: OWNED_KEY, version: 0 }];
     const write = { put: OWNED_KEY, value: { last } };
-    this.state.commit(guards, [write], PRIORITY.leader, (committed) => {
+    this.state.compareAndSwap(guards, [write], PRIORITY.leader, (committed) => {
       if (committed.kind === 'ok') this.owned = last;
       else this.readOwned();
     });
@@ -75,7 +75,7 @@
 
   refreshList(): void {
     const fresh = this.runtime.now - (this.listBegun ?? -Infinity) < LIST_EVERY;
-    if (fresh && this.term.loaded && this.term.ready) return;
+    if (fresh && this.term.stateLoaded && this.term.allMachinesReconciled) return;
     this.listBegun = this.runtime.now;
     this.list('', new Map(), this.runtime.now);
   }
@@ -84,7 +84,7 @@
     this.cloud.send('GET', listPath(after), null, PRIORITY.leader, (result) => {
       const page =
         result.kind === 'answer' && result.status === 200
-          ? attempt(() => parseList(result.body))
+          ? parseOrNull(() => parseList(result.body))
           : null;
       if (!page) return;
       for (const m of page.machines) found.set(m.id, m);
@@ -105,14 +105,14 @@
           type: machine.type,
           zone: machine.zone,
           spot: machine.spot,
-          asked: this.runtime.now - machine.age,
+          requestedAt: this.runtime.now - machine.age,
         });
       }
     }
     // Taken before it ever reported: no longer listed, nor coming.
     const lag = this.runtime.settings.cloud.listLag * 2;
     for (const [id, machine] of this.provisioning) {
-      const old = asked - lag > machine.asked + lag;
+      const old = asked - lag > machine.requestedAt + lag;
       if (this.term.machines.has(id) || (old && !this.listed.has(id))) this.provisioning.delete(id);
     }
   }
--- a/packages/controller/src/autoscaling/machine-returns.ts
+++ b/packages/controller/src/autoscaling/machine-returns.ts
@@ -41,8 +41,8 @@
   /** Its reports arrive, or did, but none has counted for a whole lease. */
   countsNoMore(machine: Machine): boolean {
     const since =
-      machine.lastCounted ??
-      Math.max(this.term.acquired, Math.min(machine.since, this.runtime.now));
+      machine.lastHeartbeatAt ??
+      Math.max(this.term.electedAt, Math.min(machine.firstSeenAt, this.runtime.now));
     return machine.bindings.size === 0 && this.runtime.now > this.term.leaseExpiry.leaseEnd(since);
   }
 
@@ -51,14 +51,14 @@
    * may give work to a machine that is on its way back.
    */
   giveBack(): void {
-    if (!this.term.loaded) return;
+    if (!this.term.stateLoaded) return;
     const heldUp = this.termHeldUp();
     for (const machine of this.term.machines.values()) {
       if (machine.returning || !this.shouldReturn(machine, heldUp)) continue;
       this.runtime.env.log(
         'info',
         { machine: machine.id, type: machine.type, spot: machine.spot },
-        'returning machine',
+        'scale-in requested',
       );
       this.term.membership.markReturning(machine);
     }
@@ -77,7 +77,7 @@
   private neverUsed(): string[] {
     const ids: string[] = [];
     for (const [id, machine] of this.inventory.listed) {
-      const unknown = !this.term.machines.has(id) && !this.term.membership.isGone(id);
+      const unknown = !this.term.machines.has(id) && !this.term.membership.isTerminated(id);
       if (machine.state === 'failed' && unknown) ids.push(id);
     }
     for (const [id, c] of this.inventory.provisioning) if (this.neverCame(c)) ids.push(id);
@@ -89,9 +89,9 @@
     this.cloud.send('POST', RETURN_PATH, renderReturn(ids), PRIORITY.leader, (result) => {
       this.returning = false;
       if (result.kind !== 'answer' || result.status !== 200) return;
-      this.runtime.env.log('info', { machines: ids }, 'machines returned');
+      this.runtime.env.log('info', { machines: ids }, 'scale-in confirmed');
       for (const id of ids) {
-        this.term.membership.machineGone(id);
+        this.term.membership.recordTerminated(id);
         this.inventory.provisioning.delete(id);
         this.inventory.listed.delete(id);
       }
@@ -102,8 +102,8 @@
     const boot = this.types().find((t) => t.name === machine.type)?.boot;
     if (boot === undefined) return false;
     return (
-      this.runtime.now - machine.asked >
-      boot * this.runtime.operator.fleet.bootPatience + BOOT_MARGIN
+      this.runtime.now - machine.requestedAt >
+      boot * this.runtime.operator.fleet.bootTimeoutFactor + BOOT_MARGIN
     );
   }
 
@@ -111,9 +111,12 @@
     if (this.inventory.listed.get(machine.id)?.state === 'failed' || this.vanished(machine))
       return true;
     if (this.inventory.isOwned(machine.id) || this.inventory.owned === null) return false;
-    if (machine.lostStarts >= MAX_LOST_STARTS || (machine.resolved && this.countsNoMore(machine)))
+    if (
+      machine.consecutiveLostStarts >= MAX_LOST_STARTS ||
+      (machine.reconciled && this.countsNoMore(machine))
+    )
       return true;
-    if (!machine.resolved) return heldUp;
+    if (!machine.reconciled) return heldUp;
     return this.idleLongEnough(machine);
   }
 
@@ -125,12 +128,14 @@
   private vanished(machine: Machine): boolean {
     if (this.inventory.listAsked === null || this.inventory.listed.has(machine.id)) return false;
     // A new term's machines are not heard until they have found it.
-    const { lastHeard } = machine;
-    const silence = this.runtime.now - (lastHeard ?? this.term.acquired);
+    const { lastLeaseRenewalAt: lastHeard } = machine;
+    const silence = this.runtime.now - (lastHeard ?? this.term.electedAt);
     const patience =
-      lastHeard === null ? NEW_TERM_PATIENCE : this.runtime.settings.reportEvery * MISSED_REPORTS;
+      lastHeard === null
+        ? NEW_TERM_PATIENCE
+        : this.runtime.settings.heartbeatInterval * MISSED_REPORTS;
     if (silence < patience) return false;
-    return this.inventory.listAsked - this.runtime.settings.cloud.listLag * 2 > machine.since;
+    return this.inventory.listAsked - this.runtime.settings.cloud.listLag * 2 > machine.firstSeenAt;
   }
 
   /**
@@ -138,9 +143,9 @@
    * their return proves them gone sooner than the end of their lease would.
    */
   private termHeldUp(): boolean {
-    const age = this.runtime.now - this.term.acquired;
+    const age = this.runtime.now - this.term.electedAt;
     if (age < FEW_PATIENCE) return false;
-    const expired = this.term.unresolved().length;
+    const expired = this.term.unreconciledMachines().length;
     const all = this.term.machines.size;
     // In a small fleet the last one is more likely slow than gone, and dear to lose.
     if (age < UNHEARD_PATIENCE) return expired <= all * FEW_PART;
@@ -148,9 +153,9 @@
   }
 
   private idleLongEnough(machine: Machine): boolean {
-    if (machine.idleSince === null || machine.noticeUntil !== null) return false;
+    if (machine.idleSince === null || machine.preemptionDeadline !== null) return false;
     const fast = this.inventory.policy() === 'fast';
-    const least = fast ? FAST_IDLE : this.runtime.operator.fleet.idleReturn;
+    const least = fast ? FAST_IDLE : this.runtime.operator.fleet.idleTimeout;
     const age = this.inventory.listed.get(machine.id)?.age ?? Infinity;
     return this.runtime.now - machine.idleSince >= least && age >= LEAST_CHARGE;
   }
--- a/packages/controller/src/autoscaling/rental-requests.ts
+++ b/packages/controller/src/autoscaling/rental-requests.ts
@@ -9,9 +9,9 @@
 import { offerings, type Offering, type Place } from '@tealdock/scheduler';
 import { PRIORITY, type CallResult } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
-import { attempt } from '../state/state-store.js';
+import { parseOrNull } from '../state/state-store.js';
 import type { TermState } from '../term/term-state.js';
-import { CALL_TIMEOUT, type CloudCalls } from './cloud-calls.js';
+import { CLOUD_CALL_TIMEOUT_MS, type CloudCalls } from './cloud-calls.js';
 import type { MachineInventory } from './machine-inventory.js';
 
 /** A kind of machine that was refused is left alone for this long. */
@@ -23,7 +23,7 @@
 interface ProvisioningRequest extends Place {
   request: string;
   count: number;
-  asked: Instant;
+  requestedAt: Instant;
 }
 
 /** The same for machines of one type, zone and kind. */
@@ -61,14 +61,14 @@
 
   ask({ type, zone, spot }: Place, count: number): void {
     const request = `${this.term.fencingToken}-${++this.lastRequest}`;
-    this.requests.set(request, { request, type, zone, spot, count, asked: this.runtime.now });
+    this.requests.set(request, { request, type, zone, spot, count, requestedAt: this.runtime.now });
     this.askRental(request);
   }
 
   /** Without an answer the same name is asked for again, so nothing is rented twice. */
   repeatRentals(): void {
-    const patience = CALL_TIMEOUT + REPEAT_AFTER_TIMEOUT;
-    for (const [request, { asked }] of this.requests) {
+    const patience = CLOUD_CALL_TIMEOUT_MS + REPEAT_AFTER_TIMEOUT;
+    for (const [request, { requestedAt: asked }] of this.requests) {
       if (this.runtime.now - asked > patience) this.askRental(request);
     }
   }
@@ -76,7 +76,7 @@
   private askRental(request: string): void {
     const rental = this.requests.get(request);
     if (!rental) return;
-    rental.asked = this.runtime.now;
+    rental.requestedAt = this.runtime.now;
     this.cloud.send('POST', MACHINES_PATH, renderRent(rental), PRIORITY.leader, (result) =>
       this.rented(rental, result),
     );
@@ -90,19 +90,19 @@
     this.requests.delete(rental.request);
     const { type, zone, spot } = rental;
     for (const id of hosts) {
-      this.inventory.provisioning.set(id, { type, zone, spot, asked: this.runtime.now });
+      this.inventory.provisioning.set(id, { type, zone, spot, requestedAt: this.runtime.now });
     }
     if (hosts.length < rental.count) {
       this.refused.set(placeKey(rental), this.runtime.now + REFUSED_FOR);
     }
     if (this.requests.size === 0) this.runtime.after(0, () => this.onAllAnswered());
-    this.runtime.env.log('info', { ...rental, hosts, status }, 'rental answered');
+    this.runtime.env.log('info', { ...rental, hosts, status }, 'scale-out answered');
   }
 }
 
 /** The machines rented, none where the request was refused; null where it has to be repeated. */
 function rentedHosts({ status, body }: Extract<CallResult, { kind: 'answer' }>): string[] | null {
-  if (status === 200) return attempt(() => parseRented(body));
+  if (status === 200) return parseOrNull(() => parseRented(body));
   const noCapacity = status === 503 && /capacity/.test(JSON.stringify(body));
   return noCapacity || status === 400 ? [] : null;
 }
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -2,11 +2,11 @@
 import {
   CANCELLATIONS_PATH,
   HEALTH_PATH,
-  REPORT_PATH,
+  HEARTBEAT_PATH,
   parseCancellations,
   unpackBody,
   type Instant,
-  type Told,
+  type LeaderBroadcast,
 } from '@tealdock/wire';
 import type { Granted } from './authority/decision.js';
 import { Catalog } from './machines/catalog.js';
@@ -23,7 +23,7 @@
 import type { Command, Effect, HttpRequest } from './runtime/ports.js';
 import { JobRequests } from './requests/job-requests.js';
 import { malformed, methodNotAllowed } from './requests/replies.js';
-import { ReportRequests, type Leading } from './requests/report-requests.js';
+import { HeartbeatRequests, type LeaderContext } from './requests/heartbeat-requests.js';
 import { Runtime, type Environment } from './runtime/runtime.js';
 import { StateStore } from './state/state-store.js';
 import { Term } from './term/term.js';
@@ -42,14 +42,14 @@
  * The one owner of all state of a process. Commands come in batches through
  * `process`; what is to be done outside goes out as effects.
  */
-export class Controller implements Leading {
+export class Controller implements LeaderContext {
   private readonly runtime: Runtime;
   private readonly state: StateStore;
   private readonly leadership: Leadership;
   private readonly catalog: Catalog;
   private readonly peers: Peers;
-  private readonly requests: JobRequests;
-  private readonly reports: ReportRequests;
+  private readonly jobRequests: JobRequests;
+  private readonly heartbeatRequests: HeartbeatRequests;
   term: Term | null = null;
   longPolls: LongPolls | null = null;
   private startedAt: Instant | null = null;
@@ -60,19 +60,19 @@
     this.leadership = new Leadership(
       this.runtime,
       this.state,
-      (token) => this.begin(token),
+      (token) => this.startTerm(token),
       () => this.endTerm(),
     );
     this.catalog = new Catalog(this.runtime, this.state, this.leadership);
     this.peers = new Peers(this.runtime);
     const lookup = new JobLookup(this.runtime, this.state);
-    this.requests = new JobRequests(
+    this.jobRequests = new JobRequests(
       this.runtime,
       this.state,
       lookup,
       this.catalog,
       this.peers,
-      (id) => this.peers.countsOf(id),
+      (id) => this.peers.taskCountsOf(id),
       (id) => this.spreadCancellation(id),
     );
     const delegatedRenewal = new DelegatedRenewal(
@@ -82,7 +82,7 @@
       this.peers,
       (job, done) => lookup.prove(job, done),
     );
-    this.reports = new ReportRequests(
+    this.heartbeatRequests = new HeartbeatRequests(
       this.runtime,
       this.state,
       this.leadership,
@@ -95,11 +95,11 @@
 
   process(commands: Command[], now: Instant, today: Date): Effect[] {
     this.runtime.now = now;
-    this.runtime.today = today;
+    this.runtime.wallClock = today;
     if (this.startedAt === null) this.start();
     for (const command of commands) this.apply(command);
     this.runtime.runDue();
-    this.reports.unpark();
+    this.heartbeatRequests.unpark();
     this.longPolls?.release();
     return this.runtime.takeEffects();
   }
@@ -113,68 +113,68 @@
     this.startedAt = this.runtime.now;
     this.leadership.start();
     this.catalog.start();
-    this.peers.start(() => this.tellPeers());
+    this.peers.start(() => this.sendHeartbeat());
     this.runtime.every(CHECK_EVERY, () => {
       this.resignIfUnreachable();
       return true;
     });
     this.runtime.every(COUNTS_EVERY, () => {
-      this.tellCounts();
+      this.broadcastTaskCounts();
       return true;
     });
     this.runtime.every(HINTS_EVERY, () => {
-      this.tellHints();
+      this.broadcastHints();
       return true;
     });
   }
 
   private apply(command: Command): void {
-    if (command.kind === 'result') this.runtime.settle(command.id, command.result);
-    else if (command.kind === 'heartbeat') this.peers.hear(command);
-    else if (command.kind === 'told') this.peers.hearTold(command.message);
-    else if (command.kind === 'refused') this.peers.noteRefused(command.member);
+    if (command.kind === 'result') this.runtime.completeCall(command.id, command.result);
+    else if (command.kind === 'heartbeat') this.peers.receiveHeartbeat(command);
+    else if (command.kind === 'leader_broadcast') this.peers.receiveBroadcast(command.message);
+    else if (command.kind === 'peer_refused') this.peers.recordConnectionRefused(command.member);
     else if (command.kind === 'request') this.route(command);
   }
 
-  private tellPeers(): void {
-    this.runtime.heartbeat(
+  private sendHeartbeat(): void {
+    this.runtime.sendHeartbeat(
       this.leadership.leader ?? '',
       this.term?.fencingToken ?? 0,
-      this.state.ok,
+      this.state.isAvailable,
     );
   }
 
   /** Counts for display: the leader tells the others, and users as well. */
-  private tellCounts(): void {
-    if (!this.term || !this.leadership.held()) return;
+  private broadcastTaskCounts(): void {
+    if (!this.term || !this.leadership.validLease()) return;
     const jobs = [...this.term.jobs.values()].slice(0, MOST_COUNTS).map((job) => ({
       id: job.id,
       done: job.doneCount,
       running: job.countRunning(),
     }));
-    this.tell({ kind: 'counts', jobs });
+    this.broadcast({ kind: 'counts', jobs });
   }
 
   /** What a successor may start from; nothing depends on its being right. */
-  private tellHints(): void {
-    if (!this.term?.ready || !this.leadership.held()) return;
-    this.tell({ kind: 'hints', ...hintsOf(this.term) });
+  private broadcastHints(): void {
+    if (!this.term?.allMachinesReconciled || !this.leadership.validLease()) return;
+    this.broadcast({ kind: 'hints', ...hintsOf(this.term) });
   }
 
-  private tell(message: Told): void {
-    this.runtime.tell(message);
-    this.peers.hearTold(message);
+  private broadcast(message: LeaderBroadcast): void {
+    this.runtime.broadcast(message);
+    this.peers.receiveBroadcast(message);
   }
 
   // --- leadership ------------------------------------------------------------
 
-  private begin(token: number): void {
+  private startTerm(token: number): void {
     this.term?.close();
     this.longPolls?.release();
     const term = new Term(this.runtime, this.state, this.leadership, token);
     if (this.peers.hints) useHints(this.peers.hints, term);
     this.term = term;
-    this.longPolls = new LongPolls(this.runtime, term, () => this.entitled());
+    this.longPolls = new LongPolls(this.runtime, term, () => this.renewalGrant());
     const types = () => this.catalog.types;
     const autoscaler = new Autoscaler(this.runtime, this.state, this.leadership, term, types);
     const scheduler = new Scheduler(
@@ -187,13 +187,13 @@
     );
     term.start();
     new JobCompletion(this.runtime, this.state, this.leadership, term).start();
-    new DirectStops(this.runtime, term, () => this.entitled() !== null).start();
+    new DirectStops(this.runtime, term, () => this.renewalGrant() !== null).start();
     scheduler.start();
     autoscaler.start();
   }
 
   private endTerm(): void {
-    this.runtime.env.log('info', { token: this.term?.fencingToken }, 'no longer leading');
+    this.runtime.env.log('info', { fencingToken: this.term?.fencingToken }, 'leadership lost');
     this.term?.close();
     this.longPolls?.release();
     this.term = null;
@@ -201,7 +201,7 @@
   }
 
   /** What allows an answer that renews a lease, if anything does. */
-  entitled(): Granted | null {
+  renewalGrant(): Granted | null {
     if (!this.term) return null;
     const decision = this.term.authority.renewal();
     this.term.authority.noteRenewal(decision);
@@ -209,16 +209,17 @@
   }
 
   private spreadCancellation(id: string): void {
-    this.term?.liveJobs.cancelled(id);
-    this.peers.tellCancelled([id]);
+    this.term?.liveJobs.cancellationReceived(id);
+    this.peers.broadcastCancellations([id]);
   }
 
   /** A leader that workers can't reach makes way for one that they can. */
   private resignIfUnreachable(): void {
     const term = this.term;
-    if (!term || !this.leadership.held() || this.state.doubtful || !term.loaded) return;
-    const silence = this.runtime.now - term.lastReport;
-    const young = this.runtime.now - term.acquired < FIRST_REPORTS_GRACE;
+    if (!term || !this.leadership.validLease() || this.state.lastCallFailed || !term.stateLoaded)
+      return;
+    const silence = this.runtime.now - term.lastHeartbeatAt;
+    const young = this.runtime.now - term.electedAt < FIRST_REPORTS_GRACE;
     if (
       young ||
       term.machines.size < 2 ||
@@ -232,12 +233,12 @@
 
   private route(request: HttpRequest): void {
     if (request.path === HEALTH_PATH) return this.health(request);
-    if (request.path === REPORT_PATH) return this.reports.handle(request);
-    if (request.path === STATS_PATH) return this.tellStats(request);
+    if (request.path === HEARTBEAT_PATH) return this.heartbeatRequests.handle(request);
+    if (request.path === STATS_PATH) return this.replyWithStats(request);
     if (request.path === CANCELLATIONS_PATH && request.via === 'peer') {
-      return this.hearCancellations(request);
+      return this.receiveCancellations(request);
     }
-    if (this.requests.handle(request)) return;
+    if (this.jobRequests.handle(request)) return;
     this.runtime.reply(request.id, { status: 404, body: { error: 'no such path' } });
   }
 
@@ -247,15 +248,15 @@
     this.runtime.reply(request.id, { status: healthy ? 200 : 503, body: { healthy } });
   }
 
-  private tellStats(request: HttpRequest): void {
+  private replyWithStats(request: HttpRequest): void {
     if (request.method !== 'GET') return methodNotAllowed(this.runtime, request, 'GET');
     this.runtime.reply(request.id, { status: 200, body: this.runtime.stats.view() });
   }
 
-  private hearCancellations(request: HttpRequest): void {
+  private receiveCancellations(request: HttpRequest): void {
     try {
       const jobs = parseCancellations(unpackBody(request.body));
-      for (const id of jobs) this.term?.liveJobs.cancelled(id);
+      for (const id of jobs) this.term?.liveJobs.cancellationReceived(id);
       this.runtime.reply(request.id, { status: 200, body: {} });
     } catch (error) {
       malformed(this.runtime, request, error);
@@ -269,6 +270,6 @@
   private healthy(): boolean {
     const starting = this.runtime.now - (this.startedAt ?? 0) < START_PATIENCE;
     if (starting && !this.catalog.known) return false;
-    return this.state.ok || this.peers.anyAlive;
+    return this.state.isAvailable || this.peers.anyAlive;
   }
 }
--- a/packages/controller/src/jobs/ancestor-check.ts
+++ b/packages/controller/src/jobs/ancestor-check.ts
@@ -86,7 +86,10 @@
   }
 
   private liveLately(id: string): boolean {
-    const life: Duration = Math.min(USUAL_LIFE, this.runtime.settings.cancelWithin / LIFE_PART);
+    const life: Duration = Math.min(
+      USUAL_LIFE,
+      this.runtime.settings.cancellationLimit / LIFE_PART,
+    );
     return this.runtime.now - (this.liveAt.get(id) ?? -Infinity) <= life;
   }
 }
--- a/packages/controller/src/jobs/binding.ts
+++ b/packages/controller/src/jobs/binding.ts
@@ -3,8 +3,8 @@
 import type { Resources } from '@tealdock/scheduler';
 
 /** How a task is to be stopped, and why. */
-export interface StopWish {
-  grace: number;
+export interface StopRequest {
+  gracePeriod: number;
   reason: string;
 }
 
@@ -20,24 +20,24 @@
   readonly attempt: number;
   readonly machine: string;
   team: string;
-  size: Resources;
-  phase: 'booked' | 'sent' | 'seen';
-  bookedAt: Instant;
-  sentSession: number;
-  sentSeq: number;
+  resources: Resources;
+  phase: 'assigned' | 'dispatched' | 'observed';
+  assignedAt: Instant;
+  dispatchedAgentEpoch: number;
+  dispatchedSequenceNumber: number;
   state: TaskState | null;
   runningSince: Instant | null;
   /** Changed through the term only, since sums depend on it. */
-  stop: StopWish | null;
+  stopRequest: StopRequest | null;
   /** The first of a job that waited for too long: it is not stopped for others. */
-  sheltered: boolean;
+  protectedFromPreemption: boolean;
   /** Null where the job is not known any more. */
   readonly image: string | null;
   readonly imageGb: number;
   /** Not one that this term wants to run: it is only counted until it is gone. */
-  foreign: boolean;
+  orphaned: boolean;
   /** Its job was cancelled: when the task must be gone by the protocol; null for any other. */
-  goneBy: Instant | null;
+  terminationDeadline: Instant | null;
 }
 
 /** Names a binding among those of its machine. */
--- a/packages/controller/src/jobs/dependency-graph.ts
+++ b/packages/controller/src/jobs/dependency-graph.ts
@@ -21,7 +21,7 @@
 /** What it has to know of a term. */
 interface Jobs {
   readonly jobs: ReadonlyMap<string, LiveJob>;
-  readonly ratios: ReadonlyMap<string, number>;
+  readonly runTimeRatios: ReadonlyMap<string, number>;
   readonly closed: boolean;
 }
 
@@ -45,9 +45,9 @@
   ) {}
 
   add(job: LiveJob): void {
-    if (job.waitsFor.size === 0) return;
+    if (job.pendingPredecessors.size === 0) return;
     this.changed = true;
-    for (const p of job.waitsFor) {
+    for (const p of job.pendingPredecessors) {
       const waiting = this.dependents.get(p) ?? new Set();
       this.dependents.set(p, waiting.add(job));
     }
@@ -55,7 +55,7 @@
 
   /** Ends of predecessors that are not live; to be called once all live jobs are known. */
   readEnds(job: LiveJob): void {
-    for (const p of job.waitsFor) if (!this.term.jobs.has(p)) this.ask(p);
+    for (const p of job.pendingPredecessors) if (!this.term.jobs.has(p)) this.ask(p);
   }
 
   /** A job is no longer live. Without its end that has to be read before it counts. */
@@ -83,7 +83,7 @@
     );
     for (const job of all) {
       const demand = demands.get(job.id);
-      if (demand) job.demand(demand);
+      if (demand) job.applyDependentDemand(demand);
     }
   }
 
@@ -94,7 +94,7 @@
       predecessors: predecessorsOf(job.accepted),
       priority,
       finishBy: job.ownFinishBy,
-      run: estimate * (this.term.ratios.get(jobClass) ?? 1),
+      run: estimate * (this.term.runTimeRatios.get(jobClass) ?? 1),
     };
   }
 
@@ -138,17 +138,20 @@
 
   /** Released when the last of them was done; a take-over finds the same moment again. */
   private noteDone(job: LiveJob, predecessor: string, end: JobEnd): void {
-    job.waitsFor.delete(predecessor);
-    job.lastDone = Math.max(job.lastDone, this.steady(end.at ?? -Infinity));
-    job.startableSince = Math.max(job.startableSince, end.revision);
-    if (job.waitsFor.size > 0 || job.predecessorCancelled) return;
-    job.released = Math.max(job.submitted, job.lastDone);
-    const ago = Math.round(this.runtime.now - job.released);
-    this.runtime.env.log('debug', { job: job.id, ago }, 'job released');
+    job.pendingPredecessors.delete(predecessor);
+    job.lastPredecessorDoneAt = Math.max(
+      job.lastPredecessorDoneAt,
+      this.steady(end.at ?? -Infinity),
+    );
+    job.startableSinceRevision = Math.max(job.startableSinceRevision, end.revision);
+    if (job.pendingPredecessors.size > 0 || job.predecessorCancelled) return;
+    job.releasedAt = Math.max(job.submittedAt, job.lastPredecessorDoneAt);
+    const ageMs = Math.round(this.runtime.now - job.releasedAt);
+    this.runtime.env.log('debug', { job: job.id, ageMs }, 'job released');
   }
 
   private steady(at: number): Instant {
-    return this.runtime.now - Math.max(0, this.runtime.today.getTime() - at);
+    return this.runtime.now - Math.max(0, this.runtime.wallClock.getTime() - at);
   }
 
   private cancelWithDependents(first: LiveJob): void {
--- a/packages/controller/src/jobs/job-lookup.ts
+++ b/packages/controller/src/jobs/job-lookup.ts
@@ -12,14 +12,14 @@
 const MAX_CACHED = 2000;
 
 /** What the state service says of a job; `unsure` when it can't be told. */
-export type Known =
+export type JobLookupResult =
   | { kind: 'live'; value: LiveValue | null; version: number }
   | { kind: 'ended'; view: JobView }
   | { kind: 'none' }
   | { kind: 'unsure' };
 
 /** Without the value where a proof said that the job is live. */
-export type Located = Known | { kind: 'live' };
+export type JobLocateResult = JobLookupResult | { kind: 'live' };
 
 /** `unsure` also for a job that was never accepted. */
 export type Liveness = 'live' | 'ended' | 'unsure';
@@ -55,12 +55,12 @@
   }
 
   /** By a proof shared with others where the job is known to have been live, else by a read. */
-  locate(id: string, done: (known: Located) => void): void {
+  locate(id: string, done: (known: JobLocateResult) => void): void {
     const proven = this.proofs.ask(id, (proof) => {
-      if (proof === 'changed') this.look(id, done);
+      if (proof === 'changed') this.read(id, done);
       else done(proof === 'live' ? { kind: 'live' } : { kind: 'unsure' });
     });
-    if (!proven) this.look(id, done);
+    if (!proven) this.read(id, done);
   }
 
   /** Whether the job was live at some moment after this was asked, or is over for good. */
@@ -69,7 +69,7 @@
   }
 
   /** Live first, then ended: a job moves only from the one to the other. */
-  look(id: string, done: (known: Known) => void): void {
+  read(id: string, done: (known: JobLookupResult) => void): void {
     const cached = this.ended.get(id);
     if (cached) return done({ kind: 'ended', view: cached });
     if (!isJobId(id)) return done({ kind: 'none' });
@@ -84,7 +84,7 @@
     });
   }
 
-  private lookEnded(id: string, done: (known: Known) => void): void {
+  private lookEnded(id: string, done: (known: JobLookupResult) => void): void {
     this.state.getValue(endedKey(id), readEnded, PRIORITY.user, (got) => {
       if (got.kind === 'failed') return done({ kind: 'unsure' });
       if (got.kind === 'missing') return done({ kind: 'none' });
--- a/packages/controller/src/jobs/live-job.ts
+++ b/packages/controller/src/jobs/live-job.ts
@@ -1,13 +1,13 @@
 /** A job that has not ended, as the leader knows it. */
 import { predecessorsOf, type Instant, type JobSpec } from '@tealdock/wire';
 import type { DependentDemand } from '@tealdock/scheduler';
-import { CHUNK_TASKS } from '../state/keys.js';
+import { CHUNK_TASK_COUNT } from '../state/keys.js';
 import type { Binding } from './binding.js';
 
 /** A task that has opened its window. */
 export interface OpenTask {
   index: number;
-  opened: Instant;
+  windowOpenedAt: Instant;
 }
 
 /** Tasks of one job with an open window at a time; the rest costs no memory. */
@@ -15,70 +15,70 @@
 
 /** An accepted job that has not ended, as the leader sees it. */
 export class LiveJob {
-  readonly open = new Map<number, OpenTask>();
-  readonly bound = new Map<number, Binding>();
+  readonly openTasks = new Map<number, OpenTask>();
+  readonly bindings = new Map<number, Binding>();
   /** Done, but not yet committed. */
-  readonly uncommitted = new Set<number>();
+  readonly uncommittedTasks = new Set<number>();
   doneCount = 0;
   /** Failures in a row on different machines; a mistaken job fails everywhere. */
-  failures = 0;
+  consecutiveFailures = 0;
   backoffUntil: Instant = 0;
   /** First instant of this term at which a task found no room. */
   starvedSince: Instant | null = null;
   /** Since when its tasks wait for a holder of the image; starts anew with each that got one. */
-  holderWait: Instant | null = null;
+  imageHolderWaitSince: Instant | null = null;
   /** When room may be made for it next: plans for that are dear. */
-  nextPreemptionPlan: Instant = 0;
+  nextPreemptionPlanAt: Instant = 0;
   /** The zone that was found to fit all of a gang that may use only one. */
   gangZone: string | null = null;
   /** Jobs that are not known to be done, and that it waits for. */
-  readonly waitsFor: Set<string>;
+  readonly pendingPredecessors: Set<string>;
   /** When its tasks were released, on this process's steady clock; aims count from there. */
-  released: Instant | null;
+  releasedAt: Instant | null;
   /** When the last of its predecessors that are known to be done was. */
-  lastDone: Instant = -Infinity;
+  lastPredecessorDoneAt: Instant = -Infinity;
   /**
    * Before this revision no leader can have started a task of it: its own key, or the ended
    * key of a predecessor, was written then.
    */
-  startableSince: number;
+  startableSinceRevision: number;
   /** A job that it needs was cancelled: it never starts and ends as cancelled. */
   predecessorCancelled = false;
   /** When its end is due for the sake of all that need it, and for its own. */
   finishBy: Instant;
   /** As accepted, but with the highest priority among itself and all that need it. */
   spec: JobSpec;
-  private readonly bits: Uint8Array;
-  private readonly returned: number[] = [];
+  private readonly doneBits: Uint8Array;
+  private readonly requeuedTasks: number[] = [];
   private readonly attempts = new Map<number, number>();
-  private next = 0;
+  private nextTaskIndex = 0;
 
   constructor(
     /** As accepted and stored. */
     readonly accepted: JobSpec,
     readonly version: number,
     /** Submission, on this process's steady clock. */
-    readonly submitted: Instant,
+    readonly submittedAt: Instant,
   ) {
     this.spec = accepted;
-    this.startableSince = version;
-    this.bits = new Uint8Array(Math.ceil(accepted.taskCount / 8));
-    this.waitsFor = new Set(predecessorsOf(accepted));
-    this.released = this.waitsFor.size === 0 ? submitted : null;
+    this.startableSinceRevision = version;
+    this.doneBits = new Uint8Array(Math.ceil(accepted.taskCount / 8));
+    this.pendingPredecessors = new Set(predecessorsOf(accepted));
+    this.releasedAt = this.pendingPredecessors.size === 0 ? submittedAt : null;
     this.finishBy = this.ownFinishBy;
   }
 
   /** By its own deadline, which counts from the submission however long it waits. */
   get ownFinishBy(): Instant {
-    return this.submitted + (this.accepted.deadline ?? Infinity);
+    return this.submittedAt + (this.accepted.deadline ?? Infinity);
   }
 
   /** Since when its tasks may start; for a job that still waits, now is too early. */
-  get since(): Instant {
-    return this.released ?? Infinity;
+  get startableAt(): Instant {
+    return this.releasedAt ?? Infinity;
   }
 
-  demand({ priority, finishBy }: DependentDemand): void {
+  applyDependentDemand({ priority, finishBy }: DependentDemand): void {
     this.finishBy = finishBy;
     if (priority !== this.spec.priority) this.spec = { ...this.accepted, priority };
   }
@@ -92,57 +92,59 @@
   }
 
   /** Tasks neither done nor bound to a machine. */
-  get waiting(): number {
-    if (this.released === null) return 0;
-    return this.spec.taskCount - this.doneCount - this.bound.size;
+  get unboundTaskCount(): number {
+    if (this.releasedAt === null) return 0;
+    return this.spec.taskCount - this.doneCount - this.bindings.size;
   }
 
   isDone(index: number): boolean {
-    return ((this.bits[index >> 3] ?? 0) & (1 << (index & 7))) !== 0;
+    return ((this.doneBits[index >> 3] ?? 0) & (1 << (index & 7))) !== 0;
   }
 
   markDone(index: number): boolean {
     if (this.isDone(index)) return false;
-    this.bits[index >> 3] = (this.bits[index >> 3] ?? 0) | (1 << (index & 7));
+    this.doneBits[index >> 3] = (this.doneBits[index >> 3] ?? 0) | (1 << (index & 7));
     this.doneCount++;
-    this.open.delete(index);
-    this.uncommitted.add(index);
+    this.openTasks.delete(index);
+    this.uncommittedTasks.add(index);
     return true;
   }
 
   /** What the state service holds of one chunk is done, and is committed. */
-  noteStored(chunk: number, bits: string): void {
+  applyStoredProgress(chunk: number, bits: string): void {
     const bytes = Buffer.from(bits, 'base64');
-    const base = chunk * CHUNK_TASKS;
+    const base = chunk * CHUNK_TASK_COUNT;
     for (let i = 0; i < bytes.length * 8 && base + i < this.spec.taskCount; i++) {
       if (((bytes[i >> 3] ?? 0) & (1 << (i & 7))) === 0) continue;
       this.markDone(base + i);
-      this.uncommitted.delete(base + i);
+      this.uncommittedTasks.delete(base + i);
     }
   }
 
   /** One bit a task of the chunk, base64. */
   chunkBits(chunk: number): string {
-    const from = (chunk * CHUNK_TASKS) / 8;
-    return Buffer.from(this.bits.subarray(from, from + CHUNK_TASKS / 8)).toString('base64');
+    const from = (chunk * CHUNK_TASK_COUNT) / 8;
+    return Buffer.from(this.doneBits.subarray(from, from + CHUNK_TASK_COUNT / 8)).toString(
+      'base64',
+    );
   }
 
   /** Tasks that run, for display. */
   countRunning(): number {
     let running = 0;
-    for (const binding of this.bound.values()) {
-      if (binding.phase === 'seen' && binding.state !== 'fetching') running++;
+    for (const binding of this.bindings.values()) {
+      if (binding.phase === 'observed' && binding.state !== 'fetching') running++;
     }
     return running;
   }
 
   chunkOf(index: number): number {
-    return Math.floor(index / CHUNK_TASKS);
+    return Math.floor(index / CHUNK_TASK_COUNT);
   }
 
   dirtyChunks(): Set<number> {
     const chunks = new Set<number>();
-    for (const i of this.uncommitted) chunks.add(this.chunkOf(i));
+    for (const i of this.uncommittedTasks) chunks.add(this.chunkOf(i));
     return chunks;
   }
 
@@ -152,19 +154,19 @@
 
   /** Opens windows for the tasks once the job is released. */
   openWindows(now: Instant): void {
-    if (this.released === null || this.predecessorCancelled) return;
+    if (this.releasedAt === null || this.predecessorCancelled) return;
     const most = this.spec.kind === 'gang' ? Infinity : MOST_OPEN;
-    while (this.open.size < most) {
-      const index = this.returned.pop() ?? this.takeNext();
+    while (this.openTasks.size < most) {
+      const index = this.requeuedTasks.pop() ?? this.takeNext();
       if (index === undefined) return;
-      if (!this.isDone(index) && !this.bound.has(index))
-        this.open.set(index, { index, opened: now });
+      if (!this.isDone(index) && !this.bindings.has(index))
+        this.openTasks.set(index, { index, windowOpenedAt: now });
     }
   }
 
   /** A task that lost its machine goes back to the start of the queue. */
-  giveBack(index: number): void {
-    if (!this.isDone(index)) this.returned.push(index);
+  requeueTask(index: number): void {
+    if (!this.isDone(index)) this.requeuedTasks.push(index);
   }
 
   /** Counts the attempts of this term at one task. */
@@ -175,6 +177,6 @@
   }
 
   private takeNext(): number | undefined {
-    return this.next < this.spec.taskCount ? this.next++ : undefined;
+    return this.nextTaskIndex < this.spec.taskCount ? this.nextTaskIndex++ : undefined;
   }
 }
--- a/packages/controller/src/jobs/liveness-proofs.ts
+++ b/packages/controller/src/jobs/liveness-proofs.ts
@@ -1,5 +1,5 @@
 /** Proofs that jobs are live, shared by many polls. */
-import type { Guard } from '@tealdock/wire';
+import type { Precondition } from '@tealdock/wire';
 import { specKey } from '../state/keys.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { StateStore } from '../state/state-store.js';
@@ -83,12 +83,15 @@
   private prove(): void {
     const all = [...this.waiting.values()];
     this.waiting = new Map();
-    const most = this.runtime.settings.state.txnOps * GUARDS_A_WRITE;
+    const most = this.runtime.settings.state.maxTransactionWrites * GUARDS_A_WRITE;
     for (let at = 0; at < all.length; at += most) this.compare(all.slice(at, at + most));
   }
 
   private compare(batch: PendingProof[]): void {
-    const guards: Guard[] = batch.map(({ job, version }) => ({ key: specKey(job), version }));
+    const guards: Precondition[] = batch.map(({ job, version }) => ({
+      key: specKey(job),
+      version,
+    }));
     this.state.compare(guards, TIMEOUT, (compared) => {
       if (compared.kind === 'equal') return this.settle(batch, 'live');
       if (compared.kind === 'unsure') return this.settle(batch, 'unsure');
--- a/packages/controller/src/leadership/delegated-renewal.ts
+++ b/packages/controller/src/leadership/delegated-renewal.ts
@@ -1,11 +1,11 @@
 /** Renewal of workers' leases by a follower, for a leader that they can't reach. */
 import {
-  renderReportAnswer,
+  renderHeartbeatResponse,
   splitTaskId,
   type Instant,
-  type Order,
-  type TaskReport,
-  type WorkerReport,
+  type WorkerCommand,
+  type TaskStatus,
+  type WorkerHeartbeat,
 } from '@tealdock/wire';
 import { GRANT_PREFIX, LEADER_KEY, type GrantValue } from '../state/keys.js';
 import type { Leadership } from './leadership.js';
@@ -15,11 +15,11 @@
 import type { Liveness } from '../jobs/job-lookup.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { StateStore } from '../state/state-store.js';
-import { shortestElsewhere } from '../runtime/clock-drift.js';
+import { minOnOtherClock } from '../runtime/clock-drift.js';
 import { BoundedMap } from '../runtime/bounded.js';
 
 /** A grant allows answers for this long from the moment it was asked for. */
-export const GRANT_DURATION = 6000;
+export const GRANT_DURATION_MS = 6000;
 const GRANT_MARGIN = 100;
 /** It is renewed when less than this is left. */
 const RENEW_GRANT_BEFORE_END = 3000;
@@ -32,7 +32,7 @@
 type Answer = (status: 200 | 421, body: unknown, validUntil?: Instant) => void;
 
 interface Grant {
-  token: number;
+  fencingToken: number;
   until: Instant;
 }
 
@@ -60,21 +60,22 @@
 
   /** The leader's key stands though nothing has been heard of it for a while. */
   get mayRenew(): boolean {
-    const { leader, leaderVersion } = this.leadership;
-    if (leader === null || leaderVersion === null || this.state.doubtful) return false;
-    if (leader === this.runtime.settings.member || this.peers.refusedLately(leader)) return false;
-    return this.runtime.now - this.peers.lastHeard(leader) > LEADER_UNREACHABLE_AFTER;
+    const { leader, leaderFencingToken: leaderVersion } = this.leadership;
+    if (leader === null || leaderVersion === null || this.state.lastCallFailed) return false;
+    if (leader === this.runtime.settings.member || this.peers.refusedConnectionRecently(leader))
+      return false;
+    return this.runtime.now - this.peers.lastHeartbeatAt(leader) > LEADER_UNREACHABLE_AFTER;
   }
 
-  renew(report: WorkerReport, answer: Answer): void {
+  renew(report: WorkerHeartbeat, answer: Answer): void {
     this.withGrant((grant) => {
-      if (!grant || report.token > grant.token) return answer(421, {});
+      if (!grant || report.fencingToken > grant.fencingToken) return answer(421, {});
       const present = report.tasks.filter((t) => t.state !== 'exited');
       this.proveAll([...new Set(present.map(jobOf))], (ended) => {
         if (!ended) return answer(421, {});
         this.runtime.stats.count('reports.kept');
         const over = present.filter((t) => ended.has(jobOf(t)));
-        answer(200, renderReportAnswer(grant.token, over.map(killOf)), grant.until);
+        answer(200, renderHeartbeatResponse(grant.fencingToken, over.map(killOf)), grant.until);
       });
     });
   }
@@ -82,7 +83,8 @@
   // --- grants ----------------------------------------------------------------
 
   private withGrant(use: (grant: Grant | null) => void): void {
-    const current = this.grant?.token === this.leadership.leaderVersion ? this.grant : null;
+    const current =
+      this.grant?.fencingToken === this.leadership.leaderFencingToken ? this.grant : null;
     const left = (current?.until ?? -Infinity) - this.runtime.now;
     if (left < RENEW_GRANT_BEFORE_END) this.ask();
     if (left > 0) return use(current);
@@ -92,20 +94,20 @@
   private ask(): void {
     if (this.asking) return;
     this.asking = true;
-    const token = this.leadership.leaderVersion ?? 0;
+    const token = this.leadership.leaderFencingToken ?? 0;
     const sent = this.runtime.now;
-    const value: GrantValue = { token, at: this.runtime.today.getTime() };
+    const value: GrantValue = { token, at: this.runtime.wallClock.getTime() };
     const write = { put: `${GRANT_PREFIX}${this.runtime.settings.member}`, value };
     const guards = [{ key: LEADER_KEY, version: token }];
-    this.state.commit(guards, [write], PRIORITY.lease, (committed) => {
+    this.state.compareAndSwap(guards, [write], PRIORITY.lease, (committed) => {
       this.asking = false;
       // Counted from the send, so that it ends here before it ends for any leader.
-      const until = sent + shortestElsewhere(GRANT_DURATION) - GRANT_MARGIN;
-      this.grant = committed.kind === 'ok' ? { token, until } : null;
+      const until = sent + minOnOtherClock(GRANT_DURATION_MS) - GRANT_MARGIN;
+      this.grant = committed.kind === 'ok' ? { fencingToken: token, until } : null;
       this.runtime.env.log(
         'info',
-        { token, granted: this.grant !== null },
-        'grant to keep workers',
+        { fencingToken: token, granted: this.grant !== null },
+        'lease renewal delegated',
       );
       for (const go of this.waiting.splice(0)) go();
     });
@@ -141,7 +143,12 @@
   }
 }
 
-const jobOf = (t: TaskReport): string => splitTaskId(t.task)?.job ?? t.task;
+const jobOf = (t: TaskStatus): string => splitTaskId(t.task)?.job ?? t.task;
 
 /** What is over is over whoever says so: a stop, unlike a start, needs no leader. */
-const killOf = ({ task, attempt }: TaskReport): Order => ({ op: 'stop', task, attempt, grace: 0 });
+const killOf = ({ task, attempt }: TaskStatus): WorkerCommand => ({
+  op: 'stop',
+  task,
+  attempt,
+  gracePeriod: 0,
+});
--- a/packages/controller/src/leadership/freshness.ts
+++ b/packages/controller/src/leadership/freshness.ts
@@ -1,6 +1,6 @@
 /** How stale the known cancellations may be. */
 import type { Duration, Settings } from '@tealdock/wire';
-import { longestElsewhere } from '../runtime/clock-drift.js';
+import { maxOnOtherClock } from '../runtime/clock-drift.js';
 
 /** For the way of an answer, and for what a worker takes to end its tasks. */
 const MARGIN = 2000;
@@ -10,10 +10,10 @@
 const LEAST_MAX_STALENESS = 2000;
 
 /** What of `cancel_s` is left once a worker's lease has run out. */
-const timeLeftAfterLease = ({ cancelWithin, workerLease }: LeaseTimes): Duration =>
-  cancelWithin - longestElsewhere(workerLease) - MARGIN;
+const timeLeftAfterLease = ({ cancellationLimit, workerLeaseDuration }: LeaseTimes): Duration =>
+  cancellationLimit - maxOnOtherClock(workerLeaseDuration) - MARGIN;
 
-type LeaseTimes = Pick<Settings, 'cancelWithin' | 'workerLease'>;
+type LeaseTimes = Pick<Settings, 'cancellationLimit' | 'workerLeaseDuration'>;
 
 /**
  * How stale the known cancellations may be on which an answer rests that renews a lease.
@@ -27,7 +27,7 @@
 /** Why cancellations could not be kept in time under these settings, or null. */
 export function cancelLimitProblem(settings: LeaseTimes): string | null {
   if (timeLeftAfterLease(settings) >= LEAST_MAX_STALENESS) return null;
-  const least = longestElsewhere(settings.workerLease) + MARGIN + LEAST_MAX_STALENESS;
+  const least = maxOnOtherClock(settings.workerLeaseDuration) + MARGIN + LEAST_MAX_STALENESS;
   const atLeast = Math.ceil(least / 100) / 10;
   return `settings.workers.cancel_s: must be at least ${atLeast} with this lease_s`;
 }
--- a/packages/controller/src/leadership/leadership.ts
+++ b/packages/controller/src/leadership/leadership.ts
@@ -5,7 +5,7 @@
 import type { Runtime } from '../runtime/runtime.js';
 import type { StateStore } from '../state/state-store.js';
 import { readLeader } from '../state/stored-values.js';
-import { shortestElsewhere } from '../runtime/clock-drift.js';
+import { minOnOtherClock } from '../runtime/clock-drift.js';
 
 const LEASE_MARGIN = 100;
 const RENEW_PART = 6;
@@ -16,7 +16,7 @@
 const STAND_BACK = 12_000;
 
 /** Leadership that is surely held until an instant. */
-export interface Held {
+export interface LeaderLease {
   fencingToken: number;
   validUntil: Instant;
 }
@@ -30,10 +30,10 @@
   /** Member that the key names, as last read; null when unknown. */
   leader: string | null = null;
   /** Version of the key as last read, which is the leader's token. */
-  leaderVersion: number | null = null;
+  leaderFencingToken: number | null = null;
   private lease: number | null = null;
   private leaseUntil: Instant = 0;
-  private token: number | null = null;
+  private fencingToken: number | null = null;
   private nonce: string | null = null;
   private electing = false;
   private standBackUntil: Instant = 0;
@@ -47,42 +47,50 @@
 
   start(): void {
     this.follow();
-    this.runtime.every(this.runtime.operator.leadership.lease / RENEW_PART, () => {
+    this.runtime.every(this.runtime.operator.leadership.leaseDuration / RENEW_PART, () => {
       this.renew();
       return true;
     });
   }
 
   /** Set only while the lease is surely valid. */
-  held(): Held | null {
-    if (this.token === null || this.runtime.now >= this.leaseUntil) return null;
-    return { fencingToken: this.token, validUntil: this.leaseUntil };
+  validLease(): LeaderLease | null {
+    if (this.fencingToken === null || this.runtime.now >= this.leaseUntil) return null;
+    return { fencingToken: this.fencingToken, validUntil: this.leaseUntil };
   }
 
   /** Every transaction of a leader is guarded by this. */
-  guard(): { key: string; version: number } {
-    return { key: LEADER_KEY, version: this.token ?? 0 };
+  leaderPrecondition(): { key: string; version: number } {
+    return { key: LEADER_KEY, version: this.fencingToken ?? 0 };
   }
 
   /** Gives leadership up for the others to take. */
   resign(reason: string): void {
-    if (this.token === null) return;
-    this.runtime.env.log('info', { token: this.token, reason }, 'resigning leadership');
+    if (this.fencingToken === null) return;
+    this.runtime.env.log(
+      'info',
+      { fencingToken: this.fencingToken, reason },
+      'leadership resigned',
+    );
     this.standBackUntil = this.runtime.now + STAND_BACK;
-    if (this.lease !== null) this.state.release(this.lease);
+    if (this.lease !== null) this.state.revokeLease(this.lease);
     this.dropLease();
     this.lose();
   }
 
   /** A higher token exists: some other node leads. */
-  outranked(token: number): void {
-    if (this.token === null || token <= this.token) return;
-    this.runtime.env.log('info', { token: this.token, seen: token }, 'outranked');
+  observeHigherToken(token: number): void {
+    if (this.fencingToken === null || token <= this.fencingToken) return;
+    this.runtime.env.log(
+      'info',
+      { fencingToken: this.fencingToken, observedToken: token },
+      'leadership superseded',
+    );
     this.lose();
   }
 
   private lose(): void {
-    this.token = null;
+    this.fencingToken = null;
     this.nonce = null;
     this.leader = null;
     this.onLost();
@@ -99,18 +107,18 @@
     const lease = this.lease;
     if (lease === null) return;
     const sent = this.runtime.now;
-    this.state.renew(lease, (renewed) => {
+    this.state.renewLease(lease, (renewed) => {
       if (this.lease !== lease) return;
       if (renewed === 'ok') this.extend(sent);
       if (renewed !== 'ended') return;
       this.dropLease();
-      if (this.token !== null) this.lose();
+      if (this.fencingToken !== null) this.lose();
     });
   }
 
   private extend(sent: Instant): void {
-    const life = this.runtime.operator.leadership.lease;
-    this.leaseUntil = Math.max(this.leaseUntil, sent + shortestElsewhere(life) - LEASE_MARGIN);
+    const life = this.runtime.operator.leadership.leaseDuration;
+    this.leaseUntil = Math.max(this.leaseUntil, sent + minOnOtherClock(life) - LEASE_MARGIN);
   }
 
   /** Reads the key, acts on it, then watches for its next change. */
@@ -136,8 +144,8 @@
 
   private seeVacant(): void {
     this.leader = null;
-    this.leaderVersion = null;
-    if (this.token !== null) this.lose();
+    this.leaderFencingToken = null;
+    if (this.fencingToken !== null) this.lose();
     if (this.electing || this.runtime.now < this.standBackUntil) return;
     this.elect(0, this.runtime.env.random() * 200);
   }
@@ -145,9 +153,9 @@
   private seeHolder(value: LeaderValue, version: number): void {
     const own = value.member === this.runtime.settings.member;
     this.leader = value.member;
-    this.leaderVersion = version;
-    if (version === this.token) return;
-    if (this.token !== null) this.lose();
+    this.leaderFencingToken = version;
+    if (version === this.fencingToken) return;
+    if (this.fencingToken !== null) this.lose();
     if (!own || this.electing) return;
     if (this.nonce !== null && value.nonce === this.nonce) return this.gain(version);
     // The same member's earlier process is dead: there is never more than one.
@@ -164,7 +172,7 @@
       return this.campaign(version, this.lease);
     }
     const sent = this.runtime.now;
-    this.state.grant(this.runtime.operator.leadership.lease, (lease) => {
+    this.state.grantLease(this.runtime.operator.leadership.leaseDuration, (lease) => {
       if (lease === null) {
         this.electing = false;
         return;
@@ -178,21 +186,26 @@
 
   private campaign(version: number, lease: number): void {
     // Kept after an unanswered commit: the next read recognises it as our own.
-    this.nonce = `${this.runtime.today.getTime()}-${Math.floor(this.runtime.env.random() * 2 ** 31)}`;
+    this.nonce = `${this.runtime.wallClock.getTime()}-${Math.floor(this.runtime.env.random() * 2 ** 31)}`;
     const value: LeaderValue = { member: this.runtime.settings.member, nonce: this.nonce };
     const write = { put: LEADER_KEY, value, lease };
-    this.state.commit([{ key: LEADER_KEY, version }], [write], PRIORITY.lease, (committed) => {
-      this.electing = false;
-      if (committed.kind === 'ok') return this.gain(committed.revision);
-      if (committed.kind === 'no_lease') this.dropLease();
-    });
+    this.state.compareAndSwap(
+      [{ key: LEADER_KEY, version }],
+      [write],
+      PRIORITY.lease,
+      (committed) => {
+        this.electing = false;
+        if (committed.kind === 'ok') return this.gain(committed.revision);
+        if (committed.kind === 'no_lease') this.dropLease();
+      },
+    );
   }
 
   private gain(token: number): void {
     if (this.lease === null) return;
-    this.token = token;
+    this.fencingToken = token;
     this.leader = this.runtime.settings.member;
-    this.runtime.env.log('info', { token }, 'leading');
+    this.runtime.env.log('info', { fencingToken: token }, 'leadership acquired');
     this.onGained(token);
   }
 }
--- a/packages/controller/src/machines/catalog.ts
+++ b/packages/controller/src/machines/catalog.ts
@@ -5,7 +5,7 @@
 import type { Leadership } from '../leadership/leadership.js';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
-import { attempt, type StateStore } from '../state/state-store.js';
+import { parseOrNull, type StateStore } from '../state/state-store.js';
 
 const REFRESH = 30_000;
 const RETRY = 2000;
@@ -47,7 +47,7 @@
       (result) => {
         const types =
           result.kind === 'answer' && result.status === 200
-            ? attempt(() => parseCatalog(result.body))
+            ? parseOrNull(() => parseCatalog(result.body))
             : null;
         if (types && types.length > 0) this.take(types);
         this.runtime.after(types ? REFRESH : RETRY, () => this.refresh());
@@ -57,15 +57,20 @@
 
   private take(types: MachineType[]): void {
     this.types = types;
-    if (!this.leadership.held()) return;
+    if (!this.leadership.validLease()) return;
     // Prices move all the time; only a change of what is offered is kept.
     const shape = types.map((t) => `${t.name}:${t.cpus}:${t.memoryGb}:${t.zones.join()}`).join();
     if (shape === this.stored) return;
-    const most = this.runtime.settings.state.txnOps;
+    const most = this.runtime.settings.state.maxTransactionWrites;
     const writes = types.slice(0, most).map((t) => ({ put: typeKey(t.name), value: t }));
-    this.state.commit([this.leadership.guard()], writes, PRIORITY.background, (committed) => {
-      if (committed.kind === 'ok') this.stored = shape;
-    });
+    this.state.compareAndSwap(
+      [this.leadership.leaderPrecondition()],
+      writes,
+      PRIORITY.background,
+      (committed) => {
+        if (committed.kind === 'ok') this.stored = shape;
+      },
+    );
   }
 
   private readStored(): void {
--- a/packages/controller/src/machines/lease-expiry.ts
+++ b/packages/controller/src/machines/lease-expiry.ts
@@ -1,13 +1,13 @@
 /** When a worker's lease is surely over. */
 import type { Instant, StateItem } from '@tealdock/wire';
-import { GRANT_DURATION } from '../leadership/delegated-renewal.js';
+import { GRANT_DURATION_MS } from '../leadership/delegated-renewal.js';
 import { GRANT_PREFIX } from '../state/keys.js';
 import { readGrant } from '../state/stored-values.js';
 import type { Machine } from './machine.js';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { StateStore } from '../state/state-store.js';
-import { longestElsewhere } from '../runtime/clock-drift.js';
+import { maxOnOtherClock } from '../runtime/clock-drift.js';
 
 /** For answers under way. */
 const LEASE_MARGIN = 1500;
@@ -25,7 +25,7 @@
 /** What it has to know of a term. */
 interface RegisteredMachines {
   readonly machines: ReadonlyMap<string, Machine>;
-  readonly acquired: Instant;
+  readonly electedAt: Instant;
   readonly closed: boolean;
 }
 
@@ -70,12 +70,12 @@
 
   /** Some machine that matters is late, or has not been heard at all in this term. */
   private missesReports(): boolean {
-    const late = this.runtime.settings.reportEvery * MISSED_REPORTS;
+    const late = this.runtime.settings.heartbeatInterval * MISSED_REPORTS;
     for (const machine of this.registry.machines.values()) {
-      if (!machine.resolved) return true;
+      if (!machine.reconciled) return true;
       if (
         machine.bindings.size > 0 &&
-        this.runtime.now - (machine.lastHeard ?? this.runtime.now) > late
+        this.runtime.now - (machine.lastLeaseRenewalAt ?? this.runtime.now) > late
       )
         return true;
     }
@@ -84,18 +84,19 @@
 
   /** The end of a worker's lease if its last answered report was sent at `sent`. */
   leaseEnd(sent: Instant): Instant {
-    return sent + longestElsewhere(this.runtime.settings.workerLease) + LEASE_MARGIN;
+    return sent + maxOnOtherClock(this.runtime.settings.workerLeaseDuration) + LEASE_MARGIN;
   }
 
   private noteGrant(item: StateItem): void {
     const { key, version } = item;
     if (this.grantsSeen.get(key) === version) return;
     this.grantsSeen.set(key, version);
-    const age = this.runtime.today.getTime() - (this.state.decode(item, readGrant)?.at ?? Infinity);
-    if (age > GRANT_STALE_AFTER + 2 * this.runtime.settings.clockError) return;
+    const age =
+      this.runtime.wallClock.getTime() - (this.state.decode(item, readGrant)?.at ?? Infinity);
+    if (age > GRANT_STALE_AFTER + 2 * this.runtime.settings.maxClockError) return;
     this.delegatedUntil = Math.max(
       this.delegatedUntil,
-      this.runtime.now + longestElsewhere(GRANT_DURATION),
+      this.runtime.now + maxOnOtherClock(GRANT_DURATION_MS),
     );
   }
 
@@ -103,8 +104,11 @@
   private expiredAt(instant: Instant): Machine[] {
     const expired: Machine[] = [];
     for (const machine of this.registry.machines.values()) {
-      const matters = !machine.resolved || machine.bindings.size > 0 || !machine.registered;
-      const answered = Math.max(machine.lastHeard ?? this.registry.acquired, this.delegatedUntil);
+      const matters = !machine.reconciled || machine.bindings.size > 0 || !machine.registered;
+      const answered = Math.max(
+        machine.lastLeaseRenewalAt ?? this.registry.electedAt,
+        this.delegatedUntil,
+      );
       if (matters && instant >= this.leaseEnd(answered)) expired.push(machine);
     }
     return expired;
--- a/packages/controller/src/machines/machine.ts
+++ b/packages/controller/src/machines/machine.ts
@@ -1,8 +1,14 @@
 /** A machine as the leader knows it. */
-import type { Duration, Instant, MachineType, TaskReport, WorkerReport } from '@tealdock/wire';
+import type { Duration, Instant, MachineType, TaskStatus, WorkerHeartbeat } from '@tealdock/wire';
 import type { Binding } from '../jobs/binding.js';
 import { Fetches } from './image-fetches.js';
-import { NOTHING, minus, plus, type Place, type Resources } from '@tealdock/scheduler';
+import {
+  NO_RESOURCES,
+  subtractResources,
+  addResources,
+  type Place,
+  type Resources,
+} from '@tealdock/scheduler';
 
 const RECENT_WINDOW = 300_000;
 
@@ -19,30 +25,30 @@
 export class Machine implements Place {
   readonly bindings = new Map<string, Binding>();
   /** Exited tasks in the newest counted report. */
-  exited: TaskReport[] = [];
-  addr = '';
-  session = 0;
-  seq = -1;
+  exitedTasks: TaskStatus[] = [];
+  address = '';
+  agentEpoch = 0;
+  sequenceNumber = -1;
   /** Arrival of the newest report that was answered with 200 in this term. */
-  lastHeard: Instant | null = null;
-  lastCounted: Instant | null = null;
+  lastLeaseRenewalAt: Instant | null = null;
+  lastHeartbeatAt: Instant | null = null;
   /** First answered in this term, while its reports still carried an older token. */
-  answeredFrom: Instant | null = null;
+  firstLeaseRenewalAt: Instant | null = null;
   /** Its tasks are known in this term, or it is proven to have none of older terms. */
-  resolved = false;
+  reconciled = false;
   /** The machine registry has it; no start goes out before. */
   registered = false;
   returning = false;
   returnCommitted = false;
-  noticeUntil: Instant | null = null;
+  preemptionDeadline: Instant | null = null;
   idleSince: Instant | null = null;
-  failures = 0;
+  consecutiveFailures = 0;
   /** Starts in a row that never showed up: answers seem not to reach it. */
-  lostStarts = 0;
+  consecutiveLostStarts = 0;
   quarantinedUntil: Instant = 0;
-  recent = 0;
+  recentComputeTime = 0;
   /** First known to be there, on this process's steady clock. */
-  since: Instant = Infinity;
+  firstSeenAt: Instant = Infinity;
   /** Images it should hold and their size, the least recently used first. */
   readonly images = new Map<string, number>();
   /** What its cache takes; known once its type is. */
@@ -58,13 +64,13 @@
   ) {}
 
   /** True for a report newer than any counted one. */
-  isNewer(report: WorkerReport): boolean {
-    if (report.session !== this.session) return report.session > this.session;
-    return report.seq > this.seq;
+  isNewer(report: WorkerHeartbeat): boolean {
+    if (report.agentEpoch !== this.agentEpoch) return report.agentEpoch > this.agentEpoch;
+    return report.sequenceNumber > this.sequenceNumber;
   }
 
   /** To be called after any change of its bindings. */
-  touch(): void {
+  invalidateSums(): void {
     this.summary = null;
   }
 
@@ -81,7 +87,7 @@
   }
 
   free(type: MachineType): Resources {
-    return minus(type, this.used);
+    return subtractResources(type, this.used);
   }
 
   private get sums(): Summary {
@@ -90,12 +96,12 @@
   }
 
   private sumUp(): Summary {
-    let [used, stopping] = [NOTHING, NOTHING];
+    let [used, stopping] = [NO_RESOURCES, NO_RESOURCES];
     const fetching = new Map<string, number>();
     for (const binding of this.bindings.values()) {
-      used = plus(used, binding.size);
-      if (binding.stop) stopping = plus(stopping, binding.size);
-      const waits = binding.phase !== 'seen' || binding.state === 'fetching';
+      used = addResources(used, binding.resources);
+      if (binding.stopRequest) stopping = addResources(stopping, binding.resources);
+      const waits = binding.phase !== 'observed' || binding.state === 'fetching';
       if (waits && binding.image !== null && !this.images.has(binding.image)) {
         fetching.set(binding.image, binding.imageGb);
       }
@@ -104,7 +110,7 @@
   }
 
   /** Used there just now; what was used the longest ago makes room for it. */
-  noteImage(image: string, gb: number): void {
+  recordImage(image: string, gb: number): void {
     this.images.delete(image);
     this.images.set(image, gb);
     let held = 0;
@@ -114,20 +120,20 @@
       this.images.delete(oldest);
       held -= size;
     }
-    this.touch();
+    this.invalidateSums();
   }
 
   /** A start left for it: unless it has the image, it fetches it now. */
-  noteStartSent(binding: Binding, now: Instant): void {
+  recordStartDispatched(binding: Binding, now: Instant): void {
     const { image, imageGb } = binding;
     if (image !== null && !this.images.has(image)) this.fetches.begin(image, imageGb, now);
   }
 
   /** It says that it fetches what it was taken to hold. */
-  noteMissing(binding: Binding, now: Instant): void {
+  recordImageMissing(binding: Binding, now: Instant): void {
     if (binding.image === null || !this.images.delete(binding.image)) return;
     this.fetches.begin(binding.image, binding.imageGb, now);
-    this.touch();
+    this.invalidateSums();
   }
 
   /** How long one more task would wait for its image. */
@@ -137,13 +143,14 @@
   }
 
   /** Recent accumulated computing time, fading over some minutes. */
-  accumulate(elapsed: number): void {
-    this.recent = this.recent * Math.exp(-elapsed / RECENT_WINDOW) + this.used.cpus * elapsed;
+  accumulateComputeTime(elapsed: number): void {
+    this.recentComputeTime =
+      this.recentComputeTime * Math.exp(-elapsed / RECENT_WINDOW) + this.used.cpus * elapsed;
   }
 }
 
 /** Capacity of a machine by the catalog; nothing is placed on an unknown type. */
-export function typeOf(types: MachineType[], machine: Machine): MachineType | undefined {
+export function machineTypeOf(types: MachineType[], machine: Machine): MachineType | undefined {
   for (const t of types) if (t.name === machine.type) return t;
   return undefined;
 }
--- a/packages/controller/src/machines/usage-ledger.ts
+++ b/packages/controller/src/machines/usage-ledger.ts
@@ -1,5 +1,5 @@
 /** Sums over bindings: by team and by zone. */
-import { NOTHING, minus, plus, type Resources } from '@tealdock/scheduler';
+import { NO_RESOURCES, subtractResources, addResources, type Resources } from '@tealdock/scheduler';
 import type { Binding } from '../jobs/binding.js';
 
 interface TeamSums {
@@ -9,7 +9,7 @@
   stopping: Resources;
 }
 
-const NO_SUMS: TeamSums = { bound: NOTHING, stopping: NOTHING };
+const NO_SUMS: TeamSums = { bound: NO_RESOURCES, stopping: NO_RESOURCES };
 const NO_ZONES: ReadonlyMap<string, number> = new Map();
 
 /**
@@ -21,14 +21,14 @@
   private readonly zones = new Map<string, Map<string, number>>();
 
   add(binding: Binding, zone: string): void {
-    this.count(binding, plus);
+    this.count(binding, addResources);
     const zones = this.zones.get(binding.job) ?? new Map<string, number>();
     zones.set(zone, (zones.get(zone) ?? 0) + 1);
     this.zones.set(binding.job, zones);
   }
 
   remove(binding: Binding, zone: string): void {
-    this.count(binding, minus);
+    this.count(binding, subtractResources);
     const zones = this.zones.get(binding.job);
     if (!zones) return;
     const left = (zones.get(zone) ?? 0) - 1;
@@ -39,9 +39,9 @@
 
   /** To be called around any change of a binding's team, size or stop. */
   change(binding: Binding, apply: () => void): void {
-    this.count(binding, minus);
+    this.count(binding, subtractResources);
     apply();
-    this.count(binding, plus);
+    this.count(binding, addResources);
   }
 
   teamUse(team: string): Resources {
@@ -51,18 +51,18 @@
   /** What stays bound to a team once all that is being stopped is gone. */
   teamStaying(team: string): Resources {
     const sums = this.teams.get(team) ?? NO_SUMS;
-    return minus(sums.bound, sums.stopping);
+    return subtractResources(sums.bound, sums.stopping);
   }
 
   zonesOf(job: string): ReadonlyMap<string, number> {
     return this.zones.get(job) ?? NO_ZONES;
   }
 
-  private count(binding: Binding, operation: typeof plus): void {
+  private count(binding: Binding, operation: typeof addResources): void {
     const sums = this.teams.get(binding.team) ?? NO_SUMS;
     this.teams.set(binding.team, {
-      bound: operation(sums.bound, binding.size),
-      stopping: binding.stop ? operation(sums.stopping, binding.size) : sums.stopping,
+      bound: operation(sums.bound, binding.resources),
+      stopping: binding.stopRequest ? operation(sums.stopping, binding.resources) : sums.stopping,
     });
   }
 }
--- a/packages/controller/src/peers/peers.ts
+++ b/packages/controller/src/peers/peers.ts
@@ -6,9 +6,10 @@
   type Hints,
   type Instant,
   type JobCount,
-  type Told,
+  type LeaderBroadcast,
+  type PeerHeartbeat,
 } from '@tealdock/wire';
-import { PRIORITY, type CallPriority, type CallResult, type Command } from '../runtime/ports.js';
+import { PRIORITY, type CallPriority, type CallResult } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
 
 const HEARTBEAT_INTERVAL = 1000;
@@ -19,11 +20,9 @@
 /** Tasks of a job that are done and that run, for display. */
 export type JobCounts = Pick<JobCount, 'done' | 'running'>;
 
-type Heartbeat = Extract<Command, { kind: 'heartbeat' }>;
-
 /** What the other controllers have said of themselves lately. Never a proof of anything. */
 export class Peers {
-  private readonly heartbeats = new Map<string, { heartbeat: Heartbeat; heard: Instant }>();
+  private readonly heartbeats = new Map<string, { heartbeat: PeerHeartbeat; heard: Instant }>();
 
   /** What the last leader had learnt, as far as this node was told. */
   hints: Hints | null = null;
@@ -41,52 +40,53 @@
     });
   }
 
-  hear(heartbeat: Heartbeat): void {
+  receiveHeartbeat(heartbeat: PeerHeartbeat): void {
     this.heartbeats.set(heartbeat.member, { heartbeat, heard: this.runtime.now });
   }
 
   /** The leader's counts for display, and what it has learnt. */
-  hearTold(message: Told): void {
+  receiveBroadcast(message: LeaderBroadcast): void {
     if (message.kind === 'hints') this.hints = message;
     else this.counts = new Map(message.jobs.map((j) => [j.id, j]));
   }
 
-  countsOf(job: string): JobCounts | undefined {
+  taskCountsOf(job: string): JobCounts | undefined {
     return this.counts.get(job);
   }
 
   /** A connection to it was refused: its host answers, so no cut lies between. */
-  noteRefused(member: string): void {
+  recordConnectionRefused(member: string): void {
     this.refused.set(member, this.runtime.now);
   }
 
-  refusedLately(member: string): boolean {
+  refusedConnectionRecently(member: string): boolean {
     return this.runtime.now - (this.refused.get(member) ?? -Infinity) < REFUSED_FRESH;
   }
 
-  lastHeard(member: string): Instant {
+  lastHeartbeatAt(member: string): Instant {
     return this.heartbeats.get(member)?.heard ?? this.started;
   }
 
-  alive(member: string): boolean {
+  isAlive(member: string): boolean {
     const known = this.heartbeats.get(member);
     return known !== undefined && this.runtime.now - known.heard <= FRESH;
   }
 
   get anyAlive(): boolean {
-    return this.runtime.settings.peers.some((p) => this.alive(p.member));
+    return this.runtime.settings.peers.some((p) => this.isAlive(p.member));
   }
 
   /** A peer that reaches the state service, if any. */
-  get served(): string | null {
+  get peerWithStateAccess(): string | null {
     const peer = this.runtime.settings.peers.find(
-      (p) => this.alive(p.member) && this.heartbeats.get(p.member)?.heartbeat.stateOk === true,
+      (p) =>
+        this.isAlive(p.member) && this.heartbeats.get(p.member)?.heartbeat.stateAvailable === true,
     );
     return peer?.member ?? null;
   }
 
   /** Whichever of them leads can have the tasks stopped at once; nothing rests on its arriving. */
-  tellCancelled(jobs: string[]): void {
+  broadcastCancellations(jobs: string[]): void {
     const body = packBody(renderCancellations(jobs));
     for (const { member } of this.runtime.settings.peers) {
       this.send(member, 'POST', CANCELLATIONS_PATH, body, PRIORITY.leader, () => undefined);
@@ -94,8 +94,13 @@
   }
 
   /** Has a served peer answer a user's request; false if there is none. */
-  ask(method: string, path: string, body: Buffer, done: (r: CallResult) => void): boolean {
-    const to = this.served;
+  forwardRequest(
+    method: string,
+    path: string,
+    body: Buffer,
+    done: (r: CallResult) => void,
+  ): boolean {
+    const to = this.peerWithStateAccess;
     if (to === null) return false;
     this.send(to, method, path, body, PRIORITY.user, done);
     return true;
--- a/packages/controller/src/placement/capacity-reservation.ts
+++ b/packages/controller/src/placement/capacity-reservation.ts
@@ -1,6 +1,6 @@
 /** Capacity that tasks without a fit wait for: it is reserved, or made by preemption. */
 import type { Duration, Instant, MachineType } from '@tealdock/wire';
-import { fits, minus, need } from '@tealdock/scheduler';
+import { fits, subtractResources, resourcesOf } from '@tealdock/scheduler';
 import type { LiveJob } from '../jobs/live-job.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { Term } from '../term/term.js';
@@ -53,7 +53,7 @@
     const { job, ranks } = search;
     const machines = cycle.candidatesSoon(job);
     let preemption: Preemption | null = null;
-    const wanted = need(job.spec);
+    const wanted = resourcesOf(job.spec);
     const willDo = (d: MachineCapacity) => fits(wanted, d.freeAfterStops) && ranks.of(d) !== null;
     let at = 0;
     const nextMachine = () => {
@@ -80,7 +80,7 @@
 
   private mayPreempt(job: LiveJob, preemption: Preemption | null, cycle: SchedulingCycle): boolean {
     if (preemption) return true;
-    if (!cycle.mayPlanPreemption || job.nextPreemptionPlan > this.runtime.now) return false;
+    if (!cycle.mayPlanPreemption || job.nextPreemptionPlanAt > this.runtime.now) return false;
     if (!cycle.hasLowerWork(job) && !(cycle.hasOtherTeams(job) && this.urgency.reclaims(job)))
       return false;
     const waited = this.runtime.now - (job.starvedSince ?? this.runtime.now);
@@ -93,7 +93,7 @@
     cycle: SchedulingCycle,
   ): Preemption {
     cycle.notePlan(machines.length);
-    job.nextPreemptionPlan = this.runtime.now + PREEMPTION_PLAN_INTERVAL;
+    job.nextPreemptionPlanAt = this.runtime.now + PREEMPTION_PLAN_INTERVAL;
     const reclaims = this.urgency.reclaims(job);
     const guaranteed = () => reclaims && this.teams.belowGuarantee(job);
     return new Preemption(this.runtime, this.term, job, guaranteed, machines, ranks);
@@ -101,7 +101,7 @@
 
   /** Keeps what will be free on a machine for one task. */
   private keep(job: LiveJob, capacity: MachineCapacity): void {
-    capacity.freeAfterStops = minus(capacity.freeAfterStops, need(job.spec));
+    capacity.freeAfterStops = subtractResources(capacity.freeAfterStops, resourcesOf(job.spec));
     this.teams.reserve(job);
   }
 
@@ -113,9 +113,9 @@
     const { job, holders } = search;
     if (chosen.machine.images.has(job.spec.image)) return false;
     const fetch = fetchTime(job.spec.imageGb, chosen.type);
-    const left = this.urgency.aimFor(job) - (this.runtime.now - job.since);
+    const left = this.urgency.aimFor(job) - (this.runtime.now - job.startableAt);
     if (fetch < left || left < STOP_TIME) return false;
-    const wanted = need(job.spec);
+    const wanted = resourcesOf(job.spec);
     const coming = () => holders.machines.find((d) => fits(wanted, d.freeAfterStops));
     if (!coming() && this.mayPreempt(job, null, cycle)) {
       this.preemptionFor(search, holders.machines, cycle).freeOneSlot();
@@ -136,12 +136,12 @@
     if (images.has(image) || fetching.has(image)) return false;
     // With room to spare, a start that fetches takes nothing from others.
     if (this.runtime.now - this.lastFull > SCARCE_FOR) return false;
-    job.holderWait ??= this.runtime.now;
+    job.imageHolderWaitSince ??= this.runtime.now;
     const fetch = fetchTime(imageGb, chosen.type);
     const window = Math.min(this.runtime.operator.window.lambda, fetch * HOLDER_PART);
-    if (this.runtime.now - job.holderWait >= window) return false;
+    if (this.runtime.now - job.imageHolderWaitSince >= window) return false;
     if (this.urgency.due(job) - this.runtime.now < fetch + window) return false;
-    return holders.slots >= job.open.size;
+    return holders.slots >= job.openTasks.size;
   }
 }
 
--- a/packages/controller/src/placement/drain.ts
+++ b/packages/controller/src/placement/drain.ts
@@ -13,7 +13,7 @@
 
   run(): void {
     for (const machine of this.term.machines.values()) {
-      if (machine.noticeUntil === null) continue;
+      if (machine.preemptionDeadline === null) continue;
       for (const b of machine.bindings.values()) this.stopInTime(machine, b);
     }
   }
@@ -21,12 +21,12 @@
   /** Saves while there is time; a task that can't save runs on if it may still finish. */
   private stopInTime(machine: Machine, b: Binding): void {
     const job = this.term.jobs.get(b.job);
-    if (!job || b.stop || b.phase !== 'seen') return;
+    if (!job || b.stopRequest || b.phase !== 'observed') return;
     const ran = this.runtime.now - (b.runningSince ?? this.runtime.now);
-    const ratio = this.term.ratios.get(job.spec.jobClass) ?? 1;
+    const ratio = this.term.runTimeRatios.get(job.spec.jobClass) ?? 1;
     const left = job.spec.estimate * ratio - ran;
-    const notice = (machine.noticeUntil ?? Infinity) - this.runtime.now;
+    const notice = (machine.preemptionDeadline ?? Infinity) - this.runtime.now;
     if (b.state === 'running' && left < notice) return;
-    this.term.bindings.stop(b, { grace: job.spec.save, reason: 'notice' });
+    this.term.bindings.requestStop(b, { gracePeriod: job.spec.save, reason: 'notice' });
   }
 }
--- a/packages/controller/src/placement/job-urgency.ts
+++ b/packages/controller/src/placement/job-urgency.ts
@@ -1,6 +1,6 @@
 /** How urgent jobs are, by their aims, guarantees and waits. */
 import type { Instant, MachineType } from '@tealdock/wire';
-import { rank, type Ranked } from '@tealdock/scheduler';
+import { priorityRank, type JobRank } from '@tealdock/scheduler';
 import type { LiveJob } from '../jobs/live-job.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { Term } from '../term/term.js';
@@ -37,29 +37,29 @@
     return this.dueOf(job, this.inside.has(job.id));
   }
 
-  rankOf(job: LiveJob): Ranked {
+  rankOf(job: LiveJob): JobRank {
     return {
       spec: job.spec,
-      submitted: job.since,
-      due: this.due(job),
+      submitted: job.startableAt,
+      latestStart: this.due(job),
       guaranteed: this.teams.belowGuarantee(job),
       starving: this.starves(job),
     };
   }
 
   starves(job: LiveJob): boolean {
-    const begun = job.doneCount > 0 || job.bound.size > 0;
-    return !begun && this.runtime.now - job.since > STARVING;
+    const begun = job.doneCount > 0 || job.bindings.size > 0;
+    return !begun && this.runtime.now - job.startableAt > STARVING;
   }
 
   private dueOf(job: LiveJob, guaranteed: boolean): Instant {
-    const ratio = this.term.ratios.get(job.spec.jobClass) ?? 1;
+    const ratio = this.term.runTimeRatios.get(job.spec.jobClass) ?? 1;
     return nextDue(job, ratio, guaranteed, this.runtime.settings, this.runtime.now);
   }
 
   /** Rented room is preferred to another task's while it can come in time. */
   patience(job: LiveJob): number {
-    if (rank(job.spec) >= IMPATIENT_RANK) return 0;
+    if (priorityRank(job.spec) >= IMPATIENT_RANK) return 0;
     const boots = this.types().map((t) => t.boot);
     const boot = boots.length > 0 ? Math.min(...boots) : 0;
     return this.due(job) - this.runtime.now < boot ? 0 : boot;
--- a/packages/controller/src/placement/machine-capacity.ts
+++ b/packages/controller/src/placement/machine-capacity.ts
@@ -2,13 +2,13 @@
 import type { Duration, Instant, JobSpec, MachineType } from '@tealdock/wire';
 import {
   bookedShare,
-  choose,
+  chooseVolunteer,
   fits,
-  minus,
-  need,
+  subtractResources,
+  resourcesOf,
   placeAllowed,
-  plus,
-  slots,
+  addResources,
+  taskSlots,
   type Resources,
   type Volunteer,
   type ZoneCounts,
@@ -29,7 +29,7 @@
   const free = machine.free(type);
   machine.cacheGb = type.cacheGb;
   machine.fetches.rate = type.fetchGbPerS;
-  return { machine, type, free, freeAfterStops: plus(free, machine.stopping) };
+  return { machine, type, free, freeAfterStops: addResources(free, machine.stopping) };
 };
 
 /** What a job's tasks ask of a machine; jobs that ask the same fit on the same machines. */
@@ -45,7 +45,7 @@
   machines: MachineCapacity[],
   zones: ZoneCounts,
 ): MachineCapacity[] {
-  const gangZone = job.bound.size > 0 ? null : job.gangZone;
+  const gangZone = job.bindings.size > 0 ? null : job.gangZone;
   return machines.filter(
     (d) =>
       placeAllowed(job.spec, d.machine, zones) &&
@@ -71,8 +71,8 @@
 
   /** How many of the job's tasks they could hold if they were empty. */
   get slots(): number {
-    const wanted = need(this.job.spec);
-    this.sum ??= this.machines.reduce((sum, d) => sum + slots(wanted, d.type), 0);
+    const wanted = resourcesOf(this.job.spec);
+    this.sum ??= this.machines.reduce((sum, d) => sum + taskSlots(wanted, d.type), 0);
     return this.sum;
   }
 }
@@ -146,7 +146,7 @@
     machines: MachineCapacity[],
     private readonly rules: VolunteerRules,
   ) {
-    const wanted = need(job.spec);
+    const wanted = resourcesOf(job.spec);
     for (const capacity of machines) {
       if (!fits(wanted, capacity.free)) continue;
       const candidate = this.candidate(capacity);
@@ -158,14 +158,14 @@
 
   /** Holders of the image first, then the first point of the front. */
   choose(): MachineCapacity | undefined {
-    return choose(this.candidates)?.capacity;
+    return chooseVolunteer(this.candidates)?.capacity;
   }
 
   /** A task was booked there. */
   booked(capacity: MachineCapacity): void {
-    const wanted = need(this.job.spec);
-    capacity.free = minus(capacity.free, wanted);
-    capacity.freeAfterStops = minus(capacity.freeAfterStops, wanted);
+    const wanted = resourcesOf(this.job.spec);
+    capacity.free = subtractResources(capacity.free, wanted);
+    capacity.freeAfterStops = subtractResources(capacity.freeAfterStops, wanted);
     const at = this.candidates.findIndex((c) => c.capacity === capacity);
     this.candidates.splice(at, 1);
     if (!fits(wanted, capacity.free)) return;
@@ -186,13 +186,14 @@
     if (imageRank === null) return null;
     return {
       capacity,
-      load: bookedShare(type, free),
+      bookedShare: bookedShare(type, free),
       price: this.rules.priceOf(machine, type),
-      recent: machine.recent / Math.max(1, type.cpus),
+      recentComputeTime: machine.recentComputeTime / Math.max(1, type.cpus),
       imageRank,
     };
   }
 }
 
 /** What adds least to the bill first, then the fullest: work gathers and machines fall idle. */
-const byGathering = (a: Volunteer, b: Volunteer): number => a.price - b.price || b.load - a.load;
+const byGathering = (a: Volunteer, b: Volunteer): number =>
+  a.price - b.price || b.bookedShare - a.bookedShare;
--- a/packages/controller/src/placement/preemption.ts
+++ b/packages/controller/src/placement/preemption.ts
@@ -2,12 +2,12 @@
 import type { Duration, Instant } from '@tealdock/wire';
 import {
   fits,
-  minus,
-  need,
+  subtractResources,
+  resourcesOf,
   planPreemption,
-  plus,
-  rank,
-  type Plan,
+  addResources,
+  priorityRank,
+  type PreemptionPlan,
   type Resources,
   type Victim,
 } from '@tealdock/scheduler';
@@ -20,7 +20,7 @@
 /** A start that is stopped sooner than this was in vain for whoever waited for it. */
 const RECENT_START = 30_000;
 
-interface MachinePlan extends Plan<Binding> {
+interface MachinePlan extends PreemptionPlan<Binding> {
   capacity: MachineCapacity;
   /** Work that is lost by it, and the wait for the image after it. */
   cost: Duration;
@@ -42,7 +42,7 @@
     machines: MachineCapacity[],
     private readonly ranks: ImageRanks,
   ) {
-    this.wanted = need(job.spec);
+    this.wanted = resourcesOf(job.spec);
     const plans = machines.map((d) => this.planFor(d)).filter((p) => p !== null);
     this.plans = plans.sort((a, b) => a.cost - b.cost);
   }
@@ -53,7 +53,7 @@
       const plan = this.plans.shift();
       if (!plan) return null;
       // What was stopped since may have changed who borrows.
-      if (!plan.victims.every((v) => this.mayStop(v.of, this.guaranteed()))) {
+      if (!plan.victims.every((v) => this.mayStop(v.item, this.guaranteed()))) {
         this.planAgain(plan.capacity);
         continue;
       }
@@ -76,7 +76,7 @@
     const plan = planPreemption(capacity.freeAfterStops, this.victims(capacity), this.wanted);
     // Room where the image would come too late is no room.
     if (!plan || this.ranks.of(capacity) === null) return null;
-    return { ...plan, capacity, cost: plan.lost + this.ranks.delay(capacity.machine) };
+    return { ...plan, capacity, cost: plan.lostWork + this.ranks.delay(capacity.machine) };
   }
 
   private victims(capacity: MachineCapacity): Victim<Binding>[] {
@@ -87,26 +87,26 @@
       const other = this.term.jobs.get(binding.job);
       if (!other) continue;
       victims.push({
-        of: binding,
-        size: binding.size,
-        lost: lost(binding, other, this.runtime.now),
+        item: binding,
+        resources: binding.resources,
+        lostWork: lost(binding, other, this.runtime.now),
       });
     }
     return victims;
   }
 
   private stop(capacity: MachineCapacity, victim: Victim<Binding>): void {
-    const binding = victim.of;
+    const binding = victim.item;
     const reason = `room for ${this.job.id}`;
-    this.term.bindings.stop(binding, {
-      grace: this.term.jobs.get(binding.job)?.spec.save ?? 0,
+    this.term.bindings.requestStop(binding, {
+      gracePeriod: this.term.jobs.get(binding.job)?.spec.save ?? 0,
       reason,
     });
-    capacity.freeAfterStops = plus(capacity.freeAfterStops, victim.size);
+    capacity.freeAfterStops = addResources(capacity.freeAfterStops, victim.resources);
     this.runtime.env.log(
       'debug',
       { task: binding.task, machine: binding.machine, reason },
-      'preempting',
+      'task preempted',
     );
   }
 
@@ -117,8 +117,14 @@
    */
   private mayStop(binding: Binding, guaranteed: boolean): boolean {
     const other = this.term.jobs.get(binding.job);
-    if (!other || binding.stop || binding.sheltered || binding.phase !== 'seen') return false;
-    const lower = rank(other.spec) < rank(this.job.spec);
+    if (
+      !other ||
+      binding.stopRequest ||
+      binding.protectedFromPreemption ||
+      binding.phase !== 'observed'
+    )
+      return false;
+    const lower = priorityRank(other.spec) < priorityRank(this.job.spec);
     if (other.spec.team === this.job.spec.team) return lower;
     return this.borrows(other) ? lower || guaranteed : lower && guaranteed;
   }
@@ -130,7 +136,7 @@
   private borrows(other: LiveJob): boolean {
     const team = this.runtime.settings.teams.find((t) => t.name === other.spec.team);
     if (!team) return false;
-    const left = minus(this.term.ledger.teamStaying(team.name), this.wanted);
+    const left = subtractResources(this.term.ledger.teamStaying(team.name), this.wanted);
     return left.cpus >= team.cpus && left.gpus >= team.gpus;
   }
 }
--- a/packages/controller/src/placement/scheduler.ts
+++ b/packages/controller/src/placement/scheduler.ts
@@ -1,8 +1,8 @@
 /** The scheduling cycle: which released task goes to which machine. */
 import type { Instant, MachineType } from '@tealdock/wire';
-import { compareJobs, need, slots, withinLimit } from '@tealdock/scheduler';
+import { compareJobs, resourcesOf, taskSlots, withinTeamQuota } from '@tealdock/scheduler';
 import type { LiveJob, OpenTask } from '../jobs/live-job.js';
-import { typeOf, type Machine } from '../machines/machine.js';
+import { machineTypeOf, type Machine } from '../machines/machine.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { Term } from '../term/term.js';
 import { CapacityReservation, type Search } from './capacity-reservation.js';
@@ -62,13 +62,17 @@
   }
 
   private runCycle(): void {
-    if (!this.term.loaded) return;
+    if (!this.term.stateLoaded) return;
     // A thousand reports come first: until they are in, only new jobs can be placed.
-    if (!this.term.ready && this.runtime.now - this.lastCycle < REBUILD_CYCLE_INTERVAL) return;
+    if (
+      !this.term.allMachinesReconciled &&
+      this.runtime.now - this.lastCycle < REBUILD_CYCLE_INTERVAL
+    )
+      return;
     this.lastCycle = this.runtime.now;
     this.term.liveJobs.graph.updateDemands();
     for (const job of this.term.jobs.values()) job.openWindows(this.runtime.now);
-    if (!this.term.settled) return;
+    if (!this.term.observedJobsLoaded) return;
     this.drain.run();
     this.teams.beginCycle();
     const jobs = this.waitingJobs();
@@ -87,10 +91,12 @@
   }
 
   private waitingJobs(): LiveJob[] {
-    const ready = this.term.ready;
+    const ready = this.term.allMachinesReconciled;
     const waiting = [...this.term.jobs.values()].filter(
       (job) =>
-        job.open.size > 0 && job.backoffUntil <= this.runtime.now && this.term.mayPlace(job, ready),
+        job.openTasks.size > 0 &&
+        job.backoffUntil <= this.runtime.now &&
+        this.term.mayPlace(job, ready),
     );
     if (waiting.length === 0) return waiting;
     this.urgency.update();
@@ -102,23 +108,24 @@
   private machines(): MachineCapacity[] {
     const recent = Math.max(
       this.runtime.operator.window.lambda,
-      this.runtime.settings.reportEvery * RECENT_REPORTS,
+      this.runtime.settings.heartbeatInterval * RECENT_REPORTS,
     );
     const types = this.types();
     const machines: MachineCapacity[] = [];
     for (const machine of this.term.machines.values()) {
       const heard =
-        machine.lastCounted !== null && this.runtime.now - machine.lastCounted <= recent;
+        machine.lastHeartbeatAt !== null && this.runtime.now - machine.lastHeartbeatAt <= recent;
       if (!heard || !machine.registered || machine.returning) continue;
-      if (machine.noticeUntil !== null || machine.quarantinedUntil > this.runtime.now) continue;
-      const type = typeOf(types, machine);
+      if (machine.preemptionDeadline !== null || machine.quarantinedUntil > this.runtime.now)
+        continue;
+      const type = machineTypeOf(types, machine);
       if (type) machines.push(capacityOf(machine, type));
     }
     return machines;
   }
 
   private placeJob(job: LiveJob, cycle: SchedulingCycle): void {
-    const closed = [...job.open.values()].filter((task) => this.windowCloses(task));
+    const closed = [...job.openTasks.values()].filter((task) => this.windowCloses(task));
     const waiting = this.urgency.starves(job) ? closed.slice(0, FIRST_TASKS) : closed;
     const search = this.searchFor(job, cycle);
     if (cycle.full.has(search.demand)) return this.noFit(search, waiting, cycle);
@@ -144,8 +151,8 @@
       }
       if (this.reservation.waitsForHolder(search, chosen, cycle)) continue;
       if (this.reservation.holderMayCome(search, chosen)) return;
-      if (chosen.machine.images.has(job.spec.image)) job.holderWait = this.runtime.now;
-      this.term.bindings.book(job, task.index, chosen.machine, sheltered);
+      if (chosen.machine.images.has(job.spec.image)) job.imageHolderWaitSince = this.runtime.now;
+      this.term.bindings.assign(job, task.index, chosen.machine, sheltered);
       cycle.bookings++;
       job.starvedSince = null;
       volunteers.booked(chosen);
@@ -172,14 +179,17 @@
   private gangFits(job: LiveJob, allowed: MachineCapacity[]): boolean {
     const zones = job.spec.oneZone ? [...new Set(allowed.map((d) => d.machine.zone))] : [null];
     const team = this.runtime.settings.teams.find((t) => t.name === job.spec.team);
-    const rest = { cpus: job.spec.cpus * job.open.size, gpus: job.spec.gpus * job.open.size };
-    if (!team || !withinLimit(team, this.teams.limitUse(team.name), { ...rest, memoryGb: 0 })) {
+    const rest = {
+      cpus: job.spec.cpus * job.openTasks.size,
+      gpus: job.spec.gpus * job.openTasks.size,
+    };
+    if (!team || !withinTeamQuota(team, this.teams.limitUse(team.name), { ...rest, memoryGb: 0 })) {
       return false;
     }
     return zones.some((zone) => {
       const inZone = allowed.filter((d) => zone === null || d.machine.zone === zone);
-      const room = inZone.reduce((sum, d) => sum + slots(need(job.spec), d.free), 0);
-      if (room < job.open.size) return false;
+      const room = inZone.reduce((sum, d) => sum + taskSlots(resourcesOf(job.spec), d.free), 0);
+      if (room < job.openTasks.size) return false;
       if (zone !== null) job.gangZone = zone;
       return true;
     });
@@ -187,7 +197,7 @@
 
   /** λ is over, or it may close early since standing volunteers are known. */
   private windowCloses(task: OpenTask): boolean {
-    const open = this.runtime.now - task.opened;
+    const open = this.runtime.now - task.windowOpenedAt;
     return (
       open >= Math.min(this.runtime.operator.window.closeEarly, this.runtime.operator.window.lambda)
     );
@@ -199,8 +209,8 @@
     const { job } = search;
     job.starvedSince ??= this.runtime.now;
     for (const task of waiting) {
-      if (this.runtime.now - task.opened >= this.runtime.operator.window.lambda)
-        task.opened = this.runtime.now;
+      if (this.runtime.now - task.windowOpenedAt >= this.runtime.operator.window.lambda)
+        task.windowOpenedAt = this.runtime.now;
     }
     this.reservation.reserve(search, waiting.length, cycle);
   }
--- a/packages/controller/src/placement/scheduling-cycle.ts
+++ b/packages/controller/src/placement/scheduling-cycle.ts
@@ -1,5 +1,5 @@
 /** One run through all waiting jobs. */
-import { fits, least, need, rank, type Resources } from '@tealdock/scheduler';
+import { fits, minResources, resourcesOf, priorityRank, type Resources } from '@tealdock/scheduler';
 import { allowedMachines, type MachineCapacity } from './machine-capacity.js';
 import type { LiveJob } from '../jobs/live-job.js';
 import type { UsageLedger } from '../machines/usage-ledger.js';
@@ -42,14 +42,14 @@
     const smallest = leastNeed(waiting);
     this.withFreeCapacity = machines.filter((d) => fits(smallest, d.free));
     this.withCapacitySoon = machines.filter((d) => fits(smallest, d.freeAfterStops));
-    const bound = [...term.jobs.values()].filter((job) => job.bound.size > 0);
-    this.lowest = bound.reduce((low, job) => Math.min(low, rank(job.spec)), Infinity);
+    const bound = [...term.jobs.values()].filter((job) => job.bindings.size > 0);
+    this.lowest = bound.reduce((low, job) => Math.min(low, priorityRank(job.spec)), Infinity);
     this.teams = new Set(bound.map((job) => job.spec.team));
   }
 
   /** Work of lower priority has room that it might give up for the job. */
   hasLowerWork(job: LiveJob): boolean {
-    return this.lowest < rank(job.spec);
+    return this.lowest < priorityRank(job.spec);
   }
 
   hasOtherTeams(job: LiveJob): boolean {
@@ -92,5 +92,5 @@
 }
 
 function leastNeed(jobs: LiveJob[]): Resources {
-  return jobs.map((job) => need(job.spec)).reduce(least);
+  return jobs.map((job) => resourcesOf(job.spec)).reduce(minResources);
 }
--- a/packages/controller/src/placement/team-capacity.ts
+++ b/packages/controller/src/placement/team-capacity.ts
@@ -1,9 +1,15 @@
 /** What teams use of their guarantees and limits while a cycle goes on. */
 import type { MachineType } from '@tealdock/wire';
-import { NOTHING, need, plus, withinLimit, type Resources } from '@tealdock/scheduler';
+import {
+  NO_RESOURCES,
+  resourcesOf,
+  addResources,
+  withinTeamQuota,
+  type Resources,
+} from '@tealdock/scheduler';
 import type { LiveJob } from '../jobs/live-job.js';
 import type { Runtime } from '../runtime/runtime.js';
-import { typeOf } from '../machines/machine.js';
+import { machineTypeOf } from '../machines/machine.js';
 import type { Term } from '../term/term.js';
 
 /** Counts all that is bound, and what this cycle has reserved (docs/safety.md, rule `quota`). */
@@ -11,7 +17,7 @@
   /** Capacity that will be free and is kept for a team's tasks in this cycle. */
   private readonly reservedByTeam = new Map<string, Resources>();
   /** Machines not accounted for may be full of any team's tasks. */
-  private unaccounted: Resources = NOTHING;
+  private unaccounted: Resources = NO_RESOURCES;
 
   constructor(
     private readonly runtime: Runtime,
@@ -31,32 +37,35 @@
 
   /** Capacity was reserved for one task of the job. */
   reserve(job: LiveJob): void {
-    const reserved = this.reservedByTeam.get(job.spec.team) ?? NOTHING;
-    this.reservedByTeam.set(job.spec.team, plus(reserved, need(job.spec)));
+    const reserved = this.reservedByTeam.get(job.spec.team) ?? NO_RESOURCES;
+    this.reservedByTeam.set(job.spec.team, addResources(reserved, resourcesOf(job.spec)));
   }
 
   belowGuarantee(job: LiveJob): boolean {
     const team = this.runtime.settings.teams.find((t) => t.name === job.spec.team);
     if (!team) return false;
-    const promised = this.reservedByTeam.get(team.name) ?? NOTHING;
-    const after = plus(plus(this.term.ledger.teamUse(team.name), promised), need(job.spec));
+    const promised = this.reservedByTeam.get(team.name) ?? NO_RESOURCES;
+    const after = addResources(
+      addResources(this.term.ledger.teamUse(team.name), promised),
+      resourcesOf(job.spec),
+    );
     return after.cpus <= team.cpus && after.gpus <= team.gpus;
   }
 
   withinTeamLimit(job: LiveJob): boolean {
     const team = this.runtime.settings.teams.find((t) => t.name === job.spec.team);
-    return !!team && withinLimit(team, this.limitUse(team.name), need(job.spec));
+    return !!team && withinTeamQuota(team, this.limitUse(team.name), resourcesOf(job.spec));
   }
 
   limitUse(team: string): Resources {
-    return plus(this.term.ledger.teamUse(team), this.unaccounted);
+    return addResources(this.term.ledger.teamUse(team), this.unaccounted);
   }
 
   private sumUnaccounted(): Resources {
-    let sum = NOTHING;
-    for (const machine of this.term.unresolved()) {
-      const type = typeOf(this.types(), machine);
-      sum = plus(sum, type ?? { cpus: Infinity, gpus: Infinity, memoryGb: 0 });
+    let sum = NO_RESOURCES;
+    for (const machine of this.term.unreconciledMachines()) {
+      const type = machineTypeOf(this.types(), machine);
+      sum = addResources(sum, type ?? { cpus: Infinity, gpus: Infinity, memoryGb: 0 });
     }
     return sum;
   }
--- a/packages/controller/src/requests/report-requests.ts
+++ b/packages/controller/src/requests/heartbeat-requests.ts
@@ -1,11 +1,11 @@
 /** Reports of workers: answered by the leader, kept for an election, or sent on. */
 import {
-  parseReport,
+  parseHeartbeat,
   renderRedirect,
-  renderReportAnswer,
+  renderHeartbeatResponse,
   unpackBody,
   type Duration,
-  type WorkerReport,
+  type WorkerHeartbeat,
 } from '@tealdock/wire';
 import type { Granted } from '../authority/decision.js';
 import type { DelegatedRenewal } from '../leadership/delegated-renewal.js';
@@ -25,21 +25,21 @@
 const PARK = 2500;
 
 /** What this node may answer as the leader; no term where it does not lead. */
-export interface Leading {
+export interface LeaderContext {
   readonly term: Term | null;
   readonly longPolls: LongPolls | null;
   /** Set while answers may renew leases (docs/safety.md, Freshness of cancellations). */
-  entitled(): Granted | null;
+  renewalGrant(): Granted | null;
 }
 
 /** A report that waits for an election. */
 interface Parked {
   request: HttpRequest;
-  report: WorkerReport;
+  heartbeat: WorkerHeartbeat;
 }
 
 /** Answers the reports of workers, or tells them where to go. */
-export class ReportRequests {
+export class HeartbeatRequests {
   private readonly parked = new Map<number, Parked>();
 
   constructor(
@@ -49,49 +49,49 @@
     private readonly catalog: Catalog,
     private readonly peers: Peers,
     private readonly delegatedRenewal: DelegatedRenewal,
-    private readonly leader: Leading,
+    private readonly leader: LeaderContext,
   ) {}
 
   /** Takes a report in; its answer may be kept back, or come from another node. */
   handle(request: HttpRequest): void {
     if (request.method !== 'POST') return methodNotAllowed(this.runtime, request, 'POST');
-    let report: WorkerReport;
+    let report: WorkerHeartbeat;
     try {
-      report = parseReport(unpackBody(request.body));
+      report = parseHeartbeat(unpackBody(request.body));
     } catch (error) {
       return malformed(this.runtime, request, error);
     }
-    this.take(request, report);
+    this.processOrRedirect(request, report);
   }
 
-  private take(request: HttpRequest, report: WorkerReport): void {
+  private processOrRedirect(request: HttpRequest, heartbeat: WorkerHeartbeat): void {
     const { term, longPolls } = this.leader;
-    this.leadership.outranked(report.token);
+    this.leadership.observeHigherToken(heartbeat.fencingToken);
     // Also while it may not answer: a leader that an outage kept from answering is reachable.
-    if (term) term.lastReport = this.runtime.now;
-    const held = this.leader.entitled();
-    if (!held || !term) return this.redirect(request, report);
-    const { counted, answered, orders } = term.reports.report(report);
-    if (!answered) return this.sendOn(request.id, null);
+    if (term) term.lastHeartbeatAt = this.runtime.now;
+    const held = this.leader.renewalGrant();
+    if (!held || !term) return this.redirect(request, heartbeat);
+    const { counted, answered, commands: orders } = term.heartbeats.process(heartbeat);
+    if (!answered) return this.redirectTo(request.id, null);
     this.runtime.stats.record('evidence.renewal_age_ms', held.evidence.age);
     this.runtime.stats.count(counted ? 'reports.counted' : 'reports.ignored');
     // Only a newer report shows that the one before was given up; a late copy does not.
-    if (counted) longPolls?.drop(report.machine, held);
-    const hold = counted && orders.length === 0 ? this.holdFor(term, report) : 0;
+    if (counted) longPolls?.drop(heartbeat.machine, held);
+    const hold = counted && orders.length === 0 ? this.longPollTimeoutOf(term, heartbeat) : 0;
     if (hold > 0) {
       this.runtime.stats.count('reports.held');
-      return longPolls?.hold(report.machine, request.id, hold);
+      return longPolls?.hold(heartbeat.machine, request.id, hold);
     }
     this.runtime.reply(request.id, {
       status: 200,
-      body: renderReportAnswer(held.fencingToken, orders),
+      body: renderHeartbeatResponse(held.fencingToken, orders),
       validUntil: held.validUntil,
     });
   }
 
-  private holdFor(term: Term, report: WorkerReport): Duration {
+  private longPollTimeoutOf(term: Term, report: WorkerHeartbeat): Duration {
     const type = this.catalog.types.find((t) => t.name === report.type);
-    return type ? term.orders.holdFor(report.machine, type) : 0;
+    return type ? term.workerCommands.longPollTimeoutOf(report.machine, type) : 0;
   }
 
   /**
@@ -99,15 +99,15 @@
    * it. While there is none, the report waits for the election for a moment: a
    * thousand workers that go round the nodes once a second would slow it down.
    */
-  private redirect(request: HttpRequest, report: WorkerReport): void {
+  private redirect(request: HttpRequest, report: WorkerHeartbeat): void {
     const leader = this.liveLeader();
     if (leader === null && this.delegatedRenewal.mayRenew)
       return this.renewForLeader(request, report);
     if (leader === null && this.mayPark()) return this.park(request, report);
-    this.sendOn(request.id, leader);
+    this.redirectTo(request.id, leader);
   }
 
-  private renewForLeader(request: HttpRequest, report: WorkerReport): void {
+  private renewForLeader(request: HttpRequest, report: WorkerHeartbeat): void {
     this.delegatedRenewal.renew(report, (status, body, validUntil) =>
       this.runtime.reply(request.id, {
         status,
@@ -119,24 +119,26 @@
 
   private liveLeader(): string | null {
     const leader = this.leadership.leader;
-    return leader !== null && this.peers.alive(leader) ? leader : null;
+    return leader !== null && this.peers.isAlive(leader) ? leader : null;
   }
 
-  private sendOn(request: number, leader: string | null): void {
+  private redirectTo(request: number, leader: string | null): void {
     this.runtime.stats.count('reports.redirected');
     this.runtime.reply(request, { status: 421, body: renderRedirect(leader) });
   }
 
   /** A node without the state service will not know of the election, nor win it. */
   private mayPark(): boolean {
-    return !this.state.doubtful && this.parked.size < this.runtime.settings.maxConnections / 2;
+    return (
+      !this.state.lastCallFailed && this.parked.size < this.runtime.settings.maxConnections / 2
+    );
   }
 
-  private park(request: HttpRequest, report: WorkerReport): void {
-    this.parked.set(request.id, { request, report });
+  private park(request: HttpRequest, report: WorkerHeartbeat): void {
+    this.parked.set(request.id, { request, heartbeat: report });
     this.runtime.stats.count('reports.parked');
     this.runtime.after(PARK, () => {
-      if (this.parked.delete(request.id)) this.sendOn(request.id, this.liveLeader());
+      if (this.parked.delete(request.id)) this.redirectTo(request.id, this.liveLeader());
     });
   }
 
@@ -146,16 +148,16 @@
    */
   unpark(): void {
     if (this.parked.size === 0) return;
-    const leads = this.leader.entitled() !== null;
+    const leads = this.leader.renewalGrant() !== null;
     const leader = this.liveLeader();
     const keeps = !leads && leader === null && this.delegatedRenewal.mayRenew;
-    if (!leads && !keeps && leader === null && !this.state.doubtful) return;
+    if (!leads && !keeps && leader === null && !this.state.lastCallFailed) return;
     const waiting = [...this.parked.values()].slice(0, MAX_UNPARKED);
-    for (const { request, report } of waiting) {
+    for (const { request, heartbeat: report } of waiting) {
       this.parked.delete(request.id);
-      if (leads) this.take(request, report);
+      if (leads) this.processOrRedirect(request, report);
       else if (keeps) this.renewForLeader(request, report);
-      else this.sendOn(request.id, leader);
+      else this.redirectTo(request.id, leader);
     }
     if (this.parked.size > 0) this.runtime.after(0, () => undefined);
   }
--- a/packages/controller/src/requests/job-requests.ts
+++ b/packages/controller/src/requests/job-requests.ts
@@ -10,11 +10,11 @@
   type JobSpec,
   type JobView,
 } from '@tealdock/wire';
-import { whyNever } from '@tealdock/scheduler';
+import { infeasibilityReason } from '@tealdock/scheduler';
 import type { Catalog } from '../machines/catalog.js';
 import { endedKey, endedValue, fitsValue, specKey, type LiveValue } from '../state/keys.js';
 import { AncestorCheck } from '../jobs/ancestor-check.js';
-import type { JobLookup, Located } from '../jobs/job-lookup.js';
+import type { JobLookup, JobLocateResult } from '../jobs/job-lookup.js';
 import type { JobCounts, Peers } from '../peers/peers.js';
 import { PRIORITY, type HttpRequest, type Reply } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
@@ -80,13 +80,18 @@
 
   /** A node that alone has lost the state service asks a peer that has it. */
   private finish(request: HttpRequest, reply: Reply): void {
-    const relay = reply.status === 503 && request.via === 'public' && this.state.doubtful;
+    const relay = reply.status === 503 && request.via === 'public' && this.state.lastCallFailed;
     if (!relay) return this.answer(request, reply);
-    const asked = this.peers.ask(request.method, request.path, request.body, (result) => {
-      if (result.kind !== 'answer') return this.answer(request, reply);
-      const retry = result.status === 503 ? { retryAfter: RETRY_AFTER } : {};
-      this.answer(request, { status: result.status, body: result.body, ...retry });
-    });
+    const asked = this.peers.forwardRequest(
+      request.method,
+      request.path,
+      request.body,
+      (result) => {
+        if (result.kind !== 'answer') return this.answer(request, reply);
+        const retry = result.status === 503 ? { retryAfter: RETRY_AFTER } : {};
+        this.answer(request, { status: result.status, body: result.body, ...retry });
+      },
+    );
     if (!asked) this.answer(request, reply);
   }
 
@@ -101,7 +106,7 @@
     this.lookup.locate(id, (known) => this.replyFor(id, known, refuse(404, 'no such job'), answer));
   }
 
-  private replyFor(id: string, known: Located, none: Reply, answer: Answer): void {
+  private replyFor(id: string, known: JobLocateResult, none: Reply, answer: Answer): void {
     if (known.kind === 'unsure') answer(unsure());
     else if (known.kind === 'none') answer(none);
     else if (known.kind === 'ended') answer(shown(known.view));
@@ -139,9 +144,10 @@
       return this.judge(submissionId(body), refuse(400, error.message), answer);
     }
     if (!this.catalog.known) return this.judge(spec.id, unsure(), answer);
-    const never = whyNever(spec, this.runtime.settings.teams, this.catalog.types) ?? misnames(spec);
+    const never =
+      infeasibilityReason(spec, this.runtime.settings.teams, this.catalog.types) ?? misnames(spec);
     if (never) return this.judge(spec.id, refuse(422, never), answer);
-    if (!fitsValue(spec, this.runtime.settings.state.valueBytes)) {
+    if (!fitsValue(spec, this.runtime.settings.state.maxValueBytes)) {
       return this.judge(spec.id, refuse(400, tooLong(spec)), answer);
     }
     this.checkPredecessors(spec, answer);
@@ -150,7 +156,7 @@
   /** A refusal is only for a job that is not known already. */
   private judge(id: string | null, reply: Reply, answer: Answer): void {
     if (id === null) return answer(reply);
-    this.lookup.look(id, (known) => this.replyFor(id, known, reply, answer));
+    this.lookup.read(id, (known) => this.replyFor(id, known, reply, answer));
   }
 
   /** Each has to have been accepted, and to be known to have been, by its key. */
@@ -178,15 +184,15 @@
       { key: specKey(spec.id), version: 0 },
       { key: endedKey(spec.id), version: 0 },
     ];
-    const { today, settings } = this.runtime;
+    const { wallClock: today, settings } = this.runtime;
     const live: LiveValue = { spec, submitted: today.getTime() };
     const write = predecessorCancelled
       ? {
           put: endedKey(spec.id),
-          value: endedValue('cancelled', spec, today, settings.state.valueBytes),
+          value: endedValue('cancelled', spec, today, settings.state.maxValueBytes),
         }
       : { put: specKey(spec.id), value: live };
-    this.state.commit(guards, [write], PRIORITY.user, (committed) => {
+    this.state.compareAndSwap(guards, [write], PRIORITY.user, (committed) => {
       if (committed.kind === 'ok') {
         this.runtime.env.log('info', { job: spec.id, tasks: spec.taskCount }, 'job accepted');
         if (predecessorCancelled)
@@ -203,7 +209,7 @@
   // --- cancelling ------------------------------------------------------------
 
   private cancel(id: string, tries: number, answer: Answer): void {
-    this.lookup.look(id, (known) => {
+    this.lookup.read(id, (known) => {
       if (known.kind === 'unsure' || tries === 0) return answer(unsure());
       if (known.kind === 'none') return answer(refuse(404, 'no such job'));
       if (known.kind === 'ended') return answer(shown({ id, state: known.view.state }));
@@ -219,14 +225,14 @@
     tries: number,
     answer: Answer,
   ): void {
-    const { valueBytes } = this.runtime.settings.state;
-    const value = endedValue('cancelled', live.spec, this.runtime.today, valueBytes);
+    const { maxValueBytes } = this.runtime.settings.state;
+    const value = endedValue('cancelled', live.spec, this.runtime.wallClock, maxValueBytes);
     const guards = [
       { key: specKey(id), version },
       { key: endedKey(id), version: 0 },
     ];
     const writes = [{ put: endedKey(id), value }, { remove: specKey(id) }];
-    this.state.commit(guards, writes, PRIORITY.user, (committed) => {
+    this.state.compareAndSwap(guards, writes, PRIORITY.user, (committed) => {
       if (committed.kind === 'conflict') return this.cancel(id, tries - 1, answer);
       if (committed.kind !== 'ok') return answer(unsure());
       this.runtime.env.log('info', { job: id }, 'job cancelled');
--- a/packages/controller/src/requests/long-polls.ts
+++ b/packages/controller/src/requests/long-polls.ts
@@ -1,5 +1,5 @@
 /** Answers to reports that wait for a start. */
-import { renderReportAnswer, type Duration } from '@tealdock/wire';
+import { renderHeartbeatResponse, type Duration } from '@tealdock/wire';
 import type { Granted } from '../authority/decision.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { Term } from '../term/term.js';
@@ -30,7 +30,10 @@
     const request = this.open.get(machine);
     if (request === undefined) return;
     this.open.delete(machine);
-    this.runtime.reply(request, { status: 503, body: renderReportAnswer(held.fencingToken, []) });
+    this.runtime.reply(request, {
+      status: 503,
+      body: renderHeartbeatResponse(held.fencingToken, []),
+    });
   }
 
   /** Lets go what has got orders since; everything once the term is over. */
@@ -41,9 +44,9 @@
     }
     for (const machine of this.term.dirtyMachines) {
       const request = this.open.get(machine);
-      if (request !== undefined && this.term.orders.hasOrders(machine))
+      if (request !== undefined && this.term.workerCommands.hasPendingCommands(machine))
         this.answer(machine, request);
-      if (!this.open.has(machine) || !this.term.bindings.awaitsStart(machine)) {
+      if (!this.open.has(machine) || !this.term.bindings.hasUndispatched(machine)) {
         this.term.dirtyMachines.delete(machine);
       }
     }
@@ -53,7 +56,10 @@
     this.open.delete(machine);
     const held = this.held();
     if (!held || this.term.closed) return this.runtime.reply(request, { status: 503, body: {} });
-    const body = renderReportAnswer(held.fencingToken, this.term.orders.ordersOf(machine));
+    const body = renderHeartbeatResponse(
+      held.fencingToken,
+      this.term.workerCommands.commandsFor(machine),
+    );
     this.runtime.reply(request, { status: 200, body, validUntil: held.validUntil });
   }
 }
--- a/packages/controller/src/runtime/clock-drift.ts
+++ b/packages/controller/src/runtime/clock-drift.ts
@@ -5,7 +5,7 @@
 const CLOCK_DRIFT = 0.001;
 
 /** What surely has not passed on another clock before this duration has passed here. */
-export const shortestElsewhere = (duration: Duration): Duration => duration * (1 - CLOCK_DRIFT);
+export const minOnOtherClock = (duration: Duration): Duration => duration * (1 - CLOCK_DRIFT);
 
 /** What surely has passed on another clock once this duration has passed here. */
-export const longestElsewhere = (duration: Duration): Duration => duration * (1 + CLOCK_DRIFT);
+export const maxOnOtherClock = (duration: Duration): Duration => duration * (1 + CLOCK_DRIFT);
--- a/packages/controller/src/runtime/ports.ts
+++ b/packages/controller/src/runtime/ports.ts
@@ -1,5 +1,5 @@
 /** What reaches the state owner, and what it wants done. */
-import type { Duration, Instant, Told } from '@tealdock/wire';
+import type { Duration, Instant, LeaderBroadcast, PeerHeartbeat } from '@tealdock/wire';
 
 /** A request that came in over HTTP, or from another controller. */
 export interface HttpRequest {
@@ -15,9 +15,9 @@
 export type Command =
   | HttpRequest
   | { kind: 'result'; id: number; result: CallResult }
-  | { kind: 'heartbeat'; member: string; leader: string; token: number; stateOk: boolean }
-  | { kind: 'told'; message: Told }
-  | { kind: 'refused'; member: string }
+  | PeerHeartbeat
+  | { kind: 'leader_broadcast'; message: LeaderBroadcast }
+  | { kind: 'peer_refused'; member: string }
   | { kind: 'tick' };
 
 /** Where a request came in: from users and workers, or from another controller. */
@@ -66,10 +66,10 @@
 export type Effect =
   | { kind: 'reply'; id: number; reply: Reply }
   | { kind: 'call'; id: number; call: Call }
-  | { kind: 'heartbeat'; leader: string; token: number; stateOk: boolean }
-  | { kind: 'tell'; message: Told }
-  /** From now on this node may use that part of the changes per second. */
-  | { kind: 'share_writes'; part: number };
+  | { kind: 'heartbeat'; leader: string; fencingToken: number; stateAvailable: boolean }
+  | { kind: 'broadcast'; message: LeaderBroadcast }
+  /** From now on this node may use that fraction of the changes per second. */
+  | { kind: 'set_write_fraction'; fraction: number };
 
 /** How much a log line matters. */
 export type LogLevel = 'error' | 'info' | 'debug';
--- a/packages/controller/src/runtime/runtime.ts
+++ b/packages/controller/src/runtime/runtime.ts
@@ -1,6 +1,12 @@
 /** Time, timers, calls and effects of the state owner. */
 import TinyQueue from 'tinyqueue';
-import type { Duration, Instant, OperatorSettings, Settings, Told } from '@tealdock/wire';
+import type {
+  Duration,
+  Instant,
+  OperatorSettings,
+  Settings,
+  LeaderBroadcast,
+} from '@tealdock/wire';
 import type { Call, CallResult, Effect, Log, Random, Reply } from './ports.js';
 import type { Stats } from './stats.js';
 
@@ -27,7 +33,7 @@
 export class Runtime {
   now: Instant = 0;
   /** Time of day at the batch, for what has to outlive this process. */
-  today = new Date(0);
+  wallClock = new Date(0);
   private effects: Effect[] = [];
   private readonly waiting = new Map<number, (result: CallResult) => void>();
   private readonly timers = new TinyQueue<Timer>([], (a, b) => a.due - b.due || a.order - b.order);
@@ -58,19 +64,19 @@
     this.effects.push({ kind: 'reply', id, reply });
   }
 
-  heartbeat(leader: string, token: number, stateOk: boolean): void {
-    this.effects.push({ kind: 'heartbeat', leader, token, stateOk });
+  sendHeartbeat(leader: string, fencingToken: number, stateAvailable: boolean): void {
+    this.effects.push({ kind: 'heartbeat', leader, fencingToken, stateAvailable });
   }
 
-  tell(message: Told): void {
-    this.effects.push({ kind: 'tell', message });
+  broadcast(message: LeaderBroadcast): void {
+    this.effects.push({ kind: 'broadcast', message });
   }
 
-  shareWrites(part: number): void {
-    this.effects.push({ kind: 'share_writes', part });
+  setWriteFraction(fraction: number): void {
+    this.effects.push({ kind: 'set_write_fraction', fraction });
   }
 
-  settle(id: number, result: CallResult): void {
+  completeCall(id: number, result: CallResult): void {
     const done = this.waiting.get(id);
     this.waiting.delete(id);
     done?.(result);
--- a/packages/controller/src/state/keys.ts
+++ b/packages/controller/src/state/keys.ts
@@ -16,7 +16,7 @@
 export const endedKey = (job: string): string => `${ROOT}ended/${job}`;
 
 /** Tasks whose completion one entry of the progress table holds, as bits in base64. */
-export const CHUNK_TASKS = 8192;
+export const CHUNK_TASK_COUNT = 8192;
 export const progressEntry = (job: string, chunk: number): string => `${job}/${chunk}`;
 
 /** Job and chunk of an entry of the progress table. */
@@ -54,8 +54,8 @@
 const VALUE_OVERHEAD = 64;
 
 /** Sizes are counted in the form of JSON. */
-export const fitsValue = (spec: JobSpec, valueBytes: number): boolean =>
-  Buffer.byteLength(JSON.stringify(spec)) + VALUE_OVERHEAD <= valueBytes;
+export const fitsValue = (spec: JobSpec, maxValueBytes: number): boolean =>
+  Buffer.byteLength(JSON.stringify(spec)) + VALUE_OVERHEAD <= maxValueBytes;
 
 /**
  * An ended job as stored. A description that was accepted under a larger limit goes without
@@ -65,9 +65,9 @@
   state: EndedValue['state'],
   spec: JobSpec,
   at: Date,
-  valueBytes: number,
+  maxValueBytes: number,
 ): EndedValue {
-  const kept = fitsValue(spec, valueBytes) ? spec : { ...spec, types: null, predecessors: [] };
+  const kept = fitsValue(spec, maxValueBytes) ? spec : { ...spec, types: null, predecessors: [] };
   return { state, spec: kept, at: at.getTime() };
 }
 /** A machine in the machine registry: type, zone, spot, returning, and since when it is known, in s. */
--- a/packages/controller/src/state/sharded-table.ts
+++ b/packages/controller/src/state/sharded-table.ts
@@ -1,9 +1,9 @@
 /** Tables of small entries, spread over few keys. */
-import type { Guard, Instant, StateItem, Write } from '@tealdock/wire';
+import type { Precondition, Instant, StateItem, Write } from '@tealdock/wire';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
 import { sizeOf, unstored, type Shard } from './shard.js';
-import type { Committed, StateStore } from './state-store.js';
+import type { CompareAndSwapResult, StateStore } from './state-store.js';
 import { readShard } from './stored-values.js';
 
 /** Part of a value's limit that a shard is filled to: entries may still grow. */
@@ -18,11 +18,11 @@
 const RETRY = 300;
 
 /** What a table has to know of leadership: only a leader writes it. */
-interface LeaderGuard {
+interface LeaderLeaseHolder {
   /** Condition of every transaction of a leader. */
-  guard(): Guard;
+  leaderPrecondition(): Precondition;
   /** Null unless leadership is surely held. */
-  held(): object | null;
+  validLease(): object | null;
 }
 
 /**
@@ -45,7 +45,7 @@
   constructor(
     private readonly runtime: Runtime,
     private readonly state: StateStore,
-    private readonly leadership: LeaderGuard,
+    private readonly leadership: LeaderLeaseHolder,
     private readonly prefix: string,
     private readonly options: {
       /** Changes are gathered for this long before they are written. */
@@ -151,7 +151,7 @@
   // --- shards ----------------------------------------------------------------
 
   private get most(): number {
-    return this.runtime.settings.state.valueBytes * FILL;
+    return this.runtime.settings.state.maxValueBytes * FILL;
   }
 
   private newShard(): Shard<V> {
@@ -216,7 +216,7 @@
     const urgent = this.nextBatch((s) => s.dirty);
     const rests = this.runtime.now < this.restUntil;
     const batch = urgent.length > 0 || rests ? urgent : this.nextBatch((s) => s.stale);
-    if (batch.length > 0 && this.leadership.held()) this.write(batch, urgent.length > 0);
+    if (batch.length > 0 && this.leadership.validLease()) this.write(batch, urgent.length > 0);
     else if (this.shards.some(unstored)) this.plan(RETRY);
   }
 
@@ -225,24 +225,24 @@
     const all = this.shards.filter(wanted);
     const order = [...all.filter((s) => !s.shrunk), ...all.filter((s) => s.shrunk)];
     let bytes = 0;
-    const batch = order.slice(0, this.runtime.settings.state.txnOps);
+    const batch = order.slice(0, this.runtime.settings.state.maxTransactionWrites);
     return batch.filter((s, at) => (bytes += s.bytes) <= MOST_BYTES || at === 0);
   }
 
   private write(batch: Shard<V>[], urgent: boolean): void {
     this.busy = true;
-    const { writeRps } = this.runtime.settings.state;
-    const pause = (batch.length / (writeRps * LAZY_SHARE)) * 1000;
+    const { writesPerSecond } = this.runtime.settings.state;
+    const pause = (batch.length / (writesPerSecond * LAZY_SHARE)) * 1000;
     if (!urgent) this.restUntil = this.runtime.now + pause;
     const stored = batch.flatMap((s) => [...s.entries]);
     for (const s of batch) s.dirty = s.stale = false;
-    const guards: Guard[] = batch.map((s) => ({ key: s.key, version: s.version ?? 0 }));
+    const guards: Precondition[] = batch.map((s) => ({ key: s.key, version: s.version ?? 0 }));
     const writes: Write[] = batch.map((s) => ({
       put: s.key,
       value: { entries: Object.fromEntries(s.entries) },
     }));
-    this.state.commit(
-      [this.leadership.guard(), ...guards],
+    this.state.compareAndSwap(
+      [this.leadership.leaderPrecondition(), ...guards],
       writes,
       urgent ? PRIORITY.leader : PRIORITY.background,
       (committed) => {
@@ -254,7 +254,7 @@
 
   private written(
     batch: Shard<V>[],
-    committed: Committed,
+    committed: CompareAndSwapResult,
     stored: [string, V][],
     urgent: boolean,
   ): void {
--- a/packages/controller/src/state/write-share.ts
+++ b/packages/controller/src/state/write-share.ts
@@ -31,7 +31,7 @@
   start(): void {
     this.runtime.every(ADJUST_EVERY, () => {
       // Said each time: what an earlier term of this node says last must not stand.
-      this.runtime.shareWrites(this.leads() ? this.affordable() : USUAL_PART);
+      this.runtime.setWriteFraction(this.leads() ? this.affordable() : USUAL_PART);
       return this.leads();
     });
   }
@@ -48,7 +48,7 @@
     }
     const seen = this.changes.reduce((sum, { count }) => sum + count, 0);
     const perSecond = seen / (AVERAGED_OVER / 1000);
-    const left = 1 - RESERVED_PART - perSecond / this.runtime.settings.state.writeRps;
+    const left = 1 - RESERVED_PART - perSecond / this.runtime.settings.state.writesPerSecond;
     return Math.max(USUAL_PART, Math.min(MOST_PART, left));
   }
 }
--- a/packages/controller/src/term/bindings.ts
+++ b/packages/controller/src/term/bindings.ts
@@ -1,9 +1,9 @@
 /** Which task is bound to which machine: bookings, stops, and ends by proof. */
 import { taskId, type Instant } from '@tealdock/wire';
-import { need } from '@tealdock/scheduler';
+import { resourcesOf } from '@tealdock/scheduler';
 import type { LiveJob } from '../jobs/live-job.js';
 import type { Leadership } from '../leadership/leadership.js';
-import { bindingKey, type Binding, type StopWish } from '../jobs/binding.js';
+import { bindingKey, type Binding, type StopRequest } from '../jobs/binding.js';
 import type { Machine } from '../machines/machine.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { TermState } from './term-state.js';
@@ -22,7 +22,7 @@
     private readonly term: TermState,
   ) {}
 
-  book(job: LiveJob, index: number, machine: Machine, sheltered = false): void {
+  assign(job: LiveJob, index: number, machine: Machine, sheltered = false): void {
     const count = job.nextAttempt(index);
     if (count >= ATTEMPTS_A_TERM) return this.leadership.resign('attempt numbers used up');
     const binding: Binding = {
@@ -32,43 +32,43 @@
       attempt: this.term.fencingToken * ATTEMPTS_A_TERM + count,
       machine: machine.id,
       team: job.spec.team,
-      size: need(job.spec),
+      resources: resourcesOf(job.spec),
       image: job.spec.image,
       imageGb: job.spec.imageGb,
-      phase: 'booked',
-      bookedAt: this.runtime.now,
-      sentSession: 0,
-      sentSeq: 0,
+      phase: 'assigned',
+      assignedAt: this.runtime.now,
+      dispatchedAgentEpoch: 0,
+      dispatchedSequenceNumber: 0,
       state: null,
       runningSince: null,
-      stop: null,
-      sheltered,
-      foreign: false,
-      goneBy: null,
+      stopRequest: null,
+      protectedFromPreemption: sheltered,
+      orphaned: false,
+      terminationDeadline: null,
     };
     this.bind(machine, binding);
-    job.open.delete(index);
-    job.bound.set(index, binding);
+    job.openTasks.delete(index);
+    job.bindings.set(index, binding);
     this.term.dirtyMachines.add(machine.id);
   }
 
   bind(machine: Machine, binding: Binding): void {
     machine.bindings.set(bindingKey(binding.task, binding.attempt), binding);
-    machine.touch();
+    machine.invalidateSums();
     this.term.ledger.add(binding, machine.zone);
   }
 
   private unbind(binding: Binding): void {
     const machine = this.term.machines.get(binding.machine);
     if (machine?.bindings.delete(bindingKey(binding.task, binding.attempt))) {
-      machine.touch();
+      machine.invalidateSums();
       machine.fetches.keepOnly(machine.fetching, this.runtime.now);
       this.term.ledger.remove(binding, machine.zone);
     }
     const job = this.term.jobs.get(binding.job);
-    if (job?.bound.get(binding.index) === binding) {
-      job.bound.delete(binding.index);
-      job.giveBack(binding.index);
+    if (job?.bindings.get(binding.index) === binding) {
+      job.bindings.delete(binding.index);
+      job.requeueTask(binding.index);
     }
   }
 
@@ -83,37 +83,37 @@
     this.unbind(binding);
   }
 
-  endAll(machine: Machine, proof: string): void {
-    for (const b of [...machine.bindings.values()]) if (b.phase !== 'booked') this.end(b, proof);
+  endDispatched(machine: Machine, proof: string): void {
+    for (const b of [...machine.bindings.values()]) if (b.phase !== 'assigned') this.end(b, proof);
   }
 
-  unbookAll(machine: Machine): void {
-    for (const b of [...machine.bindings.values()]) if (b.phase === 'booked') this.unbind(b);
+  releaseUndispatched(machine: Machine): void {
+    for (const b of [...machine.bindings.values()]) if (b.phase === 'assigned') this.unbind(b);
   }
 
   /** No longer wanted: an unsent booking goes at once, anything else is killed and counted. */
   discard(binding: Binding, reason: string): void {
-    if (binding.phase === 'booked') return this.unbind(binding);
-    binding.foreign = true;
-    this.stop(binding, { grace: 0, reason });
+    if (binding.phase === 'assigned') return this.unbind(binding);
+    binding.orphaned = true;
+    this.requestStop(binding, { gracePeriod: 0, reason });
   }
 
   /** Its job is over since then, as far as known: the task must be gone within `cancel_s`. */
-  noteJobOver(binding: Binding, since: Instant): void {
-    binding.goneBy ??= since + this.runtime.settings.cancelWithin;
+  setTerminationDeadline(binding: Binding, since: Instant): void {
+    binding.terminationDeadline ??= since + this.runtime.settings.cancellationLimit;
   }
 
   /** Has a task stopped by the next answer to its machine. */
-  stop(binding: Binding, wish: StopWish): void {
-    this.term.ledger.change(binding, () => (binding.stop = wish));
-    this.term.machines.get(binding.machine)?.touch();
+  requestStop(binding: Binding, wish: StopRequest): void {
+    this.term.ledger.change(binding, () => (binding.stopRequest = wish));
+    this.term.machines.get(binding.machine)?.invalidateSums();
     this.term.dirtyMachines.add(binding.machine);
   }
 
   /** True while something is booked there that no answer has carried yet. */
-  awaitsStart(machineId: string): boolean {
+  hasUndispatched(machineId: string): boolean {
     const machine = this.term.machines.get(machineId);
-    if (machine) for (const b of machine.bindings.values()) if (b.phase === 'booked') return true;
+    if (machine) for (const b of machine.bindings.values()) if (b.phase === 'assigned') return true;
     return false;
   }
 }
--- a/packages/controller/src/term/direct-stops.ts
+++ b/packages/controller/src/term/direct-stops.ts
@@ -1,5 +1,10 @@
 /** Stops that are sent to workers directly. */
-import { COMMANDS_PATH, renderCommands, type Instant, type Order } from '@tealdock/wire';
+import {
+  COMMANDS_PATH,
+  renderDirectCommands,
+  type Instant,
+  type WorkerCommand,
+} from '@tealdock/wire';
 import type { Machine } from '../machines/machine.js';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
@@ -40,7 +45,7 @@
     const answers = this.answers();
     for (const machine of this.term.machines.values()) {
       if (this.underWay >= MOST_UNDER_WAY) return;
-      if (machine.addr === '' || machine.bindings.size === 0) continue;
+      if (machine.address === '' || machine.bindings.size === 0) continue;
       if (answers && !this.misses(machine)) continue;
       if (this.runtime.now - (this.told.get(machine.id) ?? -Infinity) < AGAIN) continue;
       const orders = this.stopsFor(machine);
@@ -49,29 +54,29 @@
   }
 
   private misses(machine: Machine): boolean {
-    const heard = machine.lastCounted ?? this.term.acquired;
-    return this.runtime.now - heard > this.runtime.settings.reportEvery * MISSED_REPORTS;
+    const heard = machine.lastHeartbeatAt ?? this.term.electedAt;
+    return this.runtime.now - heard > this.runtime.settings.heartbeatInterval * MISSED_REPORTS;
   }
 
-  private stopsFor(machine: Machine): Order[] {
-    const orders: Order[] = [];
+  private stopsFor(machine: Machine): WorkerCommand[] {
+    const orders: WorkerCommand[] = [];
     for (const binding of machine.bindings.values()) {
-      if (binding.phase === 'booked' || !this.term.liveJobs.isOver(binding)) continue;
-      orders.push({ op: 'stop', task: binding.task, attempt: binding.attempt, grace: 0 });
+      if (binding.phase === 'assigned' || !this.term.liveJobs.hasEnded(binding)) continue;
+      orders.push({ op: 'stop', task: binding.task, attempt: binding.attempt, gracePeriod: 0 });
     }
     return orders;
   }
 
-  private send(machine: Machine, orders: Order[]): void {
+  private send(machine: Machine, orders: WorkerCommand[]): void {
     this.told.set(machine.id, this.runtime.now);
     this.underWay++;
     this.runtime.stats.count('stops.direct', orders.length);
     const call = {
       target: 'worker' as const,
-      to: machine.addr,
+      to: machine.address,
       method: 'POST',
       path: COMMANDS_PATH,
-      body: renderCommands(this.term.fencingToken, machine.session, orders),
+      body: renderDirectCommands(this.term.fencingToken, machine.agentEpoch, orders),
       priority: PRIORITY.leader,
       writes: 0,
       timeout: TIMEOUT,
--- a/packages/controller/src/term/ended-job-lookup.ts
+++ b/packages/controller/src/term/ended-job-lookup.ts
@@ -1,11 +1,11 @@
 /** Sizes and teams of tasks whose jobs have ended, which reports may still show. */
 import type { JobSpec } from '@tealdock/wire';
-import { need } from '@tealdock/scheduler';
+import { resourcesOf } from '@tealdock/scheduler';
 import { bindingKey, type Binding } from '../jobs/binding.js';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
 import { endedKey } from '../state/keys.js';
-import { COMMIT_TIMEOUT, type StateStore } from '../state/state-store.js';
+import { COMMIT_TIMEOUT_MS, type StateStore } from '../state/state-store.js';
 import { readEnded } from '../state/stored-values.js';
 import type { Bindings } from './bindings.js';
 import type { LiveJobs } from './live-jobs.js';
@@ -30,8 +30,8 @@
   ) {}
 
   /** Everything that reports have shown so far is known by size and team. */
-  get settled(): boolean {
-    return this.term.loaded && this.lookups.size === 0;
+  get isComplete(): boolean {
+    return this.term.stateLoaded && this.lookups.size === 0;
   }
 
   /** What an ended job's task takes has to be known before anything is placed. */
@@ -49,11 +49,11 @@
       const bindings = this.lookups.get(job) ?? [];
       this.lookups.delete(job);
       if (got.kind === 'found') {
-        this.liveJobs.noteOver(job);
+        this.liveJobs.recordEnded(job);
         this.fill(bindings, got.value.spec);
         if (got.value.state === 'cancelled') this.noteCancelled(bindings, got.value.at);
       }
-      if (this.settled) this.markBookedDirty();
+      if (this.isComplete) this.markBookedDirty();
     });
   }
 
@@ -63,24 +63,24 @@
       if (machine?.bindings.get(bindingKey(binding.task, binding.attempt)) !== binding) continue;
       this.term.ledger.change(binding, () => {
         binding.team = spec.team;
-        binding.size = need(spec);
+        binding.resources = resourcesOf(spec);
       });
-      machine.touch();
+      machine.invalidateSums();
     }
   }
 
   /** By the time of day that the ended key carries, which is off by the clocks' bound. */
   private noteCancelled(bindings: Binding[], at: number | undefined): void {
-    const { today, settings, now } = this.runtime;
-    const age = at === undefined ? 0 : today.getTime() - at - 2 * settings.clockError;
+    const { wallClock: today, settings, now } = this.runtime;
+    const age = at === undefined ? 0 : today.getTime() - at - 2 * settings.maxClockError;
     // The user is told up to a commit's time after the key was written.
-    const since = now - Math.max(0, age - COMMIT_TIMEOUT);
-    for (const binding of bindings) this.bindings.noteJobOver(binding, since);
+    const since = now - Math.max(0, age - COMMIT_TIMEOUT_MS);
+    for (const binding of bindings) this.bindings.setTerminationDeadline(binding, since);
   }
 
   /** Starts that had to wait may leave now. */
   private markBookedDirty(): void {
     for (const machine of this.term.machines.values())
-      if (this.bindings.awaitsStart(machine.id)) this.term.dirtyMachines.add(machine.id);
+      if (this.bindings.hasUndispatched(machine.id)) this.term.dirtyMachines.add(machine.id);
   }
 }
--- a/packages/controller/src/term/report-intake.ts
+++ b/packages/controller/src/term/heartbeat-processor.ts
@@ -1,6 +1,11 @@
 /** What reports of workers tell a term: tasks that run, exited, or never arrived. */
-import { splitTaskId, type Order, type TaskReport, type WorkerReport } from '@tealdock/wire';
-import { NOTHING, need } from '@tealdock/scheduler';
+import {
+  splitTaskId,
+  type WorkerCommand,
+  type TaskStatus,
+  type WorkerHeartbeat,
+} from '@tealdock/wire';
+import { NO_RESOURCES, resourcesOf } from '@tealdock/scheduler';
 import type { LiveJob } from '../jobs/live-job.js';
 import { bindingKey, type Binding } from '../jobs/binding.js';
 import type { Machine } from '../machines/machine.js';
@@ -8,7 +13,7 @@
 import type { Bindings } from './bindings.js';
 import type { EndedJobLookup } from './ended-job-lookup.js';
 import type { Membership } from './membership.js';
-import type { Orders } from './orders.js';
+import type { WorkerCommands } from './worker-commands.js';
 import type { TermState } from './term-state.js';
 
 /** A machine on which so many tasks in a row failed is quarantined; so is a job. */
@@ -27,44 +32,48 @@
 const MAX_RATIO = 10;
 
 /** What came of a report. */
-export interface ReportOutcome {
+export interface HeartbeatOutcome {
   /** False for a report that is late, or made under another token. */
   counted: boolean;
   /** False if it must not get the answer that renews its lease. */
   answered: boolean;
-  orders: Order[];
+  commands: WorkerCommand[];
 }
-const UNANSWERED: ReportOutcome = { counted: false, answered: false, orders: [] };
+const UNANSWERED: HeartbeatOutcome = { counted: false, answered: false, commands: [] };
 
 /** Takes reports in. What a late one says, or one under another token, changes nothing. */
-export class ReportIntake {
+export class HeartbeatProcessor {
   constructor(
     private readonly runtime: Runtime,
     private readonly term: TermState,
     private readonly bindings: Bindings,
     private readonly lookup: EndedJobLookup,
-    private readonly orders: Orders,
+    private readonly orders: WorkerCommands,
     private readonly membership: Membership,
   ) {}
 
   /** Takes in a report; its answer may carry the orders. */
-  report(report: WorkerReport): ReportOutcome {
-    if (this.membership.isGone(report.machine)) return UNANSWERED;
+  process(report: WorkerHeartbeat): HeartbeatOutcome {
+    if (this.membership.isTerminated(report.machine)) return UNANSWERED;
     const machine = this.machineOf(report);
     if (this.missesAnswers(machine, report)) return UNANSWERED;
     // Its lease is renewed by the answer, whatever the report is worth otherwise.
-    machine.lastHeard = this.runtime.now;
+    machine.lastLeaseRenewalAt = this.runtime.now;
     // Tasks of a report sent before the worker saw this token may be outdated by
     // a start of the term before; a late report is outdated by a newer one.
-    if (report.token !== this.term.fencingToken || !machine.isNewer(report))
+    if (report.fencingToken !== this.term.fencingToken || !machine.isNewer(report))
       return this.uncounted(report);
-    this.absorb(report);
-    return { counted: true, answered: true, orders: this.orders.ordersFor(machine) };
+    this.apply(report);
+    return { counted: true, answered: true, commands: this.orders.collectCommands(machine) };
   }
 
   /** It changes nothing, but the answer renews a lease: what is over has to stop. */
-  private uncounted({ machine, tasks }: WorkerReport): ReportOutcome {
-    return { counted: false, answered: true, orders: this.orders.stopsOfEnded(machine, tasks) };
+  private uncounted({ machine, tasks }: WorkerHeartbeat): HeartbeatOutcome {
+    return {
+      counted: false,
+      answered: true,
+      commands: this.orders.stopsForEndedJobs(machine, tasks),
+    };
   }
 
   /**
@@ -72,46 +81,48 @@
    * hears nothing. Each answer would make its lease look renewed, and the whole fleet
    * would wait for it for as long as that lasts. Without answers its lease surely ends.
    */
-  private missesAnswers(machine: Machine, report: WorkerReport): boolean {
-    if (machine.resolved || report.token === this.term.fencingToken) return false;
-    machine.answeredFrom ??= this.runtime.now;
-    return this.runtime.now - machine.answeredFrom > MISSED_ANSWERS_PATIENCE;
+  private missesAnswers(machine: Machine, report: WorkerHeartbeat): boolean {
+    if (machine.reconciled || report.fencingToken === this.term.fencingToken) return false;
+    machine.firstLeaseRenewalAt ??= this.runtime.now;
+    return this.runtime.now - machine.firstLeaseRenewalAt > MISSED_ANSWERS_PATIENCE;
   }
 
-  private machineOf(report: WorkerReport): Machine {
+  private machineOf(report: WorkerHeartbeat): Machine {
     let machine = this.term.machines.get(report.machine);
     if (!machine) {
       machine = this.membership.newMachine(report.machine, report);
       // Not in the machine registry, so no term has ever sent a start to it.
-      machine.resolved = true;
+      machine.reconciled = true;
       this.term.machines.set(machine.id, machine);
     }
-    machine.since = Math.min(machine.since, this.runtime.now);
+    machine.firstSeenAt = Math.min(machine.firstSeenAt, this.runtime.now);
     return machine;
   }
 
-  private absorb(report: WorkerReport): void {
+  private apply(report: WorkerHeartbeat): void {
     const machine = this.machineOf(report);
-    if (report.session > machine.session) this.bindings.endAll(machine, 'session ended');
-    machine.session = report.session;
-    machine.seq = report.seq;
-    machine.addr = report.addr;
-    machine.lastHeard ??= this.runtime.now;
-    machine.lastCounted = this.runtime.now;
-    machine.noticeUntil = report.notice === null ? null : this.runtime.now + report.notice;
-    machine.resolved = true;
-    machine.exited = report.tasks.filter((t) => t.state === 'exited');
+    if (report.agentEpoch > machine.agentEpoch)
+      this.bindings.endDispatched(machine, 'session ended');
+    machine.agentEpoch = report.agentEpoch;
+    machine.sequenceNumber = report.sequenceNumber;
+    machine.address = report.address;
+    machine.lastLeaseRenewalAt ??= this.runtime.now;
+    machine.lastHeartbeatAt = this.runtime.now;
+    machine.preemptionDeadline =
+      report.preemptionNotice === null ? null : this.runtime.now + report.preemptionNotice;
+    machine.reconciled = true;
+    machine.exitedTasks = report.tasks.filter((t) => t.state === 'exited');
     for (const t of report.tasks) this.absorbTask(machine, t);
     this.endMissing(machine, report);
-    this.membership.join(machine);
+    this.membership.registerIfNew(machine);
   }
 
-  private endMissing(machine: Machine, report: WorkerReport): void {
+  private endMissing(machine: Machine, report: WorkerHeartbeat): void {
     const listed = new Set(report.tasks.map((t) => bindingKey(t.task, t.attempt)));
     let lost = false;
     for (const [key, binding] of [...machine.bindings]) {
-      if (binding.phase === 'booked' || listed.has(key)) continue;
-      lost ||= binding.phase === 'sent';
+      if (binding.phase === 'assigned' || listed.has(key)) continue;
+      lost ||= binding.phase === 'dispatched';
       this.bindings.end(binding, 'not on the machine');
     }
     if (lost) this.noteLostStart(machine);
@@ -124,61 +135,64 @@
   private noteLostStart(machine: Machine): void {
     const quarantine = Math.min(
       QUARANTINE,
-      LOST_START_QUARANTINE * LOST_START_FACTOR ** machine.lostStarts++,
+      LOST_START_QUARANTINE * LOST_START_FACTOR ** machine.consecutiveLostStarts++,
     );
     machine.quarantinedUntil = Math.max(machine.quarantinedUntil, this.runtime.now + quarantine);
     this.runtime.env.log(
       'info',
-      { machine: machine.id, lostStarts: machine.lostStarts, aside: quarantine },
-      'start was lost',
+      { machine: machine.id, lostStarts: machine.consecutiveLostStarts, quarantineMs: quarantine },
+      'start lost',
     );
-    this.bindings.unbookAll(machine);
+    this.bindings.releaseUndispatched(machine);
   }
 
-  private absorbTask(machine: Machine, t: TaskReport): void {
+  private absorbTask(machine: Machine, t: TaskStatus): void {
     const bound = machine.bindings.get(bindingKey(t.task, t.attempt));
     if (t.state === 'exited') return this.absorbExit(machine, t, bound);
     const binding = bound ?? this.adopt(machine, t);
-    if (binding.phase === 'seen' && binding.state === t.state) return;
-    machine.lostStarts = 0;
-    binding.phase = 'seen';
+    if (binding.phase === 'observed' && binding.state === t.state) return;
+    machine.consecutiveLostStarts = 0;
+    binding.phase = 'observed';
     if (t.state !== 'fetching') this.noteStart(machine, binding);
     else if (this.term.jobs.get(binding.job)?.spec.kind === 'array')
-      machine.noteMissing(binding, this.runtime.now);
+      machine.recordImageMissing(binding, this.runtime.now);
     binding.state = t.state;
-    machine.touch();
+    machine.invalidateSums();
   }
 
   private noteStart(machine: Machine, binding: Binding): void {
     if (binding.image !== null) this.noteImage(machine, binding.image, binding.imageGb);
     if (binding.runningSince !== null) return;
     binding.runningSince = this.runtime.now;
-    if (binding.phase === 'seen' && binding.sentSeq > 0) {
-      this.runtime.stats.record('starts.booked_to_running_ms', this.runtime.now - binding.bookedAt);
+    if (binding.phase === 'observed' && binding.dispatchedSequenceNumber > 0) {
+      this.runtime.stats.record(
+        'starts.booked_to_running_ms',
+        this.runtime.now - binding.assignedAt,
+      );
     }
-    this.runtime.env.log('debug', { task: binding.task, machine: machine.id }, 'task runs');
+    this.runtime.env.log('debug', { task: binding.task, machine: machine.id }, 'task running');
   }
 
   private noteImage(machine: Machine, image: string, gb: number): void {
     const fetch = machine.fetches.end(image, this.runtime.now);
     if (fetch) this.term.fetchSharing.note(fetch);
-    machine.noteImage(image, gb);
+    machine.recordImage(image, gb);
   }
 
-  private absorbExit(machine: Machine, t: TaskReport, bound: Binding | undefined): void {
+  private absorbExit(machine: Machine, t: TaskStatus, bound: Binding | undefined): void {
     const at = splitTaskId(t.task);
     const job = at ? this.term.jobs.get(at.job) : undefined;
     if (bound) this.endExited(machine, bound, t);
     if (!job || !at || at.index >= job.spec.taskCount || t.reason !== 'done') return;
     job.markDone(at.index);
-    const other = job.bound.get(at.index);
+    const other = job.bindings.get(at.index);
     if (other) this.bindings.discard(other, 'done elsewhere');
   }
 
-  private endExited(machine: Machine, binding: Binding, t: TaskReport): void {
-    const job = binding.foreign ? undefined : this.term.jobs.get(binding.job);
+  private endExited(machine: Machine, binding: Binding, t: TaskStatus): void {
+    const job = binding.orphaned ? undefined : this.term.jobs.get(binding.job);
     if (t.reason === 'done') {
-      machine.failures = 0;
+      machine.consecutiveFailures = 0;
       if (job) this.learn(job, binding);
     } else if (t.reason === 'error' || t.reason === 'unknown') {
       this.noteFailure(machine, job, t);
@@ -188,59 +202,62 @@
   }
 
   private learn(job: LiveJob, binding: Binding): void {
-    job.failures = 0;
+    job.consecutiveFailures = 0;
     if (binding.runningSince === null || job.spec.estimate <= 0) return;
     const ratio = (this.runtime.now - binding.runningSince) / job.spec.estimate;
-    const known = this.term.ratios.get(job.spec.jobClass) ?? 1;
-    this.term.ratios.set(
+    const known = this.term.runTimeRatios.get(job.spec.jobClass) ?? 1;
+    this.term.runTimeRatios.set(
       job.spec.jobClass,
       known * (1 - RATIO_WEIGHT) + Math.min(ratio, MAX_RATIO) * RATIO_WEIGHT,
     );
   }
 
   /** Mostly the machine is at fault; a job with a mistake fails on every machine. */
-  private noteFailure(machine: Machine, job: LiveJob | undefined, t: TaskReport): void {
+  private noteFailure(machine: Machine, job: LiveJob | undefined, t: TaskStatus): void {
     this.runtime.env.log(
       'info',
       { machine: machine.id, task: t.task, reason: t.reason },
       'task failed',
     );
-    if (t.reason === 'error' && (job?.failures ?? 0) < MAX_FAILURES) machine.failures++;
-    if (machine.failures >= MAX_FAILURES) machine.quarantinedUntil = this.runtime.now + QUARANTINE;
+    if (t.reason === 'error' && (job?.consecutiveFailures ?? 0) < MAX_FAILURES)
+      machine.consecutiveFailures++;
+    if (machine.consecutiveFailures >= MAX_FAILURES)
+      machine.quarantinedUntil = this.runtime.now + QUARANTINE;
     if (!job) return;
-    job.failures++;
-    if (job.failures < MAX_FAILURES) return;
+    job.consecutiveFailures++;
+    if (job.consecutiveFailures < MAX_FAILURES) return;
     job.backoffUntil =
-      this.runtime.now + Math.min(MAX_BACKOFF, FIRST_BACKOFF * 2 ** (job.failures - MAX_FAILURES));
+      this.runtime.now +
+      Math.min(MAX_BACKOFF, FIRST_BACKOFF * 2 ** (job.consecutiveFailures - MAX_FAILURES));
   }
 
   /** A task found on a machine without a binding of this term. */
-  private adopt(machine: Machine, t: TaskReport): Binding {
+  private adopt(machine: Machine, t: TaskStatus): Binding {
     const at = splitTaskId(t.task) ?? { job: t.task, index: 0 };
     const job = this.term.jobs.get(at.job);
-    const wanted = job !== undefined && wants(job, at.index);
+    const wanted = job !== undefined && needsTask(job, at.index);
     const binding: Binding = {
-      ...takes(job),
+      ...requirementsOf(job),
       task: t.task,
       job: at.job,
       index: at.index,
       attempt: t.attempt,
       machine: machine.id,
-      phase: 'seen',
-      bookedAt: this.runtime.now,
-      sentSession: 0,
-      sentSeq: 0,
+      phase: 'observed',
+      assignedAt: this.runtime.now,
+      dispatchedAgentEpoch: 0,
+      dispatchedSequenceNumber: 0,
       state: null,
       runningSince: null,
-      stop: wanted ? null : { grace: 0, reason: 'not wanted' },
-      sheltered: false,
-      foreign: !wanted,
-      goneBy: null,
+      stopRequest: wanted ? null : { gracePeriod: 0, reason: 'not wanted' },
+      protectedFromPreemption: false,
+      orphaned: !wanted,
+      terminationDeadline: null,
     };
     this.bindings.bind(machine, binding);
     if (wanted) {
-      job.bound.set(binding.index, binding);
-      job.open.delete(binding.index);
+      job.bindings.set(binding.index, binding);
+      job.openTasks.delete(binding.index);
     }
     if (!job) this.lookup.lookUp(binding);
     return binding;
@@ -248,13 +265,15 @@
 }
 
 /** The task is one of the job's, and is neither done nor bound to another machine. */
-function wants(job: LiveJob, index: number): boolean {
-  return index < job.spec.taskCount && !job.isDone(index) && !job.bound.has(index);
+function needsTask(job: LiveJob, index: number): boolean {
+  return index < job.spec.taskCount && !job.isDone(index) && !job.bindings.has(index);
 }
 
 /** What a task of the job takes; nothing where the job is not known, until it is looked up. */
-function takes(job: LiveJob | undefined): Pick<Binding, 'team' | 'size' | 'image' | 'imageGb'> {
-  if (!job) return { team: '', size: NOTHING, image: null, imageGb: 0 };
+function requirementsOf(
+  job: LiveJob | undefined,
+): Pick<Binding, 'team' | 'resources' | 'image' | 'imageGb'> {
+  if (!job) return { team: '', resources: NO_RESOURCES, image: null, imageGb: 0 };
   const { team, image, imageGb } = job.spec;
-  return { team, size: need(job.spec), image, imageGb };
+  return { team, resources: resourcesOf(job.spec), image, imageGb };
 }
--- a/packages/controller/src/term/job-completion.ts
+++ b/packages/controller/src/term/job-completion.ts
@@ -1,6 +1,6 @@
 /** Commits ends of jobs and progress of tasks. */
-import type { Guard, Write } from '@tealdock/wire';
-import { rank } from '@tealdock/scheduler';
+import type { Precondition, Write } from '@tealdock/wire';
+import { priorityRank } from '@tealdock/scheduler';
 import { endOf, type JobEnd } from '../jobs/dependency-graph.js';
 import { endedKey, endedValue, progressEntry, specKey, type EndedValue } from '../state/keys.js';
 import type { Leadership } from '../leadership/leadership.js';
@@ -20,7 +20,7 @@
 interface Ending {
   job: LiveJob;
   value: EndedValue;
-  guard: Guard;
+  guard: Precondition;
   writes: Write[];
 }
 
@@ -49,7 +49,7 @@
 
   private repeat(period: number, run: () => void): void {
     this.runtime.every(period, () => {
-      if (!this.term.closed && this.term.loaded && this.leadership.held()) run();
+      if (!this.term.closed && this.term.stateLoaded && this.leadership.validLease()) run();
       return !this.term.closed;
     });
   }
@@ -59,9 +59,9 @@
     const batch = this.endings();
     if (batch.length === 0) return this.removeStrayKeys();
     this.busy = true;
-    const guards = [this.leadership.guard(), ...batch.map((e) => e.guard)];
+    const guards = [this.leadership.leaderPrecondition(), ...batch.map((e) => e.guard)];
     const writes = batch.flatMap((e) => e.writes);
-    this.state.commit(guards, writes, PRIORITY.leader, (committed) => {
+    this.state.compareAndSwap(guards, writes, PRIORITY.leader, (committed) => {
       this.busy = false;
       if (committed.kind === 'conflict') this.reconcile(batch);
       if (committed.kind !== 'ok') return;
@@ -69,13 +69,13 @@
         this.ended(job, { ...value, revision: committed.revision });
       }
       // Others may wait for the next end.
-      if (!this.term.closed && this.leadership.held()) this.flush();
+      if (!this.term.closed && this.leadership.validLease()) this.flush();
     });
   }
 
   /** As many as one transaction takes. */
   private endings(): Ending[] {
-    const most = Math.floor(this.runtime.settings.state.txnOps / 2);
+    const most = Math.floor(this.runtime.settings.state.maxTransactionWrites / 2);
     return this.jobsToEnd()
       .slice(0, most)
       .map((job) => this.ending(job));
@@ -124,10 +124,15 @@
     if (keys.length === 0) return;
     this.busy = true;
     const writes = keys.map((key) => ({ remove: key }));
-    this.state.commit([this.leadership.guard()], writes, PRIORITY.background, (committed) => {
-      this.busy = false;
-      if (committed.kind !== 'ok') this.term.strayKeys.push(...keys);
-    });
+    this.state.compareAndSwap(
+      [this.leadership.leaderPrecondition()],
+      writes,
+      PRIORITY.background,
+      (committed) => {
+        this.busy = false;
+        if (committed.kind !== 'ok') this.term.strayKeys.push(...keys);
+      },
+    );
   }
 
   /**
@@ -144,9 +149,9 @@
 
   /** A job whose tasks are all done, or one that needs a cancelled job and never started. */
   private ending(job: LiveJob): Ending {
-    const { valueBytes } = this.runtime.settings.state;
+    const { maxValueBytes } = this.runtime.settings.state;
     const state = job.predecessorCancelled ? 'cancelled' : 'done';
-    const value = endedValue(state, job.accepted, this.runtime.today, valueBytes);
+    const value = endedValue(state, job.accepted, this.runtime.wallClock, maxValueBytes);
     return {
       job,
       value,
@@ -158,7 +163,7 @@
 
 /** The higher priority first, then the earlier due time; both include those of dependents. */
 function byUrgency(a: LiveJob, b: LiveJob): number {
-  const byPriority = rank(b.spec) - rank(a.spec);
+  const byPriority = priorityRank(b.spec) - priorityRank(a.spec);
   if (byPriority !== 0 || a.finishBy === b.finishBy) return byPriority;
   return a.finishBy - b.finishBy;
 }
--- a/packages/controller/src/term/job-watch.ts
+++ b/packages/controller/src/term/job-watch.ts
@@ -18,7 +18,7 @@
  */
 export class JobWatch {
   /** Every cancellation committed before this is known here. */
-  knownTo: Instant = -Infinity;
+  cancellationsKnownUntil: Instant = -Infinity;
   private readonly writeShare: WriteShare;
 
   constructor(
@@ -42,7 +42,7 @@
       if (this.term.closed) return;
       if (watched.kind === 'failed') return this.runtime.after(RETRY, () => this.follow(revision));
       if (watched.kind === 'too_old') return this.reread();
-      this.knownTo = asked;
+      this.cancellationsKnownUntil = asked;
       this.noteRead(watched.revision, watched.events.length);
       for (const event of watched.events) this.jobEvent(event);
       this.follow(watched.revision);
@@ -56,7 +56,7 @@
     this.state.readAll(LIVE_PREFIX, PRIORITY.leader, (live) => {
       if (this.term.closed) return;
       if (!live) return this.runtime.after(RETRY, () => this.reread());
-      this.knownTo = asked;
+      this.cancellationsKnownUntil = asked;
       const specs = new Map<string, StateItem>();
       for (const item of live.items) {
         const at = splitLiveKey(item.key);
@@ -70,9 +70,10 @@
 
   /** Shows in the log what was known of jobs, and since when. */
   private noteRead(revision: number, changes: number): void {
-    const ageMs = Math.round(this.runtime.now - this.knownTo);
+    const ageMs = Math.round(this.runtime.now - this.cancellationsKnownUntil);
     this.runtime.stats.record('evidence.watch_age_ms', ageMs);
-    if (changes > 0) this.runtime.env.log('debug', { revision, changes, ageMs }, 'changes read');
+    if (changes > 0)
+      this.runtime.env.log('debug', { revision, changes, ageMs }, 'job changes received');
   }
 
   private jobEvent(event: StateEvent): void {
--- a/packages/controller/src/term/live-jobs.ts
+++ b/packages/controller/src/term/live-jobs.ts
@@ -20,7 +20,7 @@
   readonly graph: DependencyGraph;
   readonly progress: ShardedTable<string>;
   /** Jobs that have ended. The event of their submission may still be on its way. */
-  private readonly over = new BoundedSet<string>(MAX_ENDED);
+  private readonly endedJobs = new BoundedSet<string>(MAX_ENDED);
 
   constructor(
     private readonly runtime: Runtime,
@@ -38,32 +38,32 @@
   }
 
   /** Its end was read: it is over for good. */
-  noteOver(id: string): void {
-    this.over.add(id);
+  recordEnded(id: string): void {
+    this.endedJobs.add(id);
   }
 
   addJob(id: string, stored: unknown, version: number): void {
-    if (this.term.jobs.has(id) || this.over.has(id)) return;
+    if (this.term.jobs.has(id) || this.endedJobs.has(id)) return;
     const value = readLive(stored);
-    if (!value) return this.runtime.env.log('error', { job: id }, 'stored job can not be read');
-    const age = Math.max(0, this.runtime.today.getTime() - value.submitted);
+    if (!value) return this.runtime.env.log('error', { job: id }, 'stored job unreadable');
+    const age = Math.max(0, this.runtime.wallClock.getTime() - value.submitted);
     const job = new LiveJob(value.spec, version, this.runtime.now - age);
     this.term.jobs.set(id, job);
     this.graph.add(job);
-    if (this.term.loaded) this.graph.readEnds(job);
+    if (this.term.stateLoaded) this.graph.readEnds(job);
     const { jobClass, taskCount, image, imageGb } = value.spec;
     this.runtime.env.log(
       'debug',
       { job: id, jobClass, tasks: taskCount, image, imageGb },
-      'job live',
+      'live job added',
     );
   }
 
   /** The node that committed a cancellation says so, sooner than the watch or without it. */
-  cancelled(id: string): void {
+  cancellationReceived(id: string): void {
     const live = this.term.jobs.has(id);
-    this.runtime.env.log('debug', { job: id, live }, 'cancellation heard');
-    this.over.add(id);
+    this.runtime.env.log('debug', { job: id, live }, 'cancellation received');
+    this.endedJobs.add(id);
     this.endJob(id);
   }
 
@@ -72,18 +72,18 @@
     const job = this.term.jobs.get(id);
     if (!job) return;
     this.term.jobs.delete(id);
-    this.over.add(id);
+    this.endedJobs.add(id);
     this.runtime.env.log('info', { job: id, done: job.doneCount }, 'job ended');
-    for (const binding of job.bound.values()) {
+    for (const binding of job.bindings.values()) {
       this.bindings.discard(binding, 'job ended');
-      this.bindings.noteJobOver(binding, this.runtime.now);
+      this.bindings.setTerminationDeadline(binding, this.runtime.now);
     }
     this.graph.ended(job, end);
   }
 
   /** Its job has ended, for good: known from an event, by word, or from a read of its end. */
-  isOver(binding: Binding): boolean {
-    return this.over.has(binding.job);
+  hasEnded(binding: Binding): boolean {
+    return this.endedJobs.has(binding.job);
   }
 
   /** What the progress table says is done; entries of jobs that have ended are dropped. */
@@ -91,7 +91,7 @@
     for (const [entry, bits] of entries) {
       const at = splitProgressEntry(entry);
       const job = this.term.jobs.get(at.job);
-      if (job) job.noteStored(at.chunk, bits);
+      if (job) job.applyStoredProgress(at.chunk, bits);
       else this.progress.delete(entry);
     }
   }
--- a/packages/controller/src/term/membership.ts
+++ b/packages/controller/src/term/membership.ts
@@ -39,18 +39,19 @@
 
   newMachine(id: string, place: Place): Machine {
     const machine = new Machine(id, place.type, place.zone, place.spot);
-    for (const { image, gb } of this.term.heldBefore.get(id) ?? []) machine.noteImage(image, gb);
+    for (const { image, gb } of this.term.hintedImages.get(id) ?? [])
+      machine.recordImage(image, gb);
     return machine;
   }
 
   /** The registry gets a machine before the machine gets its first start. */
-  join(machine: Machine): void {
+  registerIfNew(machine: Machine): void {
     if (!machine.registered && this.registry.get(machine.id) === undefined) this.enroll(machine);
   }
 
   private enroll(machine: Machine): void {
-    const age = this.runtime.now - Math.min(machine.since, this.runtime.now);
-    const since = Math.round((this.runtime.today.getTime() - age) / 1000);
+    const age = this.runtime.now - Math.min(machine.firstSeenAt, this.runtime.now);
+    const since = Math.round((this.runtime.wallClock.getTime() - age) / 1000);
     this.registry.set(machine.id, [
       machine.type,
       machine.zone,
@@ -66,7 +67,7 @@
       if (!machine) continue;
       machine.registered = true;
       if (entry[3] === 1) machine.returnCommitted = true;
-      if (this.bindings.awaitsStart(id)) this.term.dirtyMachines.add(id);
+      if (this.bindings.hasUndispatched(id)) this.term.dirtyMachines.add(id);
     }
   }
 
@@ -74,22 +75,22 @@
   markReturning(machine: Machine): void {
     if (machine.returning) return;
     machine.returning = true;
-    this.bindings.unbookAll(machine);
+    this.bindings.releaseUndispatched(machine);
     this.enroll(machine);
   }
 
   /** The cloud answered 200 to its return: the machine and all on it are gone. */
-  machineGone(id: string): void {
+  recordTerminated(id: string): void {
     const machine = this.term.machines.get(id);
     this.gone.add(id);
     if (!machine) return;
-    this.bindings.unbookAll(machine);
-    this.bindings.endAll(machine, 'returned to the cloud');
+    this.bindings.releaseUndispatched(machine);
+    this.bindings.endDispatched(machine, 'returned to the cloud');
     this.term.machines.delete(id);
     this.registry.remove(id);
   }
 
-  isGone(id: string): boolean {
+  isTerminated(id: string): boolean {
     return this.gone.has(id);
   }
 }
--- a/packages/controller/src/term/rebuild.ts
+++ b/packages/controller/src/term/rebuild.ts
@@ -37,7 +37,7 @@
       this.state.readAll(LIVE_PREFIX, PRIORITY.leader, (live) => {
         if (!live) return retry();
         if (this.term.closed) return;
-        this.watch.knownTo = asked;
+        this.watch.cancellationsKnownUntil = asked;
         for (const [id, entry] of this.membership.registry.load(registry))
           this.loadMachine(id, entry);
         this.loadJobs(live.items);
@@ -60,16 +60,16 @@
   }
 
   private finishLoad(revision: number): void {
-    this.term.loaded = true;
-    this.runtime.stats.record('takeover.load_ms', this.runtime.now - this.term.acquired);
+    this.term.stateLoaded = true;
+    this.runtime.stats.record('takeover.load_ms', this.runtime.now - this.term.electedAt);
     this.runtime.env.log(
       'info',
       {
-        token: this.term.fencingToken,
+        fencingToken: this.term.fencingToken,
         jobs: this.term.jobs.size,
         machines: this.term.machines.size,
       },
-      'term loaded',
+      'stored state loaded',
     );
     this.watch.follow(revision);
   }
@@ -80,8 +80,9 @@
       this.membership.newMachine(id, { type, zone, spot: spot === 1 });
     machine.registered = true;
     machine.returning = machine.returnCommitted = returning === 1;
-    machine.since = this.runtime.now - Math.max(0, this.runtime.today.getTime() - since * 1000);
-    machine.resolved = machine.lastCounted !== null;
+    machine.firstSeenAt =
+      this.runtime.now - Math.max(0, this.runtime.wallClock.getTime() - since * 1000);
+    machine.reconciled = machine.lastHeartbeatAt !== null;
     this.term.machines.set(id, machine);
   }
 
--- a/packages/controller/src/term/successor-hints.ts
+++ b/packages/controller/src/term/successor-hints.ts
@@ -15,7 +15,7 @@
     return { id: machine.id, held };
   });
   return {
-    ratios: [...term.ratios].map(([jobClass, ratio]) => ({ jobClass, ratio })),
+    ratios: [...term.runTimeRatios].map(([jobClass, ratio]) => ({ jobClass, ratio })),
     images: [...images].map(([image, { gb }]) => ({ image, gb })),
     machines: machines.filter((m) => m.held.length > 0),
     fetchSharing: term.fetchSharing.likely,
@@ -24,10 +24,10 @@
 
 /** Starts a term from what the last leader had learnt. */
 export function useHints(hints: Hints, term: Term): void {
-  for (const { jobClass, ratio } of hints.ratios) term.ratios.set(jobClass, ratio);
+  for (const { jobClass, ratio } of hints.ratios) term.runTimeRatios.set(jobClass, ratio);
   term.fetchSharing.likely = hints.fetchSharing;
   for (const { id, held } of hints.machines) {
     const images = held.map((at) => hints.images[at]).filter((i) => i !== undefined);
-    term.heldBefore.set(id, images);
+    term.hintedImages.set(id, images);
   }
 }
--- a/packages/controller/src/term/term-state.ts
+++ b/packages/controller/src/term/term-state.ts
@@ -10,14 +10,14 @@
   readonly jobs = new Map<string, LiveJob>();
   readonly machines = new Map<string, Machine>();
   /** When leadership was won. */
-  readonly acquired: Instant;
+  readonly electedAt: Instant;
   /** The stored state has been read. */
-  loaded = false;
+  stateLoaded = false;
   closed = false;
   /** Learnt ratio of actual to estimated run time, by class. */
-  readonly ratios = new Map<string, number>();
+  readonly runTimeRatios = new Map<string, number>();
   /** Images that a machine held by the word of the last leader. */
-  readonly heldBefore = new Map<string, { image: string; gb: number }[]>();
+  readonly hintedImages = new Map<string, { image: string; gb: number }[]>();
   /** Keys below the live jobs that belong to none. */
   readonly strayKeys: string[] = [];
   readonly ledger = new UsageLedger();
@@ -29,13 +29,13 @@
     now: Instant,
     readonly fencingToken: number,
   ) {
-    this.acquired = now;
+    this.electedAt = now;
   }
 
   /** Machines of which it is not known yet what runs on them. */
-  unresolved(): Machine[] {
+  unreconciledMachines(): Machine[] {
     const open: Machine[] = [];
-    for (const machine of this.machines.values()) if (!machine.resolved) open.push(machine);
+    for (const machine of this.machines.values()) if (!machine.reconciled) open.push(machine);
     return open;
   }
 }
--- a/packages/controller/src/term/term.ts
+++ b/packages/controller/src/term/term.ts
@@ -13,9 +13,9 @@
 import { JobWatch } from './job-watch.js';
 import { LiveJobs } from './live-jobs.js';
 import { Membership } from './membership.js';
-import { Orders } from './orders.js';
+import { WorkerCommands } from './worker-commands.js';
 import { Rebuild } from './rebuild.js';
-import { ReportIntake } from './report-intake.js';
+import { HeartbeatProcessor } from './heartbeat-processor.js';
 import { TermState } from './term-state.js';
 
 const SWEEP_EVERY = 1000;
@@ -28,14 +28,14 @@
  * carry this term's token; a binding ends only on proof (docs/safety.md).
  */
 export class Term extends TermState implements Knowledge {
-  lastReport: Instant;
+  lastHeartbeatAt: Instant;
   readonly bindings: Bindings;
   readonly liveJobs: LiveJobs;
   readonly membership: Membership;
   readonly watch: JobWatch;
   readonly authority: Authority;
-  readonly orders: Orders;
-  readonly reports: ReportIntake;
+  readonly workerCommands: WorkerCommands;
+  readonly heartbeats: HeartbeatProcessor;
   readonly leaseExpiry: LeaseExpiry;
   private readonly lookup: EndedJobLookup;
   private readonly rebuild: Rebuild;
@@ -48,20 +48,25 @@
     fencingToken: number,
   ) {
     super(runtime.now, fencingToken);
-    this.lastReport = runtime.now;
+    this.lastHeartbeatAt = runtime.now;
     this.bindings = new Bindings(runtime, leadership, this);
     this.liveJobs = new LiveJobs(runtime, state, leadership, this, this.bindings);
     this.membership = new Membership(runtime, state, leadership, this, this.bindings);
     this.watch = new JobWatch(runtime, state, this, this.liveJobs);
     this.lookup = new EndedJobLookup(runtime, state, this, this.liveJobs, this.bindings);
     this.authority = new Authority(runtime, leadership, this);
-    this.orders = new Orders(runtime, this, this.authority, new Invariants(runtime));
-    this.reports = new ReportIntake(
+    this.workerCommands = new WorkerCommands(
+      runtime,
+      this,
+      this.authority,
+      new Invariants(runtime),
+    );
+    this.heartbeats = new HeartbeatProcessor(
       runtime,
       this,
       this.bindings,
       this.lookup,
-      this.orders,
+      this.workerCommands,
       this.membership,
     );
     this.rebuild = new Rebuild(runtime, state, this, this.membership, this.liveJobs, this.watch);
@@ -69,18 +74,18 @@
   }
 
   /** All machines of the registry are accounted for. */
-  get ready(): boolean {
-    return this.settled && this.unresolved().length === 0;
+  get allMachinesReconciled(): boolean {
+    return this.observedJobsLoaded && this.unreconciledMachines().length === 0;
   }
 
   /** Everything that reports have shown so far is known by size and team. */
-  get settled(): boolean {
-    return this.lookup.settled;
+  get observedJobsLoaded(): boolean {
+    return this.lookup.isComplete;
   }
 
   /** Every cancellation committed before this is known. */
-  get knownTo(): Instant {
-    return this.watch.knownTo;
+  get cancellationsKnownUntil(): Instant {
+    return this.watch.cancellationsKnownUntil;
   }
 
   isLive(job: string): boolean {
@@ -93,7 +98,7 @@
    * started any of it (docs/safety.md, Rebuild).
    */
   mayPlace(job: LiveJob, ready: boolean): boolean {
-    return ready || (this.settled && job.startableSince > this.fencingToken);
+    return ready || (this.observedJobsLoaded && job.startableSinceRevision > this.fencingToken);
   }
 
   start(): void {
@@ -113,29 +118,29 @@
 
   /** Notes when all machines are accounted for, which is when all work may be placed. */
   private noteReady(): void {
-    if (this.wasReady || !this.ready) return;
+    if (this.wasReady || !this.allMachinesReconciled) return;
     this.wasReady = true;
-    const took = this.runtime.now - this.acquired;
+    const took = this.runtime.now - this.electedAt;
     this.runtime.stats.record('takeover.ready_ms', took);
     this.runtime.env.log(
       'info',
-      { token: this.fencingToken, took: Math.round(took) },
-      'roster accounted for',
+      { fencingToken: this.fencingToken, tookMs: Math.round(took) },
+      'machine registry reconciled',
     );
   }
 
   private sweep(): void {
     // While the lease is in doubt nothing is heard, so missing reports mean nothing.
-    if (!this.leadership.held()) return;
+    if (!this.leadership.validLease()) return;
     this.noteReady();
-    this.orders.updateSmallest();
-    if (this.loaded) this.leaseExpiry.check();
+    this.workerCommands.updateSmallestTask();
+    if (this.stateLoaded) this.leaseExpiry.check();
     for (const machine of this.machines.values()) {
-      machine.accumulate(SWEEP_EVERY);
-      const patience = this.runtime.settings.reportEvery * BOOKING_PATIENCE;
-      const late = this.runtime.now - (machine.lastCounted ?? this.acquired) > patience;
-      if (late || machine.returning || machine.noticeUntil !== null)
-        this.bindings.unbookAll(machine);
+      machine.accumulateComputeTime(SWEEP_EVERY);
+      const patience = this.runtime.settings.heartbeatInterval * BOOKING_PATIENCE;
+      const late = this.runtime.now - (machine.lastHeartbeatAt ?? this.electedAt) > patience;
+      if (late || machine.returning || machine.preemptionDeadline !== null)
+        this.bindings.releaseUndispatched(machine);
       const idle = machine.bindings.size === 0;
       machine.idleSince = idle ? (machine.idleSince ?? this.runtime.now) : null;
     }
@@ -144,10 +149,10 @@
   /** Their leases are surely over: the workers have killed all they had. */
   private endExpired(expired: Machine[]): void {
     const machines = expired.map((m) => m.id);
-    this.runtime.env.log('info', { machines }, 'leases of silent machines ran out');
+    this.runtime.env.log('info', { machines }, 'worker leases expired');
     for (const machine of expired) {
-      this.bindings.endAll(machine, 'lease ran out');
-      machine.resolved = true;
+      this.bindings.endDispatched(machine, 'lease ran out');
+      machine.reconciled = true;
       // Never enrolled, so without tasks: what a late copy of a report told of.
       if (!machine.registered && machine.bindings.size === 0) this.machines.delete(machine.id);
     }
--- a/packages/scheduler/src/dependent-demands.ts
+++ b/packages/scheduler/src/dependent-demands.ts
@@ -1,6 +1,6 @@
 /** Priority and due time that jobs inherit from their dependents. */
 import type { Duration, Instant, Priority } from '@tealdock/wire';
-import { higher } from './order.js';
+import { higherPriority } from './job-ordering.js';
 
 /** An unfinished job as its chain sees it. */
 export interface GraphJob {
@@ -40,7 +40,7 @@
   for (let node = next.pop(); node; node = next.pop()) {
     const { job, demand } = node;
     for (const before of predecessors(node)) {
-      before.demand.priority = higher(before.demand.priority, demand.priority);
+      before.demand.priority = higherPriority(before.demand.priority, demand.priority);
       before.demand.finishBy = Math.min(before.demand.finishBy, demand.finishBy - job.run);
       before.dependentsLeft--;
       if (before.dependentsLeft === 0) next.push(before);
--- a/packages/scheduler/src/index.ts
+++ b/packages/scheduler/src/index.ts
@@ -1,8 +1,8 @@
 /** Pure decisions, without time or state of their own. */
-export * from './model.js';
-export * from './front.js';
-export * from './rules.js';
-export * from './order.js';
-export * from './preempt.js';
+export * from './resources.js';
+export * from './pareto-front.js';
+export * from './placement-constraints.js';
+export * from './job-ordering.js';
+export * from './preemption-planning.js';
 export * from './rental-plan.js';
 export * from './dependent-demands.js';
--- a/packages/scheduler/src/order.ts
+++ b/packages/scheduler/src/job-ordering.ts
@@ -3,16 +3,17 @@
 
 const RANKS: Record<Priority, number> = { production: 3, high: 2, normal: 1, low: 0 };
 
-export const rank = (spec: JobSpec): number => RANKS[spec.priority];
+export const priorityRank = (spec: JobSpec): number => RANKS[spec.priority];
 
-export const higher = (a: Priority, b: Priority): Priority => (RANKS[a] >= RANKS[b] ? a : b);
+export const higherPriority = (a: Priority, b: Priority): Priority =>
+  RANKS[a] >= RANKS[b] ? a : b;
 
 /** What the order of jobs depends on. */
-export interface Ranked {
+export interface JobRank {
   spec: JobSpec;
   submitted: Instant;
   /** Latest start for the next aim that can still be met; Infinity when none can. */
-  due: Instant;
+  latestStart: Instant;
   /** True while the job's team is below its guarantee. */
   guaranteed: boolean;
   /** Nothing of it has begun for too long. */
@@ -26,12 +27,12 @@
  * due first, the oldest. In overload work that has missed its aims waits for work
  * that can still meet them.
  */
-export function compareJobs(a: Ranked, b: Ranked): number {
+export function compareJobs(a: JobRank, b: JobRank): number {
   if (a.starving !== b.starving) return a.starving ? -1 : 1;
   if (a.starving) return a.submitted - b.submitted;
   if (a.guaranteed !== b.guaranteed) return a.guaranteed ? -1 : 1;
-  const byRank = rank(b.spec) - rank(a.spec);
+  const byRank = priorityRank(b.spec) - priorityRank(a.spec);
   if (byRank !== 0) return byRank;
-  if (a.due !== b.due) return a.due - b.due;
+  if (a.latestStart !== b.latestStart) return a.latestStart - b.latestStart;
   return a.submitted - b.submitted;
 }
--- a/packages/scheduler/src/front.ts
+++ b/packages/scheduler/src/pareto-front.ts
@@ -1,20 +1,20 @@
 /** One volunteer as the front sees it: three criteria, all lowered. */
 export interface Volunteer {
   /** Booked share of the machine, from 0 to 1. */
-  load: number;
+  bookedShare: number;
   /** Price per hour; 0 for an owned machine. */
   price: number;
   /** Computing time booked on it over the recent past. */
-  recent: number;
+  recentComputeTime: number;
   /** 0: holds the image; 1: is fetching it; 2: fetches nothing; from 3: other fetches are in its way. */
   imageRank: number;
 }
 
 export const dominates = (a: Volunteer, b: Volunteer): boolean =>
-  a.load <= b.load &&
+  a.bookedShare <= b.bookedShare &&
   a.price <= b.price &&
-  a.recent <= b.recent &&
-  (a.load < b.load || a.price < b.price || a.recent < b.recent);
+  a.recentComputeTime <= b.recentComputeTime &&
+  (a.bookedShare < b.bookedShare || a.price < b.price || a.recentComputeTime < b.recentComputeTime);
 
 /** A member of the front at or above the volunteer; dominance is transitive, so one pass does. */
 function climb<V extends Volunteer>(from: V, volunteers: readonly V[]): V {
@@ -43,7 +43,7 @@
  * Heuristic 3-ter with image holders first: the front among them, else among
  * those that will have the image soonest.
  */
-export function choose<V extends Volunteer>(volunteers: readonly V[]): V | undefined {
+export function chooseVolunteer<V extends Volunteer>(volunteers: readonly V[]): V | undefined {
   let best = Infinity;
   for (const v of volunteers) best = Math.min(best, v.imageRank);
   return firstOfFront(volunteers.filter((v) => v.imageRank === best));
