--- a/packages/scheduler/src/rules.ts
+++ b/packages/scheduler/src/placement-constraints.ts
@@ -1,6 +1,6 @@
 /** Rules that bound where a job may be placed. */
 import type { JobSpec, MachineType, Team } from '@tealdock/wire';
-import { fits, need, type Resources } from './model.js';
+import { fits, resourcesOf, type Resources } from './resources.js';
 
 /** Where a machine stands and what kind it is. */
 export interface Place {
@@ -28,24 +28,29 @@
 }
 
 /** Whether a team stays within its limit with what is wanted as well. */
-export function withinLimit(team: Team, used: Resources, wanted: Resources): boolean {
+export function withinTeamQuota(team: Team, used: Resources, requested: Resources): boolean {
   return (
-    used.cpus + wanted.cpus <= team.cpusMax + 1e-6 && used.gpus + wanted.gpus <= team.gpusMax + 1e-6
+    used.cpus + requested.cpus <= team.maxCpus + 1e-6 &&
+    used.gpus + requested.gpus <= team.maxGpus + 1e-6
   );
 }
 
 /** Why a job can never run, or null. */
-export function whyNever(spec: JobSpec, teams: Team[], types: MachineType[]): string | null {
+export function infeasibilityReason(
+  spec: JobSpec,
+  teams: Team[],
+  types: MachineType[],
+): string | null {
   const team = teams.find((t) => t.name === spec.team);
   if (!team) return 'unknown team';
   const atOnce = spec.kind === 'array' ? 1 : spec.taskCount;
-  if (spec.cpus * atOnce > team.cpusMax || spec.gpus * atOnce > team.gpusMax) {
+  if (spec.cpus * atOnce > team.maxCpus || spec.gpus * atOnce > team.maxGpus) {
     return "over the team's limit";
   }
   const possible = types.some(
     (t) =>
       typeAllowed(spec, t.name) &&
-      fits(need(spec), t) &&
+      fits(resourcesOf(spec), t) &&
       (spec.zone === null || t.zones.includes(spec.zone)),
   );
   return possible ? null : 'no allowed machine type can hold a task';
--- a/packages/scheduler/src/preempt.ts
+++ b/packages/scheduler/src/preemption-planning.ts
@@ -1,18 +1,18 @@
 /** What to stop on one machine. */
 import type { Duration } from '@tealdock/wire';
-import { fits, plus, type Resources } from './model.js';
+import { fits, addResources, type Resources } from './resources.js';
 
 /** Something that could be stopped, and what its stop would lose. */
 export interface Victim<T> {
-  of: T;
-  size: Resources;
-  lost: Duration;
+  item: T;
+  resources: Resources;
+  lostWork: Duration;
 }
 
 /** Tasks to stop on one machine, and the work lost by that. */
-export interface Plan<T> {
+export interface PreemptionPlan<T> {
   victims: Victim<T>[];
-  lost: Duration;
+  lostWork: Duration;
 }
 
 /** What to stop on one machine so that there is room, the least work lost first. */
@@ -20,14 +20,14 @@
   free: Resources,
   victims: Victim<T>[],
   wanted: Resources,
-): Plan<T> | null {
+): PreemptionPlan<T> | null {
   let room = free;
   const chosen: Victim<T>[] = [];
-  for (const victim of victims.sort((a, b) => a.lost - b.lost)) {
+  for (const victim of victims.sort((a, b) => a.lostWork - b.lostWork)) {
     if (fits(wanted, room)) break;
-    room = plus(room, victim.size);
+    room = addResources(room, victim.resources);
     chosen.push(victim);
   }
   if (!fits(wanted, room)) return null;
-  return { victims: chosen, lost: chosen.reduce((sum, v) => sum + v.lost, 0) };
+  return { victims: chosen, lostWork: chosen.reduce((sum, v) => sum + v.lostWork, 0) };
 }
--- a/packages/scheduler/src/rental-plan.ts
+++ b/packages/scheduler/src/rental-plan.ts
@@ -1,14 +1,21 @@
 /** Which machines to rent for a backlog. */
 import type { JobSpec, MachineType } from '@tealdock/wire';
-import { fits, least, minus, need, slots, type Resources } from './model.js';
-import { placeAllowed, type Place } from './rules.js';
+import {
+  fits,
+  minResources,
+  subtractResources,
+  resourcesOf,
+  taskSlots,
+  type Resources,
+} from './resources.js';
+import { placeAllowed, type Place } from './placement-constraints.js';
 
 /** Tasks of one job that wait for room. */
 export interface Backlog {
   spec: JobSpec;
   tasks: number;
   /** Most that a task's slot may cost an hour; work in no hurry waits for a cheap one. */
-  mostPrice?: number;
+  maxPrice?: number;
 }
 
 /** Free or coming capacity that need not be rented. */
@@ -19,7 +26,7 @@
 /** A kind of machine that can be asked for now. */
 export interface Offering extends Place {
   price: number;
-  size: Resources;
+  resources: Resources;
 }
 
 const NOWHERE: ReadonlyMap<string, number> = new Map();
@@ -33,7 +40,7 @@
         zone,
         spot,
         price: spot ? t.spotPrice : t.price,
-        size: { cpus: t.cpus, gpus: t.gpus, memoryGb: t.memoryGb },
+        resources: { cpus: t.cpus, gpus: t.gpus, memoryGb: t.memoryGb },
       })),
     ),
   );
@@ -42,39 +49,39 @@
 
 /** Price of one task slot for an hour; the tail of a backlog does not fill a large machine. */
 const slotPrice = (o: Offering, wanted: Resources, tasks: number): number =>
-  o.price / Math.max(1, Math.min(slots(wanted, o.size), tasks));
+  o.price / Math.max(1, Math.min(taskSlots(wanted, o.resources), tasks));
 
 /** Offers that can hold such a task. */
 function ableOffers(offers: Offering[], spec: JobSpec): Offering[] {
-  const wanted = need(spec);
-  return offers.filter((o) => placeAllowed(spec, o, NOWHERE) && slots(wanted, o.size) > 0);
+  const wanted = resourcesOf(spec);
+  return offers.filter((o) => placeAllowed(spec, o, NOWHERE) && taskSlots(wanted, o.resources) > 0);
 }
 
 function cheapest(able: Offering[], backlog: Backlog, tasks: number): Offering | undefined {
-  const wanted = need(backlog.spec);
+  const wanted = resourcesOf(backlog.spec);
   let best: Offering | undefined;
   let lowest = Infinity;
   for (const offer of able) {
     const price = slotPrice(offer, wanted, tasks);
     if (price < lowest) [best, lowest] = [offer, price];
   }
-  return lowest <= (backlog.mostPrice ?? Infinity) ? best : undefined;
+  return lowest <= (backlog.maxPrice ?? Infinity) ? best : undefined;
 }
 
 /** The least that a slot for such a task costs an hour, on a machine filled with them. */
-export function leastSlotPrice(all: Offering[], spec: JobSpec): number {
-  const wanted = need(spec);
+export function minSlotPrice(all: Offering[], spec: JobSpec): number {
+  const wanted = resourcesOf(spec);
   const prices = ableOffers(all, spec).map((o) => slotPrice(o, wanted, Infinity));
   return Math.min(Infinity, ...prices);
 }
 
 /** Takes room for as many of the tasks as there is, and says how many are left. */
 function useRoom(rooms: FreeCapacity[], spec: JobSpec, tasks: number): number {
-  const wanted = need(spec);
+  const wanted = resourcesOf(spec);
   let left = tasks;
   for (const r of rooms) {
     if (left === 0) break;
-    const taken = Math.min(left, slots(wanted, r.free));
+    const taken = Math.min(left, taskSlots(wanted, r.free));
     if (taken === 0 || !placeAllowed(spec, r, NOWHERE)) continue;
     left -= taken;
     const used = {
@@ -82,7 +89,7 @@
       gpus: wanted.gpus * taken,
       memoryGb: wanted.memoryGb * taken,
     };
-    r.free = minus(r.free, used);
+    r.free = subtractResources(r.free, used);
   }
   return left;
 }
@@ -99,7 +106,7 @@
 ): Offering[] {
   const wanting = backlog.filter((entry) => entry.tasks > 0);
   if (wanting.length === 0 || offers.length === 0) return [];
-  const smallest = wanting.map((entry) => need(entry.spec)).reduce(least);
+  const smallest = wanting.map((entry) => resourcesOf(entry.spec)).reduce(minResources);
   const usable = (r: FreeCapacity) => fits(smallest, r.free);
   let rooms = room.filter(usable).map((r) => ({ ...r }));
   const plan: Offering[] = [];
@@ -113,7 +120,7 @@
       const offer = cheapest(able, entry, left);
       if (!offer) break;
       plan.push(offer);
-      const added: FreeCapacity = { ...offer, free: offer.size };
+      const added: FreeCapacity = { ...offer, free: offer.resources };
       left = useRoom([added], entry.spec, left);
       if (usable(added)) rooms.push(added);
     }
--- a/packages/scheduler/src/model.ts
+++ b/packages/scheduler/src/resources.ts
@@ -11,40 +11,40 @@
 /** Tolerance for sums of decimal amounts. */
 const EPSILON = 1e-6;
 
-export const need = (spec: JobSpec): Resources => ({
+export const resourcesOf = (spec: JobSpec): Resources => ({
   cpus: spec.cpus,
   gpus: spec.gpus,
   memoryGb: spec.memoryGb,
 });
 
-export const fits = (wanted: Resources, free: Resources): boolean =>
-  wanted.cpus <= free.cpus + EPSILON &&
-  wanted.gpus <= free.gpus + EPSILON &&
-  wanted.memoryGb <= free.memoryGb + EPSILON;
+export const fits = (requested: Resources, free: Resources): boolean =>
+  requested.cpus <= free.cpus + EPSILON &&
+  requested.gpus <= free.gpus + EPSILON &&
+  requested.memoryGb <= free.memoryGb + EPSILON;
 
-export const plus = (a: Resources, b: Resources): Resources => ({
+export const addResources = (a: Resources, b: Resources): Resources => ({
   cpus: a.cpus + b.cpus,
   gpus: a.gpus + b.gpus,
   memoryGb: a.memoryGb + b.memoryGb,
 });
 
-export const minus = (a: Resources, b: Resources): Resources => ({
+export const subtractResources = (a: Resources, b: Resources): Resources => ({
   cpus: a.cpus - b.cpus,
   gpus: a.gpus - b.gpus,
   memoryGb: a.memoryGb - b.memoryGb,
 });
 
 /** The smaller of each kind. */
-export const least = (a: Resources, b: Resources): Resources => ({
+export const minResources = (a: Resources, b: Resources): Resources => ({
   cpus: Math.min(a.cpus, b.cpus),
   gpus: Math.min(a.gpus, b.gpus),
   memoryGb: Math.min(a.memoryGb, b.memoryGb),
 });
 
-export const NOTHING: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
+export const NO_RESOURCES: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
 
 /** How many tasks of this size fit into a room. */
-export function slots(wanted: Resources, room: Resources): number {
+export function taskSlots(wanted: Resources, room: Resources): number {
   const ratio = (w: number, r: number) => (w <= 0 ? Infinity : Math.floor((r + EPSILON) / w));
   const count = Math.min(
     ratio(wanted.cpus, room.cpus),
--- a/packages/testing/src/authority.test.ts
+++ b/packages/testing/src/authority.test.ts
@@ -14,7 +14,7 @@
 import { A, cancelled, settled, violations } from './scenario.js';
 
 const NOW = 100_000;
-const READY: StartTarget = { registered: true, resolved: true, returning: false };
+const READY: StartTarget = { registered: true, reconciled: true, returning: false };
 
 interface Given {
   knowledge?: Partial<Knowledge>;
@@ -32,8 +32,14 @@
   });
   runtime.now = NOW;
   const held = lease === null ? null : { fencingToken: 7, validUntil: NOW + lease };
-  const all = { loaded: true, closed: false, knownTo: NOW, settled: true, isLive: () => true };
-  return new Authority(runtime, { held: () => held }, { ...all, ...knowledge });
+  const all = {
+    stateLoaded: true,
+    closed: false,
+    cancellationsKnownUntil: NOW,
+    observedJobsLoaded: true,
+    isLive: () => true,
+  };
+  return new Authority(runtime, { validLease: () => held }, { ...all, ...knowledge });
 }
 
 const reasonOf = (decision: Decision): string => (decision.granted ? 'granted' : decision.reason);
@@ -43,10 +49,10 @@
   assert.equal(renewal({}), 'granted');
   assert.equal(renewal({ lease: null }), 'no_lease');
   assert.equal(renewal({ knowledge: { closed: true } }), 'term_over');
-  assert.equal(renewal({ knowledge: { loaded: false } }), 'jobs_not_read');
-  assert.equal(renewal({ knowledge: { knownTo: NOW - 6000 } }), 'granted');
-  assert.equal(renewal({ knowledge: { knownTo: NOW - 6001 } }), 'knowledge_stale');
-  assert.equal(renewal({ knowledge: { knownTo: -Infinity } }), 'knowledge_stale');
+  assert.equal(renewal({ knowledge: { stateLoaded: false } }), 'jobs_not_read');
+  assert.equal(renewal({ knowledge: { cancellationsKnownUntil: NOW - 6000 } }), 'granted');
+  assert.equal(renewal({ knowledge: { cancellationsKnownUntil: NOW - 6001 } }), 'knowledge_stale');
+  assert.equal(renewal({ knowledge: { cancellationsKnownUntil: -Infinity } }), 'knowledge_stale');
 });
 
 test('a right to answer ends with the lease or with the knowledge, whichever is first', () => {
@@ -55,23 +61,26 @@
     return decision.granted ? decision.validUntil : null;
   };
   assert.equal(until({ lease: 1000 }), NOW + 1000);
-  assert.equal(until({ lease: 9000, knowledge: { knownTo: NOW - 2000 } }), NOW + 4000);
+  assert.equal(
+    until({ lease: 9000, knowledge: { cancellationsKnownUntil: NOW - 2000 } }),
+    NOW + 4000,
+  );
 });
 
 test('a start needs fresher knowledge, and a machine that is accounted for', () => {
   const start = (knowledge: Partial<Knowledge>, machine: Partial<StartTarget> = {}) =>
     reasonOf(authority({ knowledge }).start({ ...READY, ...machine }));
   assert.equal(start({}), 'granted');
-  assert.equal(start({ knownTo: NOW - 2000 }), 'granted');
-  assert.equal(start({ knownTo: NOW - 2001 }), 'knowledge_stale');
-  assert.equal(start({ settled: false }), 'sizes_unknown');
+  assert.equal(start({ cancellationsKnownUntil: NOW - 2000 }), 'granted');
+  assert.equal(start({ cancellationsKnownUntil: NOW - 2001 }), 'knowledge_stale');
+  assert.equal(start({ observedJobsLoaded: false }), 'sizes_unknown');
   assert.equal(start({}, { registered: false }), 'machine_not_registered');
-  assert.equal(start({}, { resolved: false }), 'machine_unaccounted');
+  assert.equal(start({}, { reconciled: false }), 'machine_unaccounted');
   assert.equal(start({}, { returning: true }), 'machine_returning');
 });
 
 test('a refusal for stale knowledge names its age and limit', () => {
-  const decision = authority({ knowledge: { knownTo: NOW - 7000 } }).renewal();
+  const decision = authority({ knowledge: { cancellationsKnownUntil: NOW - 7000 } }).renewal();
   assert.deepEqual(decision.evidence, { source: 'job watch', age: 7000, limit: 6000 });
 });
 
@@ -79,7 +88,10 @@
   const isLive = (id: string) => id === A;
   assert.equal(authority({ knowledge: { isLive } }).mayStop(A), false);
   assert.equal(authority({ knowledge: { isLive } }).mayStop('run-000002'), true);
-  assert.equal(authority({ knowledge: { isLive, loaded: false } }).mayStop('run-000002'), false);
+  assert.equal(
+    authority({ knowledge: { isLive, stateLoaded: false } }).mayStop('run-000002'),
+    false,
+  );
 });
 
 // A worker that goes on with a task which it was told to stop must show in the log and counters.
@@ -94,7 +106,7 @@
   const task = { piece: `${A}/0`, try_no: 9, status: 'running' };
   const report = (tally: number) =>
     packBody({ ...place, shift: 1, tally, fence, warning_s: null, batch: [task] });
-  const limit = cluster.now() + cluster.times.cancelWithin;
+  const limit = cluster.now() + cluster.times.cancellationLimit;
   for (let tally = 1; cluster.now() < limit + 10_000; tally++) {
     cluster.raw(leader, 'POST', '/hello', report(tally));
     if (cluster.now() < limit - 5000) assert.deepEqual(violations(cluster), []);
--- a/packages/testing/src/cancelled-before-outage.test.ts
+++ b/packages/testing/src/cancelled-before-outage.test.ts
@@ -26,7 +26,7 @@
     cluster.cancel(idOf(n), at === 'leader' ? leader : others(cluster)[0]!);
     cluster.run(100 + 20 * seed);
     cluster.state.down = true;
-    cluster.run(times.cancelWithin + 10_000 + 100 * seed);
+    cluster.run(times.cancellationLimit + 10_000 + 100 * seed);
     cluster.state.restore();
     cluster.run(STILL_SILENT);
     cluster.stateFault = null;
--- a/packages/testing/src/cluster-options.ts
+++ b/packages/testing/src/cluster-options.ts
@@ -14,7 +14,7 @@
   /** Guarantee of each of two teams, `team` and `other`. */
   guarantee?: number;
   /** Changes that one transaction may hold. */
-  txnOps?: number;
+  maxTransactionWrites?: number;
   runTime?: number;
   /** Run times of single tasks, in place of `runTime`. */
   runTimeOf?: (piece: string) => number | undefined;
@@ -23,8 +23,8 @@
   /** GB a second of a machine's image fetches, and whether those at the same time share it. */
   fetches?: { gbPerS: number; shared: boolean };
   /** Sockets of a process, and what the state service serves a second; enforced if named. */
-  limits?: { sockets: number; rps: number; writeRps: number };
-  valueBytes?: number;
+  limits?: { sockets: number; requestsPerSecond: number; writesPerSecond: number };
+  maxValueBytes?: number;
   /** What the limits of the state service will be lowered to. */
   next?: StateCaps;
   /** What the controllers take for the workers' lease; a wrong one breaks a guard on purpose. */
@@ -36,17 +36,17 @@
 
 /** Times of a deployment, in ms. */
 export interface DeploymentTimes {
-  reportEvery: number;
+  heartbeatInterval: number;
   lease: number;
-  cancelWithin: number;
+  cancellationLimit: number;
   leaderLease: number;
 }
 
 /** Times where a test names none. */
 export const USUAL_TIMES: DeploymentTimes = {
-  reportEvery: 3000,
+  heartbeatInterval: 3000,
   lease: 20_000,
-  cancelWithin: 45_000,
+  cancellationLimit: 45_000,
   leaderLease: 10_000,
 };
 
@@ -57,30 +57,35 @@
   guarantee = 0,
   times = USUAL_TIMES,
 ): Settings {
-  const peers = NODES.filter((n) => n !== member).map((n) => ({ member: n, addr: `${n}:1` }));
+  const peers = NODES.filter((n) => n !== member).map((n) => ({ member: n, address: `${n}:1` }));
   return {
     member,
     zone: 'a',
-    publicAddr: `${member}:1`,
-    clusterListen: `${member}:2`,
+    publicAddress: `${member}:1`,
+    peerListenAddress: `${member}:2`,
     peers,
-    cloudAddr: 'cloud:1',
-    stateAddr: 'state:1',
+    cloudAddress: 'cloud:1',
+    stateAddress: 'state:1',
     zones: ['a', 'b'],
-    clockError: 0,
+    maxClockError: 0,
     teams: ['team', 'other'].map((name) => ({
       name,
       cpus: guarantee,
-      cpusMax: cpuLimit,
+      maxCpus: cpuLimit,
       gpus: 0,
-      gpusMax: Infinity,
+      maxGpus: Infinity,
     })),
     objectives: [],
-    reportEvery: times.reportEvery,
-    workerLease: times.lease,
-    cancelWithin: times.cancelWithin,
-    state: { rps: 100, writeRps: 100, valueBytes: 4096, txnOps: 8 },
-    cloud: { rps: 6, listLag: 1000 },
+    heartbeatInterval: times.heartbeatInterval,
+    workerLeaseDuration: times.lease,
+    cancellationLimit: times.cancellationLimit,
+    state: {
+      requestsPerSecond: 100,
+      writesPerSecond: 100,
+      maxValueBytes: 4096,
+      maxTransactionWrites: 8,
+    },
+    cloud: { requestsPerSecond: 6, listLag: 1000 },
     maxConnections: 4000,
   };
 }
--- a/packages/testing/src/combined-faults.test.ts
+++ b/packages/testing/src/combined-faults.test.ts
@@ -119,7 +119,7 @@
   const cluster = busy(times, 2, 6);
   const unheard = workers(cluster).slice(0, 2);
   for (const w of unheard) cluster.cutReportsOf(w.machine.id);
-  cluster.run(times.reportEvery * 2 + 1000);
+  cluster.run(times.heartbeatInterval * 2 + 1000);
   cancelled(cluster, 1, others(cluster)[0]!);
   cluster.run(2000);
   const left = unheard.flatMap((w) => w.tasks).filter((t) => t.piece.startsWith(A));
@@ -144,7 +144,7 @@
     assert.ok(cluster.runUntil(() => ![old, null].includes(cluster.leader()), 20_000));
     cluster.cancel(idOf(2), cluster.leader()!);
     cluster.cancel(idOf(3), old);
-    cluster.run(times.cancelWithin + 5000);
+    cluster.run(times.cancellationLimit + 5000);
     assert.equal(cluster.checker.final(idOf(2)), 'aborted');
     endsWell(cluster, [1, 2, 3]);
   },
@@ -202,7 +202,7 @@
       }
       cluster.run(refuse);
       cluster.state.down = true;
-      cluster.run(times.cancelWithin + 8000);
+      cluster.run(times.cancellationLimit + 8000);
       endsWell(cluster, [1, 2, 3, 4]);
     }
   },
@@ -233,7 +233,8 @@
       cluster.run(3000);
       const from = cluster.now();
       cluster.submit(job(3, { batch: 2, expected_s: 5 }), [...cluster.alive.keys()][0]!);
-      const ready = () => cluster.log.filter((l) => l.message === 'roster accounted for').length;
+      const ready = () =>
+        cluster.log.filter((l) => l.message === 'machine registry reconciled').length;
       const before = ready();
       cluster.run(length);
       if (length > times.lease * 2) {
--- a/packages/testing/src/dependencies.test.ts
+++ b/packages/testing/src/dependencies.test.ts
@@ -60,7 +60,10 @@
 // Few changes a second: ends queue up after a change of leader, and dependents wait for theirs.
 test('ends that other jobs wait for are committed first, those of cancelled dependents last', () => {
   const [plain, awaited, urgent, cancelled, behind] = [1, 6, 7, 8, 9];
-  const cluster = settled({ capacity: 4, runTime: 3000, next: { txnOps: 2, valueBytes: 4096 } }, 4);
+  const cluster = settled(
+    { capacity: 4, runTime: 3000, next: { maxTransactionWrites: 2, maxValueBytes: 4096 } },
+    4,
+  );
   cluster.stateFault = (_node, call) =>
     call.writes >= 2 && JSON.stringify(call.body).includes('"done"') ? 'lost_before' : undefined;
   // One after the other, so that they are completed in that order.
@@ -160,11 +163,14 @@
   crashLeader(cluster);
   assert.ok(cluster.runUntil(() => begun(cluster, 2), 40_000));
   const term = cluster.log.slice(from);
-  assert.ok(!term.some((l) => l.message === 'roster accounted for'), 'one machine is still open');
+  assert.ok(
+    !term.some((l) => l.message === 'machine registry reconciled'),
+    'one machine is still open',
+  );
   const earlier = term.filter(
-    (l) => l.message === 'start sent' && String(l.fields['task']).startsWith(idOf(4)),
+    (l) => l.message === 'start dispatched' && String(l.fields['task']).startsWith(idOf(4)),
   );
-  const since = term.findIndex((l) => l.message === 'leading');
+  const since = term.findIndex((l) => l.message === 'leadership acquired');
   assert.deepEqual(
     earlier.filter((l) => term.indexOf(l) > since),
     [],
@@ -185,7 +191,7 @@
   crashLeader(cluster);
   cluster.run(20_000);
   const released = cluster.log.slice(from).find((l) => l.message === 'job released');
-  const ago = Number(released?.fields['ago']);
+  const ago = Number(released?.fields['ageMs']);
   assert.ok(ago > 20_000 && ago < 40_000, `${ago} ms ago`);
   keepsRules(cluster);
 });
--- a/packages/testing/src/dependency-faults.test.ts
+++ b/packages/testing/src/dependency-faults.test.ts
@@ -113,8 +113,8 @@
   onEachDeployment(
     `the head of a chain of hundreds is cancelled under low limits and ${name}`,
     (times) => {
-      const limits = { sockets: 1500, rps: 100, writeRps: 15 };
-      const next = { valueBytes: 2048, txnOps: 4 };
+      const limits = { sockets: 1500, requestsPerSecond: 100, writesPerSecond: 15 };
+      const next = { maxValueBytes: 2048, maxTransactionWrites: 4 };
       const cluster = start(times, { capacity: 8, runTime: LIMIT, limits, next }, 8);
       const [wide, deep] = [110, 90];
       submitted(cluster, 1, { batch: 1, expected_s: 400 });
@@ -138,7 +138,7 @@
       cluster.run(10_000);
       cluster.state.restore();
       // Users ask about every five seconds, each of them some node.
-      for (let round = 0; round * 5000 < times.cancelWithin; round++) {
+      for (let round = 0; round * 5000 < times.cancellationLimit; round++) {
         for (const [i, n] of all.entries()) {
           if (cluster.checker.final(idOf(n)) !== null) continue;
           const nodes = [...cluster.alive.keys()];
--- a/packages/testing/src/deployments.ts
+++ b/packages/testing/src/deployments.ts
@@ -8,8 +8,13 @@
 
 /** Times of the deployments that tealdock was built for, in ms. */
 const DEPLOYMENTS: Record<string, DeploymentTimes> = {
-  Kelisa: { reportEvery: 5000, lease: 27_000, cancelWithin: 47_000, leaderLease: 5000 },
-  Noordzee: { reportEvery: 4000, lease: 26_000, cancelWithin: 56_000, leaderLease: 5000 },
+  Kelisa: { heartbeatInterval: 5000, lease: 27_000, cancellationLimit: 47_000, leaderLease: 5000 },
+  Noordzee: {
+    heartbeatInterval: 4000,
+    lease: 26_000,
+    cancellationLimit: 56_000,
+    leaderLease: 5000,
+  },
 };
 
 /** One test for each deployment's times. */
--- a/packages/testing/src/fake-sockets.ts
+++ b/packages/testing/src/fake-sockets.ts
@@ -31,7 +31,7 @@
 
   constructor(settings: Settings, now: () => number) {
     const shares = socketShares(settings);
-    this.connections = new Connections(shares, settings.reportEvery, now);
+    this.connections = new Connections(shares, settings.heartbeatInterval, now);
     this.room = shares.clients + shares.turnedAway;
     this.own = STATE_SOCKETS + CLOUD_SOCKETS + WORKER_SOCKETS + settings.peers.length * 2 + 2;
   }
--- a/packages/testing/src/fake-state.ts
+++ b/packages/testing/src/fake-state.ts
@@ -28,8 +28,8 @@
 
 /** The largest value and transaction that the state service takes. */
 export interface StateCaps {
-  valueBytes: number;
-  txnOps: number;
+  maxValueBytes: number;
+  maxTransactionWrites: number;
 }
 
 const MOST_TRANSACTION = 64 * 1024;
@@ -60,12 +60,12 @@
   private lastLease = 0;
   private forgotten = 0;
   /** What is left of a second's worth of requests and changes. */
-  private left: { rps: number; writeRps: number } | null;
+  private left: { requestsPerSecond: number; writesPerSecond: number } | null;
   private filled = 0;
 
   constructor(
     private readonly now: () => number,
-    private readonly limits: { rps: number; writeRps: number } | null = null,
+    private readonly limits: { requestsPerSecond: number; writesPerSecond: number } | null = null,
   ) {
     this.left = limits && { ...limits };
   }
@@ -107,12 +107,18 @@
     if (!this.left || !this.limits) return true;
     const seconds = (this.now() - this.filled) / 1000;
     this.filled = this.now();
-    const { rps, writeRps } = this.limits;
-    this.left.rps = Math.min(rps, this.left.rps + seconds * rps);
-    this.left.writeRps = Math.min(writeRps, this.left.writeRps + seconds * writeRps);
-    if (this.left.rps < 1 || this.left.writeRps < writes) return false;
-    this.left.rps--;
-    this.left.writeRps -= writes;
+    const { requestsPerSecond, writesPerSecond } = this.limits;
+    this.left.requestsPerSecond = Math.min(
+      requestsPerSecond,
+      this.left.requestsPerSecond + seconds * requestsPerSecond,
+    );
+    this.left.writesPerSecond = Math.min(
+      writesPerSecond,
+      this.left.writesPerSecond + seconds * writesPerSecond,
+    );
+    if (this.left.requestsPerSecond < 1 || this.left.writesPerSecond < writes) return false;
+    this.left.requestsPerSecond--;
+    this.left.writesPerSecond -= writes;
     return true;
   }
 
@@ -136,10 +142,11 @@
 
   private tooLarge({ guards, writes }: Commit): boolean {
     if (!this.caps) return false;
-    const { valueBytes, txnOps } = this.caps;
-    if (writes.length > txnOps || guards.length > txnOps * 4) return true;
+    const { maxValueBytes, maxTransactionWrites } = this.caps;
+    if (writes.length > maxTransactionWrites || guards.length > maxTransactionWrites * 4)
+      return true;
     if (sizeOf({ guards, writes }) > MOST_TRANSACTION) return true;
-    return writes.some((w) => 'write' in w && sizeOf(w.v) > valueBytes);
+    return writes.some((w) => 'write' in w && sizeOf(w.v) > maxValueBytes);
   }
 
   private commit({ guards, writes }: Commit): CallResult {
--- a/packages/testing/src/fake-worker.ts
+++ b/packages/testing/src/fake-worker.ts
@@ -32,7 +32,7 @@
 export interface WorkerHost {
   now(): number;
   nodes: string[];
-  reportEvery: number;
+  heartbeatInterval: number;
   lease: number;
   /** Where direct commands to a machine go. */
   address(machine: string): string;
@@ -201,7 +201,7 @@
 
   private report(now: number): void {
     this.changed = false;
-    this.next = now + this.host.reportEvery;
+    this.next = now + this.host.heartbeatInterval;
     const id = ++this.flights;
     this.flight = { sent: now, shift: this.shift, id };
     const node = this.host.nodes[this.node]!;
--- a/packages/testing/src/fleet.test.ts
+++ b/packages/testing/src/fleet.test.ts
@@ -7,7 +7,7 @@
 
 /** Half as many machines again as the largest fleet that operations.md speaks of. */
 const MACHINES = 1300;
-const LIMITS = { sockets: 1650, rps: 250, writeRps: 18 };
+const LIMITS = { sockets: 1650, requestsPerSecond: 250, writesPerSecond: 18 };
 
 function submitMany(
   cluster: SimulatedCluster,
@@ -33,7 +33,7 @@
   for (const n of cluster.nodes) cluster.crash(n);
   for (const n of cluster.nodes) cluster.at(300, () => cluster.boot(n));
   const from = cluster.now();
-  const ready = () => cluster.log.filter((l) => l.message === 'roster accounted for').length;
+  const ready = () => cluster.log.filter((l) => l.message === 'machine registry reconciled').length;
   const [known, lost] = [ready(), 4000 - running(cluster)];
   assert.ok(
     cluster.runUntil(() => ready() > known, 15_000),
@@ -137,7 +137,7 @@
   assert.ok(cluster.runUntil(done, 240_000));
   const { workers } = socketShares({
     maxConnections: limits.sockets,
-    peers: cluster.nodes.slice(1).map((member) => ({ member, addr: '' })),
+    peers: cluster.nodes.slice(1).map((member) => ({ member, address: '' })),
   });
   assert.ok(cluster.cloud.rented.length <= workers, `${cluster.cloud.rented.length} machines`);
   assert.ok(cluster.cloud.rented.length > workers / 2);
--- a/packages/testing/src/guards.test.ts
+++ b/packages/testing/src/guards.test.ts
@@ -22,13 +22,13 @@
 }
 
 test('progress takes at most its share of the changes per second', () => {
-  const [writeRps, seconds] = [16, 30];
+  const [writesPerSecond, seconds] = [16, 30];
   const cluster = settled(
     {
       capacity: 40,
       cpuLimit: 10_000,
-      next: { valueBytes: 1024, txnOps: 4 },
-      limits: { sockets: 4000, rps: 400, writeRps },
+      next: { maxValueBytes: 1024, maxTransactionWrites: 4 },
+      limits: { sockets: 4000, requestsPerSecond: 400, writesPerSecond },
       // The tasks of each job end one after the other, and all jobs have some that end.
       runTimeOf: (p) => 6000 + Number(p.split('/')[1]) * 3500 + (Number(p.slice(4, 10)) % 7) * 400,
     },
@@ -47,7 +47,7 @@
   cluster.run(seconds * 1000);
   assert.ok(changes > seconds / 2, `${changes} changes: progress is written`);
   // An eighth of the changes, and one transaction that was due as the count began.
-  const most = (seconds * writeRps) / 8 + 4;
+  const most = (seconds * writesPerSecond) / 8 + 4;
   assert.ok(changes <= most, `${changes} changes of progress in ${seconds} s, ${most} allowed`);
   cluster.stateFault = null;
   for (const n of jobs) assert.ok(finished(cluster, idOf(n), 300_000), idOf(n));
@@ -61,8 +61,8 @@
       capacity: 12,
       cpuLimit: 10_000,
       runTimeOf: (p) => 70_000 - Number(p.slice(4, 10)) * 500,
-      limits: { sockets: 4000, rps: 200, writeRps: 15 },
-      next: { valueBytes: 4096, txnOps: 4 },
+      limits: { sockets: 4000, requestsPerSecond: 200, writesPerSecond: 15 },
+      next: { maxValueBytes: 4096, maxTransactionWrites: 4 },
     },
     12,
   );
@@ -155,7 +155,7 @@
 test('a proof that fails under a grant renews no lease of a cancelled task', () => {
   const { cluster, near } = delegatedWithoutProofs();
   assert.equal(status(ask(cluster, (d) => cluster.cancel(A, near, d))), 'aborted');
-  cluster.run(cluster.times.cancelWithin + 10_000);
+  cluster.run(cluster.times.cancellationLimit + 10_000);
   assert.equal(running(cluster), 0);
   keepsRules(cluster);
 });
@@ -187,7 +187,7 @@
   cluster.run(1000);
   for (const node of cluster.nodes) cluster.boot(node);
   cluster.run(cluster.lease + 20_000);
-  const named = cluster.log.filter((l) => l.message === 'stored value can not be read');
+  const named = cluster.log.filter((l) => l.message === 'stored value unreadable');
   for (const key of keys)
     assert.ok(
       named.some((l) => l.fields['key'] === key),
--- a/packages/testing/src/late-messages.test.ts
+++ b/packages/testing/src/late-messages.test.ts
@@ -10,7 +10,7 @@
       const cluster = start(times);
       cluster.submit(job(1, { batch: 8, expected_s: 20 }), 'n-0');
       cluster.submit(job(2, { batch: 4, expected_s: 150 }), 'n-1');
-      const sent = () => cluster.log.some((l) => l.message === 'start sent');
+      const sent = () => cluster.log.some((l) => l.message === 'start dispatched');
       assert.ok(cluster.runUntil(sent, 10_000));
       for (const w of workers(cluster)) w.hanging = true;
       cluster.cancel(idOf(2), 'n-2');
@@ -26,7 +26,7 @@
   const cluster = busy(times, 2, 6);
   const victim = workers(cluster)[0]!;
   cluster.cutReportsOf(victim.machine.id);
-  cluster.run(times.reportEvery * 2 + 2000);
+  cluster.run(times.heartbeatInterval * 2 + 2000);
   victim.hanging = true;
   cancelled(cluster, 1, others(cluster)[0]!);
   assert.ok(cluster.commands > 0);
@@ -84,7 +84,7 @@
   (times) => {
     const cluster = start(times);
     cluster.copyDelay = () => 13_000;
-    cluster.run(times.reportEvery + 500);
+    cluster.run(times.heartbeatInterval + 500);
     cluster.copyDelay = null;
     cluster.submit(job(1, { batch: 16, expected_s: 60 }), 'n-0');
     assert.ok(cluster.runUntil(() => running(cluster) === 16, 4000));
--- a/packages/testing/src/lowered-limits.test.ts
+++ b/packages/testing/src/lowered-limits.test.ts
@@ -36,12 +36,17 @@
       next,
     ].join('\n');
   const limits = (next: string) => parseSettings(text(next)).state;
-  assert.deepEqual(limits(''), { rps: 100, writeRps: 40, valueBytes: 16384, txnOps: 12 });
+  assert.deepEqual(limits(''), {
+    requestsPerSecond: 100,
+    writesPerSecond: 40,
+    maxValueBytes: 16384,
+    maxTransactionWrites: 12,
+  });
   assert.deepEqual(limits('[settings.state.next]\nwrite_rps = 28.0\nvalue_kb = 2.0\ntxn_ops = 4'), {
-    rps: 100,
-    writeRps: 28,
-    valueBytes: 2048,
-    txnOps: 4,
+    requestsPerSecond: 100,
+    writesPerSecond: 28,
+    maxValueBytes: 2048,
+    maxTransactionWrites: 4,
   });
   assert.throws(() => limits('[settings.state.next]\ntxn_ops = 0'), /txn_ops/);
   assert.throws(() => limits('[settings.state.next]\nvalue_kb = -1'), /value_kb/);
@@ -49,14 +54,19 @@
 
 test('limits are lowered with large shards stored: no entry is missing at any moment', () => {
   for (const crashes of [false, true]) {
-    const options = { cpuLimit: 10_000, valueBytes: 16_384, txnOps: 12, runTime: 40_000 };
+    const options = {
+      cpuLimit: 10_000,
+      maxValueBytes: 16_384,
+      maxTransactionWrites: 12,
+      runTime: 40_000,
+    };
     const cluster = settled(options, 300);
     submitted(cluster, 1, { batch: 1000, expected_s: 40 });
     cluster.run(8000);
     const machines = entriesOf(cluster, '/roster/');
     assert.equal(machines.size, 300);
     assert.ok(largestShard(cluster) > 8000);
-    cluster.options.next = { valueBytes: 2048, txnOps: 4 };
+    cluster.options.next = { maxValueBytes: 2048, maxTransactionWrites: 4 };
     for (const n of cluster.nodes) {
       cluster.crash(n);
       cluster.boot(n);
@@ -76,7 +86,7 @@
 });
 
 test('many jobs under low limits: nothing is too large, all run', () => {
-  const next = { valueBytes: 2048, txnOps: 2 };
+  const next = { maxValueBytes: 2048, maxTransactionWrites: 2 };
   const cluster = settled({ capacity: 6, runTime: 3000, next }, 6);
   cluster.lowerLimits();
   for (let n = 1; n <= 30; n++) {
--- a/packages/testing/src/older-versions.test.ts
+++ b/packages/testing/src/older-versions.test.ts
@@ -59,12 +59,24 @@
   return Object.entries(old).every(([name, value]) => readableAs(value, fields[name]));
 }
 
+/** Names of a recorded heartbeat's fields in memory, which its frame does not carry. */
+const RENAMED: Record<string, string> = { token: 'fencingToken', stateOk: 'stateAvailable' };
+
+/** A recorded message in the names that it has in memory today. */
+function inCurrentNames(message: Record<string, unknown>): Record<string, unknown> {
+  if (message['kind'] !== 'beat') return { ...message };
+  const renamed = Object.entries(message).map(
+    ([name, value]) => [RENAMED[name] ?? name, value] as const,
+  );
+  return { ...Object.fromEntries<unknown>(renamed), kind: 'heartbeat' };
+}
+
 fromEach('messages between controllers are the same, byte for byte', (recorded) => {
   for (const { message, frame } of recorded.frames) {
     const bytes = Buffer.from(frame, 'base64');
     const [decoded, ...rest] = new PeerDecoder().push(bytes);
     assert.equal(rest.length, 0);
-    const sent = { ...message };
+    const sent = inCurrentNames(message);
     if (typeof sent['body'] === 'string') sent['body'] = Buffer.from(sent['body'], 'base64');
     for (const [name, value] of Object.entries(sent)) {
       const heard = (decoded as unknown as Record<string, unknown>)[name];
@@ -84,7 +96,7 @@
       cluster.jobs.set(spec.id, spec as never);
     }
     cluster.run(4000);
-    const loaded = cluster.log.find((l) => l.message === 'term loaded');
+    const loaded = cluster.log.find((l) => l.message === 'stored state loaded');
     assert.deepEqual([loaded?.fields['jobs'], loaded?.fields['machines']], [live.length, 60]);
     for (const { key, v } of recorded.keys.filter((k) => k.key.includes('/ended/'))) {
       const id = key.split('/').at(-1)!;
@@ -96,7 +108,7 @@
     const starts = new Set<unknown>();
     const over = () => [...cluster.state.keys.keys()].every((k) => !k.includes('/live/'));
     assert.ok(cluster.runUntil(over, 300_000));
-    for (const l of cluster.log) if (l.message === 'start sent') starts.add(l.fields['task']);
+    for (const l of cluster.log) if (l.message === 'start dispatched') starts.add(l.fields['task']);
     const doneBefore = ['run-000003/0', 'run-000004/0'];
     for (const task of doneBefore) assert.ok(!starts.has(task), `${task} was done before`);
     assert.ok(starts.has('run-000003/3'));
@@ -110,7 +122,7 @@
 /** The first start of a job came after the end of a predecessor that had not ended before. */
 function assertReleasedBy(cluster: SimulatedCluster, id: string, predecessor: string): void {
   const started = cluster.log.findIndex(
-    (l) => l.message === 'start sent' && String(l.fields['task']).startsWith(`${id}/`),
+    (l) => l.message === 'start dispatched' && String(l.fields['task']).startsWith(`${id}/`),
   );
   const ended = cluster.log.findIndex(
     (l) => l.message === 'job ended' && l.fields['job'] === predecessor,
--- a/packages/testing/src/placement.test.ts
+++ b/packages/testing/src/placement.test.ts
@@ -63,7 +63,7 @@
   cluster.submit(job(1, low), 'n-0');
   cluster.submit(job(2, { batch: 8, expected_s: 40 }), 'n-0');
   cluster.run(60_000);
-  const stops = cluster.log.filter((l) => l.message === 'preempting').length;
+  const stops = cluster.log.filter((l) => l.message === 'task preempted').length;
   assert.ok(stops <= 4, `${stops} stops`);
   assert.ok(finished(cluster, A));
   assert.ok(finished(cluster, 'run-000002'));
@@ -94,7 +94,7 @@
     'n-0',
   );
   cluster.run(200_000);
-  const stops = cluster.log.filter((l) => l.message === 'preempting').length;
+  const stops = cluster.log.filter((l) => l.message === 'task preempted').length;
   assert.ok(stops > 0 && stops <= 8, `${stops} stops`);
   keepsRules(cluster);
 });
@@ -150,7 +150,7 @@
 });
 
 test('what a big job leaves behind in the state service is removed', () => {
-  const cluster = settled({ runTime: 200, capacity: 2, txnOps: 2 }, 2);
+  const cluster = settled({ runTime: 200, capacity: 2, maxTransactionWrites: 2 }, 2);
   cluster.submit(job(1, { batch: 8200, cpus: 0.005, mem_gb: 0.005 }), 'n-0');
   assert.ok(finished(cluster, A, 300_000));
   const left = () => [...cluster.state.keys.keys()].filter((k) => k.includes('/live/'));
--- a/packages/testing/src/renewals-after-takeover.test.ts
+++ b/packages/testing/src/renewals-after-takeover.test.ts
@@ -35,7 +35,7 @@
   const worker = machineOfFirstJob(cluster);
   cluster.cuts.add(worker.machine.id);
   cancelled(cluster, 1, others(cluster)[0]!);
-  const rounds = Math.ceil(times.cancelWithin / times.lease);
+  const rounds = Math.ceil(times.cancellationLimit / times.lease);
   for (let i = 0; i < rounds; i++) hearsOneAnswerOfNextLeader(cluster, worker);
   cluster.run(times.lease + 2000);
   endsWell(cluster, [1, 2]);
--- a/packages/testing/src/rolling-upgrade.test.ts
+++ b/packages/testing/src/rolling-upgrade.test.ts
@@ -26,9 +26,9 @@
     times,
     capacity: 16,
     cpuLimit: 200,
-    valueBytes: 16_384,
-    txnOps: 12,
-    next: { valueBytes: 2048, txnOps: 4 },
+    maxValueBytes: 16_384,
+    maxTransactionWrites: 12,
+    next: { maxValueBytes: 2048, maxTransactionWrites: 4 },
   });
   for (const n of cluster.nodes) {
     cluster.crash(n);
@@ -95,7 +95,7 @@
       cluster.at(1000, () => cancelElsewhere(cluster, 1));
       cluster.at(2000, () => (cluster.state.down = true));
       cluster.at(14_000, () => cluster.state.refused.clear());
-      cluster.at(cluster.times.cancelWithin + 12_000, () => cluster.state.restore());
+      cluster.at(cluster.times.cancellationLimit + 12_000, () => cluster.state.restore());
     },
   },
   {
--- a/packages/testing/src/rule-checker.test.ts
+++ b/packages/testing/src/rule-checker.test.ts
@@ -160,7 +160,12 @@
 
 // The machine keeps its lease for longer than it says, so it goes on with what was called off.
 test('a cancelled task that goes on after its machine hung', () => {
-  const times = { reportEvery: 3000, lease: 90_000, cancelWithin: 45_000, leaderLease: 5000 };
+  const times = {
+    heartbeatInterval: 3000,
+    lease: 90_000,
+    cancellationLimit: 45_000,
+    leaderLease: 5000,
+  };
   const cluster = settled({ times, believedLease: 20_000 });
   cluster.submit(job(1, { batch: 4, expected_s: 500 }), 'n-0');
   assert.ok(cluster.runUntil(() => running(cluster) === 4, 20_000));
--- a/packages/testing/src/rule-checker.ts
+++ b/packages/testing/src/rule-checker.ts
@@ -51,7 +51,7 @@
   constructor(
     private readonly now: () => number,
     private readonly cpuLimits: Map<string, number>,
-    private readonly cancelWithin: number,
+    private readonly cancellationLimit: number,
   ) {}
 
   submitted(spec: JobSpec): void {
@@ -142,7 +142,7 @@
   private toldState(id: string, job: Seen, state: string): void {
     if (state === 'done' && job.doneTasks.size < job.spec.taskCount) this.break('not_done', id);
     if (state === 'queued' || state === 'running') {
-      const late = this.now() - this.predecessorCancelledSince(job) > this.cancelWithin;
+      const late = this.now() - this.predecessorCancelledSince(job) > this.cancellationLimit;
       if (late) this.break('orphaned', `${id} ${state}`);
     }
     if (state !== 'done' && state !== 'aborted') return;
@@ -272,7 +272,8 @@
 
   private checkCancelled(task: string): void {
     const told = this.jobOf(task)?.cancelTold ?? null;
-    if (told !== null && this.now() - told > this.cancelWithin) this.break('ran_cancelled', task);
+    if (told !== null && this.now() - told > this.cancellationLimit)
+      this.break('ran_cancelled', task);
   }
 
   private teamUse(): Map<string, number> {
--- a/packages/testing/src/scale.test.ts
+++ b/packages/testing/src/scale.test.ts
@@ -3,7 +3,7 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import type { Call } from '@tealdock/controller';
-import { choose, dominates, firstOfFront, type Volunteer } from '@tealdock/scheduler';
+import { chooseVolunteer, dominates, firstOfFront, type Volunteer } from '@tealdock/scheduler';
 import { SimulatedCluster, job } from './index.js';
 import { A, keepsRules, running, settled } from './scenario.js';
 
@@ -76,9 +76,9 @@
   const generator = xoroshiro128plus(seed);
   const draw = (steps: number) => Math.floor(uniformFloat64(generator) * steps);
   return Array.from({ length: count }, () => ({
-    load: draw(9) / 8,
+    bookedShare: draw(9) / 8,
     price: draw(4) / 10,
-    recent: draw(1000),
+    recentComputeTime: draw(1000),
     imageRank: draw(4),
   }));
 }
@@ -86,7 +86,7 @@
 test('the quick way to the first point of the front comes to the same as the plain one', () => {
   for (let seed = 1; seed <= 300; seed++) {
     const volunteers = drawVolunteers(seed, 1 + (seed % 60));
-    assert.equal(choose(volunteers), plainChoice(volunteers), `seed ${seed}`);
+    assert.equal(chooseVolunteer(volunteers), plainChoice(volunteers), `seed ${seed}`);
   }
 });
 
@@ -96,7 +96,7 @@
     ...v,
     get load() {
       reads++;
-      return v.load;
+      return v.bookedShare;
     },
   }));
   assert.ok(firstOfFront(volunteers));
--- a/packages/testing/src/scenario.ts
+++ b/packages/testing/src/scenario.ts
@@ -134,7 +134,7 @@
     pollAll(cluster, jobs, [node]);
     cluster.run(2000);
   }
-  cluster.run(cluster.times.cancelWithin + 5000);
+  cluster.run(cluster.times.cancellationLimit + 5000);
   assert.equal(running(cluster), 0);
   assert.deepEqual(cluster.checker.unserved(), []);
   keepsRules(cluster);
--- a/packages/testing/src/scenarios.test.ts
+++ b/packages/testing/src/scenarios.test.ts
@@ -60,7 +60,7 @@
 test('take-over while a start is in flight: the task runs once', () => {
   const cluster = settled();
   cluster.submit(job(1, { batch: 4, expected_s: 40 }), others(cluster)[0]!);
-  const sent = () => cluster.log.some((l) => l.message === 'start sent');
+  const sent = () => cluster.log.some((l) => l.message === 'start dispatched');
   assert.ok(cluster.runUntil(sent, 10_000));
   const old = cluster.leader()!;
   cluster.crash(old);
@@ -95,7 +95,9 @@
   const cluster = settled();
   const old = cluster.leader()!;
   const tokens = () =>
-    cluster.log.filter((l) => l.message === 'leading').map((l) => l.fields['token']);
+    cluster.log
+      .filter((l) => l.message === 'leadership acquired')
+      .map((l) => l.fields['fencingToken']);
   const before = tokens().length;
   cluster.crash(old);
   cluster.boot(old);
@@ -196,7 +198,9 @@
   let lost = 0;
   cluster.stateFault = (_node, call) =>
     call.path === '/commit' && lost++ < 1 ? 'lost_after' : undefined;
-  assert.ok(cluster.runUntil(() => cluster.log.some((l) => l.message === 'leading'), 10_000));
+  assert.ok(
+    cluster.runUntil(() => cluster.log.some((l) => l.message === 'leadership acquired'), 10_000),
+  );
   assert.equal(lost >= 1, true);
 });
 
--- a/packages/testing/src/simulated-cluster.ts
+++ b/packages/testing/src/simulated-cluster.ts
@@ -5,7 +5,7 @@
   parseSubmission,
   type JobSpec,
   type Settings,
-  type Told,
+  type LeaderBroadcast,
 } from '@tealdock/wire';
 import {
   Controller,
@@ -62,7 +62,7 @@
 export class SimulatedCluster extends CutNetwork implements WorkerHost {
   readonly nodes = NODES;
   readonly times: DeploymentTimes;
-  readonly reportEvery: number;
+  readonly heartbeatInterval: number;
   readonly lease: number;
   readonly state: FakeState;
   readonly cloud: FakeCloud;
@@ -95,7 +95,7 @@
   constructor(readonly options: ClusterOptions = {}) {
     super();
     this.times = options.times ?? USUAL_TIMES;
-    this.reportEvery = this.times.reportEvery;
+    this.heartbeatInterval = this.times.heartbeatInterval;
     this.lease = this.times.lease;
     this.random = seededRandom(options.seed ?? 1);
     this.state = new FakeState(() => this.clock, options.limits);
@@ -110,7 +110,7 @@
       ['team', limit],
       ['other', limit],
     ]);
-    this.checker = new RuleChecker(() => this.clock, limits, this.times.cancelWithin);
+    this.checker = new RuleChecker(() => this.clock, limits, this.times.cancellationLimit);
     for (const name of NODES) this.boot(name);
   }
 
@@ -168,7 +168,7 @@
   private start(name: string, caps: StateCaps): void {
     const { cpuLimit, guarantee, believedLease } = this.options;
     const settings = settingsFor(name, cpuLimit ?? 100, guarantee, this.times);
-    settings.workerLease = believedLease ?? this.times.lease;
+    settings.workerLeaseDuration = believedLease ?? this.times.lease;
     settings.state = { ...settings.state, ...caps };
     const { limits } = this.options;
     settings.maxConnections = limits?.sockets ?? settings.maxConnections;
@@ -202,10 +202,10 @@
 
   /** The limits that hold, or the lower of these and others. */
   private caps(next?: StateCaps): StateCaps {
-    const { valueBytes = 4096, txnOps = 8 } = this.options;
+    const { maxValueBytes = 4096, maxTransactionWrites = 8 } = this.options;
     return {
-      valueBytes: Math.min(valueBytes, next?.valueBytes ?? Infinity),
-      txnOps: Math.min(txnOps, next?.txnOps ?? Infinity),
+      maxValueBytes: Math.min(maxValueBytes, next?.maxValueBytes ?? Infinity),
+      maxTransactionWrites: Math.min(maxTransactionWrites, next?.maxTransactionWrites ?? Infinity),
     };
   }
 
@@ -264,8 +264,8 @@
   private carryOut(node: Node, effect: Effect): void {
     if (effect.kind === 'reply') this.reply(node, effect.id, effect.reply);
     else if (effect.kind === 'heartbeat') this.heartbeat(node, effect);
-    else if (effect.kind === 'tell') this.tell(node, effect.message);
-    else if (effect.kind === 'share_writes') node.gates?.shareWrites(effect.part);
+    else if (effect.kind === 'broadcast') this.broadcast(node, effect.message);
+    else if (effect.kind === 'set_write_fraction') node.gates?.setWriteFraction(effect.fraction);
     else {
       this.options.observer?.call(this.clock, node.name, effect.id, effect.call);
       const done = (result: CallResult) =>
@@ -290,20 +290,19 @@
   }
 
   private heartbeat(node: Node, heartbeat: Extract<Effect, { kind: 'heartbeat' }>): void {
-    const { leader, token, stateOk } = heartbeat;
-    const beat = { kind: 'beat' as const, member: node.name, leader, token, stateOk };
+    const message = { ...heartbeat, member: node.name };
     for (const other of this.alive.values()) {
       if (other === node || this.cut(node.name, other.name)) continue;
-      this.options.observer?.frame(this.clock, node.name, other.name, beat);
-      this.push(other, { kind: 'heartbeat', member: node.name, leader, token, stateOk });
+      this.options.observer?.frame(this.clock, node.name, other.name, message);
+      this.push(other, message);
     }
   }
 
-  private tell(node: Node, message: Told): void {
+  private broadcast(node: Node, message: LeaderBroadcast): void {
     for (const other of this.alive.values()) {
       if (other !== node && !this.cut(node.name, other.name)) {
         this.options.observer?.frame(this.clock, node.name, other.name, message);
-        this.push(other, { kind: 'told', message });
+        this.push(other, { kind: 'leader_broadcast', message });
       }
     }
   }
@@ -432,7 +431,7 @@
   /** A connection from one node to another is refused. */
   refuse(from: string, to: string): void {
     const node = this.alive.get(from);
-    if (node) this.push(node, { kind: 'refused', member: to });
+    if (node) this.push(node, { kind: 'peer_refused', member: to });
   }
 
   address(machine: string): string {
--- a/packages/testing/src/single-faults.test.ts
+++ b/packages/testing/src/single-faults.test.ts
@@ -14,7 +14,7 @@
   assert.ok(finished(cluster, A, 90_000));
   assert.ok(finished(cluster, 'run-000002', 90_000));
   cluster.run(120_000);
-  const lost = cluster.log.filter((l) => l.message === 'start was lost').length;
+  const lost = cluster.log.filter((l) => l.message === 'start lost').length;
   assert.ok(lost >= 1 && lost <= 4, `${lost} times a start was lost`);
   keepsRules(cluster);
 });
@@ -59,7 +59,7 @@
     for (let i = 1; i <= 4; i++) assert.ok(finished(cluster, `run-00000${i}`, 200_000));
     cluster.run(150_000);
     keepsRules(cluster);
-    const ghosts = cluster.log.filter((l) => l.message === 'start was lost').length;
+    const ghosts = cluster.log.filter((l) => l.message === 'start lost').length;
     assert.ok(ghosts <= 2, `${ghosts} starts went to machines known from copies only`);
   });
 }
@@ -67,7 +67,7 @@
 test('a late copy does not end the long poll of a newer report', () => {
   const cluster = settled({ capacity: 1 }, 1);
   const worker = [...cluster.workers.values()][0]!;
-  const errors = () => cluster.log.filter((l) => l.message === 'start was lost').length;
+  const errors = () => cluster.log.filter((l) => l.message === 'start lost').length;
   cluster.copyDelay = () => 700;
   const before = worker.tally;
   cluster.run(30_000);
@@ -204,7 +204,10 @@
   const reports = [...cluster.workers.values()].reduce((n, w) => n + w.tally, 0) - before;
   assert.ok(reports < 20 * 2.5, `${reports} reports of 20 workers`);
   assert.ok(
-    cluster.runUntil(() => cluster.log.some((l) => l.message === 'roster accounted for'), 15_000),
+    cluster.runUntil(
+      () => cluster.log.some((l) => l.message === 'machine registry reconciled'),
+      15_000,
+    ),
   );
 });
 
@@ -214,7 +217,7 @@
   cluster.submit(job(1, { batch: 2, hall: 'b' }), 'n-0');
   assert.ok(finished(cluster, A));
   const holders = new Set(
-    cluster.log.filter((l) => l.message === 'start sent').map((l) => l.fields['machine']),
+    cluster.log.filter((l) => l.message === 'start dispatched').map((l) => l.fields['machine']),
   );
   cluster.run(6000);
   cluster.crash(cluster.leader()!);
@@ -222,7 +225,7 @@
   const from = cluster.log.length;
   cluster.submit(job(2, { batch: 2 }), [...cluster.alive.keys()][0]!);
   assert.ok(finished(cluster, 'run-000002'));
-  const used = cluster.log.slice(from).filter((l) => l.message === 'start sent');
+  const used = cluster.log.slice(from).filter((l) => l.message === 'start dispatched');
   for (const l of used) assert.ok(holders.has(l.fields['machine']), 'work goes to a holder');
   assert.ok(used.length > 0);
 });
@@ -240,14 +243,17 @@
   const from = cluster.log.length;
   cluster.submit(job(3, { ...large, hall: null, batch: 3 }), 'n-0');
   assert.ok(finished(cluster, 'run-000003'));
-  const starts = cluster.log.slice(from).filter((l) => l.message === 'start sent');
+  const starts = cluster.log.slice(from).filter((l) => l.message === 'start dispatched');
   const used = starts.filter((l) => String(l.fields['task']).startsWith('run-000003'));
   const holder = [...cluster.workers.values()].find((w) => w.machine.zone === 'b')!.machine.id;
   assert.ok(used.length === 3 && used.every((l) => l.fields['machine'] === holder));
 });
 
 test("settings under which cancellations can't be kept in time are named", () => {
-  const times = (lease: number, cancel: number) => ({ workerLease: lease, cancelWithin: cancel });
+  const times = (lease: number, cancel: number) => ({
+    workerLeaseDuration: lease,
+    cancellationLimit: cancel,
+  });
   assert.equal(whyTooShort(times(27_000, 47_000)), null);
   assert.equal(whyTooShort(times(26_000, 56_000)), null);
   assert.match(whyTooShort(times(27_000, 30_000)) ?? '', /cancel_s: must be at least 31.1/);
--- a/packages/testing/src/soak/fault-plan.ts
+++ b/packages/testing/src/soak/fault-plan.ts
@@ -55,7 +55,7 @@
 }
 
 /** Longer than a cancellation may take. */
-const LONG: Duration = Math.max(TIMES.cancelWithin + 2500, TAKEOVERS.count * TAKEOVERS.every);
+const LONG: Duration = Math.max(TIMES.cancellationLimit + 2500, TAKEOVERS.count * TAKEOVERS.every);
 const GAPS: [least: Duration, most: Duration] = [1000, 5000];
 const LENGTHS: [least: Duration, most: Duration] = [800, 11_000];
 const MOST_CANCELS = 5;
--- a/packages/testing/src/soak/loopback-site.ts
+++ b/packages/testing/src/soak/loopback-site.ts
@@ -83,9 +83,9 @@
   ) {
     const now = () => performance.now();
     const limits = new Map([['team', this.cpuLimit]]);
-    this.checker = new RuleChecker(now, limits, times.cancelWithin);
-    this.state = new FakeState(now, { rps: 250, writeRps: 60 });
-    this.state.caps = { valueBytes: 16 * 1024, txnOps: 12 };
+    this.checker = new RuleChecker(now, limits, times.cancellationLimit);
+    this.state = new FakeState(now, { requestsPerSecond: 250, writesPerSecond: 60 });
+    this.state.caps = { maxValueBytes: 16 * 1024, maxTransactionWrites: 12 };
     this.cloud = new FakeCloud(now, machines, (id) => this.workers.drop(id));
     this.workers = new SoakWorkers(
       now,
--- a/packages/testing/src/soak/scale.ts
+++ b/packages/testing/src/soak/scale.ts
@@ -102,10 +102,11 @@
   private async accounted(from: number): Promise<number | null> {
     const mark = () =>
       this.site.logLines.find(
-        (line) => Number(line.split(' ')[0]) >= from && line.includes('roster accounted for'),
+        (line) =>
+          Number(line.split(' ')[0]) >= from && line.includes('machine registry reconciled'),
       );
     await until(() => mark() !== undefined, PATIENCE);
-    const took = /"took":(\d+)/.exec(mark() ?? '')?.[1];
+    const took = /"tookMs":(\d+)/.exec(mark() ?? '')?.[1];
     return took === undefined ? null : Number(took);
   }
 
@@ -168,7 +169,7 @@
       if (gone !== undefined && gone > at) times.push(gone - at);
     }
     this.say(
-      `cancellations confirmed to gone: ${spread(times)}, limit ${DEPLOYED_TIMES.cancelWithin} ms`,
+      `cancellations confirmed to gone: ${spread(times)}, limit ${DEPLOYED_TIMES.cancellationLimit} ms`,
     );
   }
 }
--- a/packages/testing/src/soak/site-times.ts
+++ b/packages/testing/src/soak/site-times.ts
@@ -4,25 +4,25 @@
 
 /** Times of a site. */
 export interface SiteTimes {
-  reportEvery: Duration;
+  heartbeatInterval: Duration;
   lease: Duration;
-  cancelWithin: Duration;
+  cancellationLimit: Duration;
   leaderLease: Duration;
 }
 
 /** Short times, so that many leases and limits pass within a run. */
 export const TIMES: SiteTimes = {
-  reportEvery: 1000,
+  heartbeatInterval: 1000,
   lease: 8000,
-  cancelWithin: 16_000,
+  cancellationLimit: 16_000,
   leaderLease: 2000,
 };
 
 /** Times of a deployment. */
 export const DEPLOYED_TIMES: SiteTimes = {
-  reportEvery: 3000,
+  heartbeatInterval: 3000,
   lease: 26_000,
-  cancelWithin: 56_000,
+  cancellationLimit: 56_000,
   leaderLease: 5000,
 };
 
@@ -88,9 +88,9 @@
     'name = "team"',
     `cpus_max = ${limits.cpus}.0`,
     '[settings.workers]',
-    `report_s = ${times.reportEvery / 1000}`,
+    `report_s = ${times.heartbeatInterval / 1000}`,
     `lease_s = ${times.lease / 1000}`,
-    `cancel_s = ${times.cancelWithin / 1000}`,
+    `cancel_s = ${times.cancellationLimit / 1000}`,
     '[settings.state]',
     'rps = 250.0\nwrite_rps = 60.0\nvalue_kb = 16.0\ntxn_ops = 12',
     '[settings.cloud]',
--- a/packages/testing/src/soak/soak-run.ts
+++ b/packages/testing/src/soak/soak-run.ts
@@ -99,7 +99,7 @@
   const ended = await until(() => users.open().length === 0, ENDS_WITHIN);
   const open = ended ? [] : [`jobs without an end: ${users.open().join(', ')}`];
   await users.askAll();
-  await pause(TIMES.cancelWithin);
+  await pause(TIMES.cancellationLimit);
   const left = site.workers.running > 0 && ended ? [`${site.workers.running} tasks run on`] : [];
   return [
     ...new Set(site.checker.broken),
--- a/packages/testing/src/soak/worker-host.ts
+++ b/packages/testing/src/soak/worker-host.ts
@@ -47,7 +47,7 @@
 /** Carries the reports and commands of all workers, and tells the checker what runs where. */
 export class SoakWorkers implements WorkerHost {
   readonly nodes = [...NODES];
-  readonly reportEvery: Duration;
+  readonly heartbeatInterval: Duration;
   readonly lease: Duration;
   /** How long reports waited for their answers. */
   readonly answerTimes: Duration[] = [];
@@ -64,7 +64,7 @@
     private readonly ports: ReadonlyMap<string, number>,
     private readonly runTimeOf: (job: JobSpec) => Duration,
   ) {
-    this.reportEvery = times.reportEvery;
+    this.heartbeatInterval = times.heartbeatInterval;
     this.lease = times.lease;
   }
 
--- a/packages/testing/src/stale-cancellations.test.ts
+++ b/packages/testing/src/stale-cancellations.test.ts
@@ -23,9 +23,9 @@
   (times) => {
     for (const pause of [200, 1000, 2500, 4000]) {
       const cluster = busy(times, 3, 4);
-      gap(cluster, pause, times.cancelWithin + 12_000);
+      gap(cluster, pause, times.cancellationLimit + 12_000);
       assert.equal(cluster.checker.final(A), 'aborted');
-      gap(cluster, pause, times.cancelWithin + 12_000);
+      gap(cluster, pause, times.cancellationLimit + 12_000);
       endsWell(cluster, [1, 2, 3]);
     }
   },
@@ -37,7 +37,7 @@
     const cluster = busy(times, 3, 4);
     for (const a of cluster.nodes) for (const b of cluster.nodes) cluster.cuts.add(`${a}>${b}`);
     for (const w of workers(cluster)) cluster.cuts.add(`${cluster.leader()}>${w.machine.id}:1`);
-    gap(cluster, pause, times.cancelWithin + 12_000);
+    gap(cluster, pause, times.cancellationLimit + 12_000);
     endsWell(cluster, [1, 2, 3]);
   }
 });
@@ -74,7 +74,7 @@
     const hung = workers(cluster).slice(0, 2);
     for (const w of hung) w.hanging = true;
     cluster.at(hang, () => hung.forEach((w) => (w.hanging = false)));
-    gap(cluster, 1000, times.cancelWithin + 12_000);
+    gap(cluster, 1000, times.cancellationLimit + 12_000);
     endsWell(cluster, [1, 2]);
   }
 });
@@ -108,7 +108,7 @@
     cluster.state.restore();
     cluster.run(4000);
     assert.equal(cluster.leader(), leader);
-    assert.ok(!cluster.log.some((l) => l.message === 'resigning leadership'));
+    assert.ok(!cluster.log.some((l) => l.message === 'leadership resigned'));
     assert.equal(running(cluster), 8);
     endsWell(cluster, [1, 2]);
   },
@@ -122,7 +122,7 @@
     assert.ok(cluster.runUntil(() => running(cluster) === 4, 40_000));
     cluster.submit(job(2, { batch: 4, expected_s: 150 }), 'n-0');
     cluster.run(2000);
-    gap(cluster, 1000, times.cancelWithin + 12_000);
+    gap(cluster, 1000, times.cancellationLimit + 12_000);
     cluster.run(2000);
     const late = cluster.checker.startsAfterCancel;
     assert.equal(late, 0, `${late} starts of cancelled jobs`);
--- a/packages/testing/src/watch-gap.test.ts
+++ b/packages/testing/src/watch-gap.test.ts
@@ -41,7 +41,7 @@
     assert.ok(pages >= 2, `${pages} pages read`);
     assert.equal(cluster.leader(), leader);
     cluster.state.changesKept = 10_000;
-    cluster.run(times.cancelWithin);
+    cluster.run(times.cancellationLimit);
     for (let n = 1011; n <= LAST; n++) cluster.cancel(idOf(n), cluster.nodes[n % 3]!);
     endsWell(cluster, [1, 2, 1001, LAST]);
   },
--- a/packages/testing/src/wire-trace.test.ts
+++ b/packages/testing/src/wire-trace.test.ts
@@ -26,8 +26,13 @@
   }
 
   override frame(at: number, from: string, to: string, message: PeerMessage): void {
-    const beat = message.kind === 'beat' && this.once('frame');
-    super.frame(at, from, to, beat ? { ...message, stateOk: !message.stateOk } : message);
+    const altered = message.kind === 'heartbeat' && this.once('frame');
+    super.frame(
+      at,
+      from,
+      to,
+      altered ? { ...message, stateAvailable: !message.stateAvailable } : message,
+    );
   }
 
   override stored(at: number, entries: Iterable<[string, { v: unknown; stamp: number }]>): void {
--- a/packages/testing/src/zones.test.ts
+++ b/packages/testing/src/zones.test.ts
@@ -63,15 +63,18 @@
   const cluster = busyCluster();
   const { machines } = partZones(cluster);
   cluster.run(12_000);
-  assert.ok(cluster.log.some((l) => l.message === 'grant to keep workers'));
+  assert.ok(cluster.log.some((l) => l.message === 'lease renewal delegated'));
   // The zone, its controller included, is gone for good, and the leader ends.
   const from = cluster.log.length;
   for (const id of machines) cluster.cuts.add(id);
   cluster.crash(cluster.leader()!);
-  const ready = () => cluster.log.slice(from).some((l) => l.message === 'roster accounted for');
+  const ready = () =>
+    cluster.log.slice(from).some((l) => l.message === 'machine registry reconciled');
   assert.ok(cluster.runUntil(ready, 100_000));
   const took = Number(
-    cluster.log.slice(from).find((l) => l.message === 'roster accounted for')!.fields['took'],
+    cluster.log.slice(from).find((l) => l.message === 'machine registry reconciled')!.fields[
+      'tookMs'
+    ],
   );
   const grant = 6000;
   assert.ok(took < cluster.lease + grant + 5000, `${took} ms`);
@@ -105,7 +108,7 @@
   cluster.run(10_000);
   for (let i = 0; i < 3; i++) cluster.cloud.add('a');
   cluster.run(10_000);
-  const kept = cluster.log.some((l) => l.message === 'grant to keep workers');
+  const kept = cluster.log.some((l) => l.message === 'lease renewal delegated');
   assert.ok(!kept, 'no grant is asked for');
   for (const w of cluster.workers.values()) assert.ok(w.fence > 0, 'each has found the leader');
   cluster.submit(job(1), peers[0]!);
--- a/packages/wire/src/cloud.ts
+++ b/packages/wire/src/cloud.ts
@@ -97,7 +97,7 @@
     more: list.has_next ?? false,
     machines: list.hosts.map((h) => ({
       id: h.ref,
-      addr: h.addr ?? '',
+      address: h.addr ?? '',
       type: h.flavour,
       zone: h.hall,
       spot: h.spare,
--- a/packages/wire/src/domain.ts
+++ b/packages/wire/src/domain.ts
@@ -60,7 +60,7 @@
 export type ExitReason = 'done' | 'stopped' | 'error' | 'no_room' | 'busy' | 'unknown';
 
 /** A task as its worker reports it. */
-export interface TaskReport {
+export interface TaskStatus {
   task: string;
   attempt: number;
   state: TaskState;
@@ -69,23 +69,23 @@
 }
 
 /** A worker's report: all that is on its machine. */
-export interface WorkerReport {
+export interface WorkerHeartbeat {
   machine: string;
-  addr: string;
+  address: string;
   type: string;
   zone: string;
   spot: boolean;
-  session: number;
-  seq: number;
-  token: number;
-  notice: Duration | null;
-  tasks: TaskReport[];
+  agentEpoch: number;
+  sequenceNumber: number;
+  fencingToken: number;
+  preemptionNotice: Duration | null;
+  tasks: TaskStatus[];
 }
 
 /** What a worker is told to do with one task. */
-export type Order =
+export type WorkerCommand =
   | { op: 'start'; task: string; attempt: number }
-  | { op: 'stop'; task: string; attempt: number; grace: Duration }
+  | { op: 'stop'; task: string; attempt: number; gracePeriod: Duration }
   | { op: 'forget'; task: string; attempt: number };
 
 /** A kind of machine as the catalog describes it. */
@@ -105,7 +105,7 @@
 /** A machine in the cloud's list. */
 export interface ListedMachine {
   id: string;
-  addr: string;
+  address: string;
   type: string;
   zone: string;
   spot: boolean;
--- a/packages/wire/src/peers.ts
+++ b/packages/wire/src/peers.ts
@@ -21,12 +21,24 @@
 }
 
 /** What the leader tells the others, for display and as hints. */
-export type Told = { kind: 'counts'; jobs: JobCount[] } | ({ kind: 'hints' } & Hints);
+export type LeaderBroadcast = { kind: 'counts'; jobs: JobCount[] } | ({ kind: 'hints' } & Hints);
 
-/** What controllers tell each other; see docs/design.md, "Between controllers". */
+/** A sign of life of a controller, with what it knows of the leader. */
+export interface PeerHeartbeat {
+  kind: 'heartbeat';
+  member: string;
+  /** Member that it takes for the leader; empty where it knows of none. */
+  leader: string;
+  /** Fencing token of its own term; 0 where it does not lead. */
+  fencingToken: number;
+  /** Whether it reaches the state service. */
+  stateAvailable: boolean;
+}
+
+/** What controllers send each other; see docs/design.md, "Between controllers". */
 export type PeerMessage =
-  | { kind: 'beat'; member: string; leader: string; token: number; stateOk: boolean }
-  | Told
+  | PeerHeartbeat
+  | LeaderBroadcast
   | { kind: 'ask'; id: number; method: string; path: string; body: Buffer }
   | { kind: 'answer'; id: number; status: number; body: Buffer };
 
@@ -39,6 +51,14 @@
 const message = (name: string, fields: Record<string, avsc.Schema>): avsc.Type =>
   avsc.Type.forSchema(recordOf(name, fields));
 
+/** The Avro record of a heartbeat. */
+interface HeartbeatRecord {
+  member: string;
+  leader: string;
+  token: number;
+  stateOk: boolean;
+}
+
 const beat = message('Beat', {
   member: 'string',
   leader: 'string',
@@ -56,14 +76,27 @@
 });
 const ask = message('Ask', { id: 'long', method: 'string', path: 'string', body: 'bytes' });
 const answer = message('Answer', { id: 'long', status: 'int', body: 'bytes' });
-const TYPES = { beat, ask, answer, counts, hints } as const;
-const KINDS = ['beat', 'ask', 'answer', 'counts', 'hints'] as const;
+const TYPES = { heartbeat: beat, ask, answer, counts, hints } as const;
+const KINDS = ['heartbeat', 'ask', 'answer', 'counts', 'hints'] as const;
 const HEADER_BYTES = 5;
 export const MAX_PEER_FRAME = 256 * 1024;
 
+/** A heartbeat's fields in the names of its Avro record. */
+function recordFor(message: PeerMessage): unknown {
+  if (message.kind !== 'heartbeat') return message;
+  const { member, leader, fencingToken, stateAvailable } = message;
+  return { member, leader, token: fencingToken, stateOk: stateAvailable };
+}
+
+function messageFrom(kind: PeerMessage['kind'], record: object): PeerMessage {
+  if (kind !== 'heartbeat') return { kind, ...record } as PeerMessage;
+  const { member, leader, token, stateOk } = record as HeartbeatRecord;
+  return { kind, member, leader, fencingToken: token, stateAvailable: stateOk };
+}
+
 /** A frame: four bytes of length, one of kind, then the Avro record. */
 export function packPeer(message: PeerMessage): Buffer {
-  const body = TYPES[message.kind].toBuffer(message);
+  const body = TYPES[message.kind].toBuffer(recordFor(message));
   const frame = Buffer.alloc(HEADER_BYTES + body.length);
   frame.writeUInt32BE(body.length, 0);
   frame.writeUInt8(KINDS.indexOf(message.kind), 4);
@@ -87,7 +120,7 @@
       if (!kind) throw new Error('unknown peer frame');
       const bytes = this.rest.subarray(HEADER_BYTES, HEADER_BYTES + length);
       const record = TYPES[kind].fromBuffer(bytes) as object;
-      messages.push({ kind, ...record } as PeerMessage);
+      messages.push(messageFrom(kind, record));
       this.rest = this.rest.subarray(HEADER_BYTES + length);
     }
   }
--- a/packages/wire/src/settings.ts
+++ b/packages/wire/src/settings.ts
@@ -62,9 +62,9 @@
 export interface Team {
   name: string;
   cpus: number;
-  cpusMax: number;
+  maxCpus: number;
   gpus: number;
-  gpusMax: number;
+  maxGpus: number;
 }
 /** An aim for a class of jobs. */
 export interface Objective {
@@ -76,25 +76,30 @@
 export interface Settings {
   member: string;
   zone: string;
-  publicAddr: string;
-  clusterListen: string;
-  peers: { member: string; addr: string }[];
-  cloudAddr: string;
-  stateAddr: string;
+  publicAddress: string;
+  peerListenAddress: string;
+  peers: { member: string; address: string }[];
+  cloudAddress: string;
+  stateAddress: string;
   zones: string[];
-  clockError: number;
+  maxClockError: number;
   teams: Team[];
   objectives: Objective[];
-  reportEvery: number;
-  workerLease: number;
-  cancelWithin: number;
-  state: { rps: number; writeRps: number; valueBytes: number; txnOps: number };
-  cloud: { rps: number; listLag: number };
+  heartbeatInterval: number;
+  workerLeaseDuration: number;
+  cancellationLimit: number;
+  state: {
+    requestsPerSecond: number;
+    writesPerSecond: number;
+    maxValueBytes: number;
+    maxTransactionWrites: number;
+  };
+  cloud: { requestsPerSecond: number; listLag: number };
   maxConnections: number;
 }
 
 /** 0 means none, so no limit. */
-const limit = (value: number): number => (value === 0 ? Infinity : value);
+const infinityIfZero = (value: number): number => (value === 0 ? Infinity : value);
 
 /** The file that the platform hands over (TOML). Unknown fields are ignored. */
 export function parseSettings(text: string): Settings {
@@ -104,30 +109,32 @@
   return {
     member: p.member,
     zone: p.zone,
-    publicAddr: p.public_addr,
-    clusterListen: p.cluster_listen,
-    peers: p.members.filter((m) => m.member !== p.member),
-    cloudAddr: p.external.cloud,
-    stateAddr: p.external.state,
+    publicAddress: p.public_addr,
+    peerListenAddress: p.cluster_listen,
+    peers: p.members
+      .filter((m) => m.member !== p.member)
+      .map(({ member, addr }) => ({ member, address: addr })),
+    cloudAddress: p.external.cloud,
+    stateAddress: p.external.state,
     zones: s.zones,
-    clockError: s.clock_error_ms,
+    maxClockError: s.clock_error_ms,
     teams: s.teams.map((t) => ({
       name: t.name,
       cpus: t.cpus,
-      cpusMax: limit(t.cpus_max),
+      maxCpus: infinityIfZero(t.cpus_max),
       gpus: t.gpus,
-      gpusMax: limit(t.gpus_max),
+      maxGpus: infinityIfZero(t.gpus_max),
     })),
     objectives: s.objectives.map((o) => ({
       kind: o.kind,
       jobClass: o.class ?? null,
       within: o.within_s === undefined ? null : millis(o.within_s),
     })),
-    reportEvery: millis(s.workers.report_s),
-    workerLease: millis(s.workers.lease_s),
-    cancelWithin: millis(s.workers.cancel_s),
+    heartbeatInterval: millis(s.workers.report_s),
+    workerLeaseDuration: millis(s.workers.lease_s),
+    cancellationLimit: millis(s.workers.cancel_s),
     state: stateLimits(s.state),
-    cloud: { rps: s.cloud.rps, listLag: millis(s.cloud.list_lag_s) },
+    cloud: { requestsPerSecond: s.cloud.rps, listLag: millis(s.cloud.list_lag_s) },
     maxConnections: s.machine_limits.max_connections,
   };
 }
@@ -136,10 +143,10 @@
 function stateLimits({ next, ...now }: z.infer<typeof platform>['settings']['state']) {
   const lower = (key: keyof typeof now) => Math.min(now[key], next?.[key] ?? Infinity);
   return {
-    rps: lower('rps'),
-    writeRps: lower('write_rps'),
-    valueBytes: lower('value_kb') * 1024,
-    txnOps: lower('txn_ops'),
+    requestsPerSecond: lower('rps'),
+    writesPerSecond: lower('write_rps'),
+    maxValueBytes: lower('value_kb') * 1024,
+    maxTransactionWrites: lower('txn_ops'),
   };
 }
 
@@ -178,11 +185,11 @@
 
 /** The operators' own settings. */
 export interface OperatorSettings {
-  window: { lambda: number; closeEarly: number; holdAnswer: number };
-  leadership: { lease: number; resignUnreachable: number };
+  window: { lambda: number; closeEarly: number; longPollTimeout: number };
+  leadership: { leaseDuration: number; resignUnreachable: number };
   fleet: {
-    idleReturn: number;
-    bootPatience: number;
+    idleTimeout: number;
+    bootTimeoutFactor: number;
     headroom: number;
     policy: 'auto' | 'frugal' | 'fast';
   };
@@ -197,12 +204,12 @@
     window: {
       lambda: millis(w.lambda_s),
       closeEarly: millis(w.close_early_s),
-      holdAnswer: millis(w.hold_answer_s),
+      longPollTimeout: millis(w.hold_answer_s),
     },
-    leadership: { lease: millis(l.lease_s), resignUnreachable: millis(l.resign_deaf_s) },
+    leadership: { leaseDuration: millis(l.lease_s), resignUnreachable: millis(l.resign_deaf_s) },
     fleet: {
-      idleReturn: millis(f.idle_return_s),
-      bootPatience: f.boot_patience,
+      idleTimeout: millis(f.idle_return_s),
+      bootTimeoutFactor: f.boot_patience,
       headroom: f.headroom,
       policy: f.policy,
     },
--- a/packages/wire/src/state.ts
+++ b/packages/wire/src/state.ts
@@ -4,7 +4,7 @@
 import { issueText } from './jobs.js';
 
 export const COMMIT_PATH = '/commit';
-export const GRANTS_PATH = '/grants';
+export const LEASES_PATH = '/grants';
 
 /** A stored key with its value and version. */
 export interface StateItem {
@@ -13,7 +13,7 @@
   version: number;
 }
 /** A condition of a transaction: the key has this version, 0 if it does not exist. */
-export interface Guard {
+export interface Precondition {
   key: string;
   version: number;
 }
@@ -63,8 +63,8 @@
   `/keys?starts=${prefix}&most=${limit}${after ? `&after=${after}` : ''}`;
 export const watchPath = (prefix: string, after: number, hold: number): string =>
   `/changes?starts=${prefix}&after=${after}&hold_ms=${hold}`;
-export const renewPath = (lease: number): string => `${GRANTS_PATH}/${lease}/renew`;
-export const leasePath = (lease: number): string => `${GRANTS_PATH}/${lease}`;
+export const renewPath = (lease: number): string => `${LEASES_PATH}/${lease}/renew`;
+export const leasePath = (lease: number): string => `${LEASES_PATH}/${lease}`;
 
 export const parseItem = (body: unknown): StateItem => fromWire(check(item, body));
 /** One page of stored keys. */
@@ -72,9 +72,9 @@
   const p = check(page, body);
   return { items: p.items.map(fromWire), more: p.has_next ?? false, revision: p.epoch };
 }
-export const parseCommitted = (body: unknown): number => check(committed, body).epoch;
-export const parseRefused = (body: unknown): string[] => check(refused, body).failed;
-export const parseGrant = (body: unknown): number => check(grant, body).tenancy;
+export const parseCommitRevision = (body: unknown): number => check(committed, body).epoch;
+export const parseFailedPreconditions = (body: unknown): string[] => check(refused, body).failed;
+export const parseLeaseId = (body: unknown): number => check(grant, body).tenancy;
 /** The changes that a watch was answered with. */
 export function parseChanges(body: unknown): { revision: number; events: StateEvent[] } {
   const c = check(changes, body);
@@ -90,9 +90,12 @@
 }
 
 /** The body of a transaction. */
-export function renderCommit(guards: Guard[], writes: Write[]): Record<string, unknown> {
+export function renderTransaction(
+  preconditions: Precondition[],
+  writes: Write[],
+): Record<string, unknown> {
   return {
-    guards: guards.map((g) => ({ key: g.key, stamp: g.version })),
+    guards: preconditions.map((g) => ({ key: g.key, stamp: g.version })),
     writes: writes.map((w) =>
       'remove' in w
         ? { delete: w.remove }
--- a/packages/wire/src/workers.ts
+++ b/packages/wire/src/workers.ts
@@ -2,12 +2,12 @@
 import { z } from 'zod';
 import { WireError, millis, seconds } from './body.js';
 import { issueText } from './jobs.js';
-import type { ExitReason, Order, TaskState, WorkerReport } from './domain.js';
+import type { ExitReason, WorkerCommand, TaskState, WorkerHeartbeat } from './domain.js';
 
-export const REPORT_PATH = '/hello';
+export const HEARTBEAT_PATH = '/hello';
 export const COMMANDS_PATH = '/commands';
 
-const STATES = {
+const TASK_STATES = {
   pulling: 'fetching',
   // A gang's task that waits for the others has its image, but does not run yet.
   waiting: 'fetching',
@@ -15,7 +15,7 @@
   saving: 'saving',
   exited: 'exited',
 } as const satisfies Record<string, TaskState>;
-const REASONS: Record<string, ExitReason> = {
+const EXIT_REASONS: Record<string, ExitReason> = {
   done: 'done',
   stopped: 'stopped',
   // A gang's task ended because of the others: neither it nor its machine failed.
@@ -28,7 +28,7 @@
 };
 
 const count = z.number().int().nonnegative();
-const report = z.object({
+const heartbeatSchema = z.object({
   host: z.string().min(1).max(150),
   addr: z.string().min(1).max(200),
   flavour: z.string().min(1),
@@ -50,49 +50,53 @@
 });
 
 /** A report in the terms of this project; throws `WireError`. */
-export function parseReport(body: unknown): WorkerReport {
-  const parsed = report.safeParse(body);
+export function parseHeartbeat(body: unknown): WorkerHeartbeat {
+  const parsed = heartbeatSchema.safeParse(body);
   if (!parsed.success) throw new WireError(issueText(parsed.error));
   const r = parsed.data;
   return {
     machine: r.host,
-    addr: r.addr,
+    address: r.addr,
     type: r.flavour,
     zone: r.hall,
     spot: r.spare,
-    session: r.shift,
-    seq: r.tally,
-    token: r.fence,
-    notice: r.warning_s == null ? null : millis(r.warning_s),
+    agentEpoch: r.shift,
+    sequenceNumber: r.tally,
+    fencingToken: r.fence,
+    preemptionNotice: r.warning_s == null ? null : millis(r.warning_s),
     tasks: r.batch.map((t) => ({
       task: t.piece,
       attempt: t.try_no,
-      state: STATES[t.status],
+      state: TASK_STATES[t.status],
       // A reason this version does not know is a failure like any other.
-      reason: t.status === 'exited' ? (REASONS[t.reason ?? ''] ?? 'error') : null,
+      reason: t.status === 'exited' ? (EXIT_REASONS[t.reason ?? ''] ?? 'error') : null,
       saved: t.saved ?? false,
     })),
   };
 }
 
-function renderOrder(order: Order): Record<string, unknown> {
-  const base = { piece: order.task, try_no: order.attempt };
-  if (order.op === 'stop') return { verb: 'kill', ...base, wind_down_s: seconds(order.grace) };
-  return { verb: order.op, ...base };
+function renderCommand(command: WorkerCommand): Record<string, unknown> {
+  const base = { piece: command.task, try_no: command.attempt };
+  if (command.op === 'stop')
+    return { verb: 'kill', ...base, wind_down_s: seconds(command.gracePeriod) };
+  return { verb: command.op, ...base };
 }
 
 /** The answer to a report that renews the worker's lease. */
-export function renderReportAnswer(token: number, orders: Order[]): Record<string, unknown> {
-  return { fence: token, orders: orders.map(renderOrder) };
+export function renderHeartbeatResponse(
+  fencingToken: number,
+  commands: WorkerCommand[],
+): Record<string, unknown> {
+  return { fence: fencingToken, orders: commands.map(renderCommand) };
 }
 
 /** Orders sent to a worker directly; they do not renew its lease. */
-export function renderCommands(
-  token: number,
-  session: number,
-  orders: Order[],
+export function renderDirectCommands(
+  fencingToken: number,
+  agentEpoch: number,
+  commands: WorkerCommand[],
 ): Record<string, unknown> {
-  return { ...renderReportAnswer(token, orders), shift: session };
+  return { ...renderHeartbeatResponse(fencingToken, commands), shift: agentEpoch };
 }
 
 export const renderRedirect = (leader: string | null): Record<string, unknown> =>
