--- a/packages/controller/src/autoscaling/autoscaler.ts
+++ b/packages/controller/src/autoscaling/autoscaler.ts
@@ -119,7 +119,7 @@
       .sort((a, b) => a.latest - b.latest);
     const all = offerings(this.types(), () => false);
     const rest = new Map<string, number>();
-    return jobs.map(({ job, latest }) => {
+    return jobs.map(({ job, latest }): Backlog => {
       const team = this.runtime.settings.teams.find((t) => t.name === job.spec.team);
       const room =
         rest.get(job.spec.team) ??
@@ -127,7 +127,7 @@
       const most = job.spec.cpus > 0 ? Math.floor(room / job.spec.cpus) : job.unboundTaskCount;
       const tasks = Math.max(0, Math.min(job.unboundTaskCount, most));
       rest.set(job.spec.team, room - tasks * job.spec.cpus);
-      return { spec: job.spec, tasks, mostPrice: this.mostPrice(job, latest, all) };
+      return { spec: job.spec, tasks, maxPrice: this.maxPrice(job, latest, all) };
     });
   }
 
@@ -138,7 +138,7 @@
   }
 
   /** Dear machines are only for work that would otherwise start too late. */
-  private mostPrice(job: LiveJob, latest: Instant, all: Offering[]): number {
+  private maxPrice(job: LiveJob, latest: Instant, all: Offering[]): number {
     if (this.policy() === 'fast') return Infinity;
     const slowest = Math.min(...this.types().map((t) => t.fetchGbPerS));
     const boot = Math.max(...this.types().map((t) => t.boot));
--- a/packages/testing/src/fleet.test.ts
+++ b/packages/testing/src/fleet.test.ts
@@ -145,6 +145,20 @@
   keepsRules(cluster);
 });
 
+// A renamed field made every price acceptable: the cost limit did not reach the rental plan.
+test('work in no hurry waits for a cheap machine, and a dear one comes before it is late', () => {
+  const cluster = new SimulatedCluster({ capacity: 10 });
+  cluster.run(5000);
+  // One CPU of a machine of four that is not spot: dearer than the cheapest slot allows.
+  cluster.submit(job(1, { batch: 1 }), 'n-0');
+  cluster.run(30_000);
+  assert.deepEqual(cluster.cloud.rented, [], 'no dear machine while there is time');
+  const done = () => cluster.checker.doneTasks(idOf(1)).size === 1;
+  assert.ok(cluster.runUntil(done, 90_000), 'it is done nevertheless');
+  assert.equal(cluster.cloud.rented.length, 1);
+  keepsRules(cluster);
+});
+
 // Behind a thousand reports the answer to a renewal came after the lease was over.
 test('answers to own calls do not queue up behind a thousand reports', () => {
   const queue = new CommandQueue();
