--- a/packages/adapters/src/call-gates.ts
+++ b/packages/adapters/src/call-rate-limiter.ts
@@ -1,22 +1,16 @@
-/** Holds calls to the outside back to what it allows. */
-import type { Duration, Instant, Settings } from '@tealdock/wire';
+/** Rate limits for calls to the outside services. */
+import type { Settings } from '@tealdock/wire';
 import type { Call } from '@tealdock/controller';
-import { TokenBucket } from './token-bucket.js';
+import { TokenBucket, type Clock } from './token-bucket.js';
 
-/** Each node may use this part of what the outside services allow to all. */
-const STATE_PART = 0.5;
-const CLOUD_PART = 0.8;
-/** A call that waited this part of its time for a token is better dropped. */
-const WAIT_PART = 0.6;
-
-/** Time as the gates see it, so that tests can simulate it. */
-export interface Clock {
-  now: () => Instant;
-  wake: (delay: Duration, run: () => void) => void;
-}
+/** Each node may use this fraction of what the outside services allow to all. */
+const STATE_RATE_FRACTION = 0.5;
+const CLOUD_RATE_FRACTION = 0.8;
+/** A call that waited this fraction of its timeout for a token is better dropped. */
+const MAX_WAIT_FRACTION = 0.6;
 
 /** Holds calls back to what the outside services allow, the more urgent ones first. */
-export class CallGates {
+export class CallRateLimiter {
   private readonly stateCalls: TokenBucket;
   private readonly stateWrites: TokenBucket;
   private readonly cloudCalls: TokenBucket;
@@ -27,9 +21,12 @@
     private readonly clock: Clock,
   ) {
     this.state = state;
-    this.stateCalls = this.bucket(state.requestsPerSecond * STATE_PART);
-    this.stateWrites = this.bucket(state.writesPerSecond * STATE_PART, state.maxTransactionWrites);
-    this.cloudCalls = this.bucket(cloud.requestsPerSecond * CLOUD_PART);
+    this.stateCalls = this.bucket(state.requestsPerSecond * STATE_RATE_FRACTION);
+    this.stateWrites = this.bucket(
+      state.writesPerSecond * STATE_RATE_FRACTION,
+      state.maxTransactionWrites,
+    );
+    this.cloudCalls = this.bucket(cloud.requestsPerSecond * CLOUD_RATE_FRACTION);
   }
 
   /** Which fraction of the state service's changes per second this node may use from now on. */
@@ -38,16 +35,17 @@
   }
 
   /** Sends the call once there are tokens for it, or drops it unsent when that takes too long. */
-  pass(call: Call, send: () => void, drop: () => void): void {
-    const patience = call.timeout * WAIT_PART;
-    const take = (b: TokenBucket, cost: number, run: () => void) =>
-      b.take(cost, call.priority, patience, run, drop);
+  submit(call: Call, send: () => void, drop: () => void): void {
+    const { priority } = call;
+    const timeout = call.timeout * MAX_WAIT_FRACTION;
+    const take = (bucket: TokenBucket, cost: number, run: () => void) =>
+      bucket.take({ cost, priority, timeout, run, drop });
     if (call.target === 'peer' || call.target === 'worker') send();
     else if (call.target === 'cloud') take(this.cloudCalls, 1, send);
     else take(this.stateWrites, call.writes, () => take(this.stateCalls, 1, send));
   }
 
-  private bucket(rate: number, least = 1): TokenBucket {
-    return new TokenBucket(rate, Math.max(rate, least), this.clock.now, this.clock.wake);
+  private bucket(tokensPerSecond: number, minBurst = 1): TokenBucket {
+    return new TokenBucket(tokensPerSecond, Math.max(tokensPerSecond, minBurst), this.clock);
   }
 }
--- a/packages/adapters/src/command-queue.ts
+++ b/packages/adapters/src/command-queue.ts
@@ -1,34 +1,37 @@
 /** The queue of commands for the state owner. */
 import type { Command } from '@tealdock/controller';
 
-/** A batch holds the state owner for as long as it takes: effects leave after it. */
-const MOST_BATCH = 64;
+/** Effects leave only after their whole batch, so batches are short. */
+const MAX_BATCH_COUNT = 64;
 
 /**
- * What waits for the state owner. After a take-over a thousand reports queue up, and a
- * process that has just started takes seconds for them. Answers to its own calls go first:
- * behind the reports, that of a lease's renewal would come after the lease. They are in no
- * order with requests anyway, since they come from elsewhere.
+ * Commands that wait for the state owner. After a failover, heartbeats of the whole fleet
+ * queue up, and a process that has just started takes seconds for them. Results of its own
+ * calls go first: behind the heartbeats, the result of a lease renewal would come after the
+ * lease has expired. Results and requests come from different sources, so no order between
+ * them is lost.
  */
 export class CommandQueue {
   private results: Command[] = [];
   private others: Command[] = [];
 
+  /** Commands that wait. */
   get length(): number {
     return this.results.length + this.others.length;
   }
 
+  /** Adds a command. */
   push(command: Command): void {
     (command.kind === 'result' ? this.results : this.others).push(command);
   }
 
-  /** The next batch. */
-  take(): Command[] {
-    const first = this.results;
+  /** Removes and returns the next batch: all results, and at least one other command. */
+  nextBatch(): Command[] {
+    const { results } = this;
     this.results = [];
-    const room = Math.max(1, MOST_BATCH - first.length);
-    const rest = this.others.slice(0, room);
-    this.others = this.others.slice(room);
-    return [...first, ...rest];
+    const otherCount = Math.max(1, MAX_BATCH_COUNT - results.length);
+    const others = this.others.slice(0, otherCount);
+    this.others = this.others.slice(otherCount);
+    return [...results, ...others];
   }
 }
--- a/packages/adapters/src/connections.ts
+++ b/packages/adapters/src/connections.ts
@@ -1,45 +1,52 @@
-/** Who holds the connections that clients have opened. */
+/** The connections that clients have opened, and which of them stay open. */
 import type { Duration, Instant } from '@tealdock/wire';
 import type { SocketShares } from '@tealdock/controller';
 
-/** Who holds a connection, by the last thing that was asked on it. */
-export type Holder = 'nobody' | 'worker' | 'user' | 'probe';
+/** Who uses a connection, by the last request on it; also names of gauges. */
+export type ClientKind = 'nobody' | 'worker' | 'user' | 'probe';
 
-/** What the table has to know of a socket. */
+/** A socket, as far as the table needs it. */
 export interface Closable {
+  /** Closes it at once. */
   destroy(): unknown;
 }
 
 interface Connection {
-  holder: Holder;
+  client: ClientKind;
   /** Requests that have not been answered yet. */
-  open: number;
-  used: Instant;
+  unansweredCount: number;
+  lastUsedAt: Instant;
   /** Beyond the clients' share: answered once, then closed. */
-  surplus: boolean;
+  isSurplus: boolean;
 }
 
-/** A connection on which nothing has been asked is closed after this long. */
-const SILENT_LIMIT = 10_000;
-/** One that will be turned away has less: whoever is next waits for its place. */
-const SURPLUS_LIMIT = 2000;
-const USER_IDLE = 60_000;
-/** A worker that has missed this many reports is gone, or comes on a new connection. */
-const MISSED_REPORTS = 4;
-const LEAST_WORKER_IDLE = 15_000;
+/** For connections without any request. */
+const UNUSED_TIMEOUT_MS = 10_000;
+/** Shorter: other clients wait for the place of one that will be turned away. */
+const SURPLUS_TIMEOUT_MS = 2000;
+const USER_IDLE_TIMEOUT_MS = 60_000;
+/** A worker that has missed so many heartbeats is gone, or will open a new connection. */
+const MISSED_HEARTBEAT_COUNT = 4;
+const MIN_WORKER_IDLE_TIMEOUT_MS = 15_000;
 
 /**
- * Clients' connections and who gets one when there are too few. Machines that die, are
- * taken or returned close nothing: in a fleet that comes and goes their connections would
- * fill the table within a minute, so silent ones are closed early. When it is full, users'
- * idle connections make way for whoever comes; workers keep theirs, since leases hang on
- * them. What is left over is answered once, with when to come back, and closed.
+ * Admission of clients' connections. Machines that die, are taken or returned close
+ * nothing, so idle connections are closed early; with many machines coming and going they
+ * would else fill the table within a minute. When it is full, the connection of a user that
+ * has been idle for the longest is closed for each new one; workers keep theirs, since their
+ * leases depend on them. A surplus connection is answered once, with a time to retry, and
+ * closed.
  */
 export class Connections {
-  /** In the order of their last use. */
-  private readonly table = new Map<Closable, Connection>();
-  private readonly held: Record<Holder, number> = { nobody: 0, worker: 0, user: 0, probe: 0 };
-  private surplus = 0;
+  /** In the order of their last use, oldest first. */
+  private readonly connections = new Map<Closable, Connection>();
+  private readonly countByClient: Record<ClientKind, number> = {
+    nobody: 0,
+    worker: 0,
+    user: 0,
+    probe: 0,
+  };
+  private surplusCount = 0;
 
   constructor(
     private readonly shares: SocketShares,
@@ -47,92 +54,100 @@
     private readonly now: () => Instant,
   ) {}
 
-  /** By whom connections are held at present; `surplus` ones count for nobody. */
-  counts(): Record<Holder | 'surplus', number> {
-    return { ...this.held, surplus: this.surplus };
+  /** Open connections by client; `surplus` ones are counted under that alone. */
+  counts(): Record<ClientKind | 'surplus', number> {
+    return { ...this.countByClient, surplus: this.surplusCount };
   }
 
-  opened(socket: Closable): void {
-    const regular = this.table.size - this.surplus;
-    const surplus = regular >= this.shares.clients && !this.closeIdleUser();
-    this.table.set(socket, { holder: 'nobody', open: 0, used: this.now(), surplus });
-    if (surplus) this.surplus++;
-    else this.held.nobody++;
+  /** A client has connected. */
+  connectionOpened(socket: Closable): void {
+    const regularCount = this.connections.size - this.surplusCount;
+    const isSurplus = regularCount >= this.shares.clients && !this.closeOneIdleUser();
+    const lastUsedAt = this.now();
+    this.connections.set(socket, { client: 'nobody', unansweredCount: 0, lastUsedAt, isSurplus });
+    if (isSurplus) this.surplusCount++;
+    else this.countByClient.nobody++;
   }
 
-  closed(socket: Closable): void {
-    const c = this.table.get(socket);
-    if (!c) return;
-    this.table.delete(socket);
-    if (c.surplus) this.surplus--;
-    else this.held[c.holder]--;
+  /** A connection is gone, whoever closed it. */
+  connectionClosed(socket: Closable): void {
+    const connection = this.connections.get(socket);
+    if (!connection) return;
+    this.connections.delete(socket);
+    if (connection.isSurplus) this.surplusCount--;
+    else this.countByClient[connection.client]--;
   }
 
-  /** False if the request is to be turned away; a probe never is. */
-  asked(socket: Closable, holder: Holder): boolean {
-    const c = this.table.get(socket);
-    if (!c) return true;
-    this.use(socket, c);
-    c.open++;
-    if (!c.surplus && holder !== c.holder) {
-      this.held[c.holder]--;
-      if (holder === 'worker' && this.held.worker >= this.shares.workers) this.demote(c);
-      else this.held[holder]++;
+  /** A request has come in. False if it is to be turned away; a probe never is. */
+  admitRequest(socket: Closable, client: ClientKind): boolean {
+    const connection = this.connections.get(socket);
+    if (!connection) return true;
+    this.markUsed(socket, connection);
+    connection.unansweredCount++;
+    if (!connection.isSurplus && client !== connection.client) {
+      this.countByClient[connection.client]--;
+      if (client === 'worker' && this.countByClient.worker >= this.shares.workers) {
+        this.makeSurplus(connection);
+      } else this.countByClient[client]++;
     }
-    c.holder = holder;
-    return !c.surplus || holder === 'probe';
+    connection.client = client;
+    return !connection.isSurplus || client === 'probe';
   }
 
   /** Whether the connection is to be closed with the answer. */
-  mustClose(socket: Closable): boolean {
-    return this.table.get(socket)?.surplus ?? false;
+  mustCloseAfterAnswer(socket: Closable): boolean {
+    return this.connections.get(socket)?.isSurplus ?? false;
   }
 
-  answered(socket: Closable): void {
-    const c = this.table.get(socket);
-    if (!c) return;
-    c.open--;
-    this.use(socket, c);
+  /** A request has been answered, or its connection is gone. */
+  requestAnswered(socket: Closable): void {
+    const connection = this.connections.get(socket);
+    if (!connection) return;
+    connection.unansweredCount--;
+    this.markUsed(socket, connection);
   }
 
-  /** Closes what has been silent for too long. */
-  sweep(): void {
+  /** Closes connections that have been idle for too long. */
+  closeIdleConnections(): void {
     const now = this.now();
-    const silent = [...this.table].filter(
-      ([, c]) => c.open === 0 && now - c.used > this.patience(c),
+    const idle = [...this.connections].filter(
+      ([, connection]) =>
+        connection.unansweredCount === 0 &&
+        now - connection.lastUsedAt > this.idleTimeout(connection),
     );
-    for (const [socket] of silent) this.close(socket);
+    for (const [socket] of idle) this.close(socket);
   }
 
-  private patience(c: Connection): Duration {
-    if (c.surplus) return SURPLUS_LIMIT;
-    if (c.holder === 'nobody') return SILENT_LIMIT;
-    if (c.holder !== 'worker') return USER_IDLE;
-    return Math.max(LEAST_WORKER_IDLE, this.heartbeatInterval * MISSED_REPORTS);
+  private idleTimeout({ isSurplus, client }: Connection): Duration {
+    if (isSurplus) return SURPLUS_TIMEOUT_MS;
+    if (client === 'nobody') return UNUSED_TIMEOUT_MS;
+    if (client !== 'worker') return USER_IDLE_TIMEOUT_MS;
+    return Math.max(MIN_WORKER_IDLE_TIMEOUT_MS, this.heartbeatInterval * MISSED_HEARTBEAT_COUNT);
   }
 
-  private demote(c: Connection): void {
-    c.surplus = true;
-    this.surplus++;
+  private makeSurplus(connection: Connection): void {
+    connection.isSurplus = true;
+    this.surplusCount++;
   }
 
-  private use(socket: Closable, c: Connection): void {
-    c.used = this.now();
-    this.table.delete(socket);
-    this.table.set(socket, c);
+  private markUsed(socket: Closable, connection: Connection): void {
+    connection.lastUsedAt = this.now();
+    this.connections.delete(socket);
+    this.connections.set(socket, connection);
   }
 
-  private closeIdleUser(): boolean {
-    for (const [socket, c] of this.table) {
-      const idle = c.open === 0 && !c.surplus && c.holder === 'user';
-      if (idle) return this.close(socket);
+  /** False if no user's connection is idle. */
+  private closeOneIdleUser(): boolean {
+    for (const [socket, { client, isSurplus, unansweredCount }] of this.connections) {
+      if (client !== 'user' || isSurplus || unansweredCount > 0) continue;
+      this.close(socket);
+      return true;
     }
     return false;
   }
 
-  private close(socket: Closable): true {
-    this.closed(socket);
+  private close(socket: Closable): void {
+    this.connectionClosed(socket);
     socket.destroy();
-    return true;
   }
 }
--- a/packages/adapters/src/http-client.ts
+++ b/packages/adapters/src/http-client.ts
@@ -1,10 +1,13 @@
 /** HTTP requests to the outside, over connections that stay open. */
 import { Agent, request, type IncomingMessage } from 'node:http';
-import { packBody, unpackBody } from '@tealdock/wire';
+import { WireError, packBody, unpackBody, type Duration } from '@tealdock/wire';
 import type { CallResult } from '@tealdock/controller';
 
-/** Answers longer than this are not read; watches may be long, but not this long. */
-const MOST_ANSWER_BYTES = 8 * 1024 * 1024;
+/** Longer answers are not read; only those to watches come near it. */
+const MAX_ANSWER_BYTES = 8 * 1024 * 1024;
+const MAX_PORT = 65_535;
+/** The lowest status of an error. */
+const MIN_ERROR_STATUS = 400;
 
 /** One request to an outside service. */
 export interface HttpCall {
@@ -12,19 +15,18 @@
   port: number;
   method: string;
   path: string;
+  /** Sent as MessagePack; null for none. */
   body: unknown;
-  timeout: number;
+  timeout: Duration;
 }
 
-const MOST_PORT = 65_535;
-
 /** Host and port of an address in the form `host:port`. */
 export function splitAddress(address: string): { host: string; port: number } {
-  const cut = address.lastIndexOf(':');
-  return { host: address.slice(0, cut), port: Number(address.slice(cut + 1)) };
+  const colon = address.lastIndexOf(':');
+  return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
 }
 
-/** One call with one result, whatever happens. No answer is never taken for a refusal. */
+/** Sends calls; each has exactly one result, and none throws. */
 export class HttpClient {
   private readonly agent: Agent;
 
@@ -44,18 +46,24 @@
     this.agent.destroy();
   }
 
-  send(call: HttpCall, done: (result: CallResult) => void): void {
+  /** The result of a call, as a promise that never rejects. */
+  request(call: HttpCall): Promise<CallResult> {
+    return new Promise((resolve) => this.send(call, resolve));
+  }
+
+  /** The same by a callback, for the state owner's calls, where each turn counts. */
+  send(call: HttpCall, onResult: (result: CallResult) => void): void {
     // Addresses of workers come from outside: an impossible one must not throw.
-    if (!(call.port > 0 && call.port <= MOST_PORT)) return done({ kind: 'unsent' });
-    let settled = false;
+    if (!(call.port > 0 && call.port <= MAX_PORT)) return onResult({ kind: 'unsent' });
+    let isSettled = false;
     const settle = (result: CallResult) => {
-      if (settled) return;
-      settled = true;
+      if (isSettled) return;
+      isSettled = true;
       clearTimeout(timer);
-      done(result);
+      onResult(result);
     };
     const payload = call.body === null ? null : packBody(call.body);
-    const req = request({
+    const outgoing = request({
       agent: this.agent,
       host: call.host,
       port: call.port,
@@ -67,34 +75,36 @@
     });
     const timer = setTimeout(() => {
       settle({ kind: 'lost' });
-      req.destroy();
+      outgoing.destroy();
     }, call.timeout);
-    req.on('response', (res) => readAnswer(res, settle));
-    req.on('error', (error: NodeJS.ErrnoException) =>
+    outgoing.on('response', (response) => readAnswer(response, settle));
+    outgoing.on('error', (error: NodeJS.ErrnoException) =>
       settle(error.code === 'ECONNREFUSED' ? { kind: 'unsent' } : { kind: 'lost' }),
     );
-    req.end(payload ?? undefined);
+    outgoing.end(payload ?? undefined);
   }
 }
 
-function readAnswer(res: IncomingMessage, settle: (result: CallResult) => void): void {
+function readAnswer(response: IncomingMessage, settle: (result: CallResult) => void): void {
   const chunks: Buffer[] = [];
-  let size = 0;
-  res.on('data', (chunk: Buffer) => {
-    size += chunk.length;
-    if (size > MOST_ANSWER_BYTES) res.destroy();
+  let bytes = 0;
+  response.on('data', (chunk: Buffer) => {
+    bytes += chunk.length;
+    if (bytes > MAX_ANSWER_BYTES) response.destroy();
     else chunks.push(chunk);
   });
-  res.on('error', () => settle({ kind: 'lost' }));
-  res.on('close', () => settle({ kind: 'lost' }));
-  res.on('end', () => {
-    const status = res.statusCode ?? 0;
-    try {
-      const body = size > 0 ? unpackBody(Buffer.concat(chunks)) : null;
-      settle({ kind: 'answer', status, body });
-    } catch {
-      // The status alone tells whether it was executed only when it is an error.
-      settle(status >= 400 ? { kind: 'answer', status, body: null } : { kind: 'lost' });
-    }
-  });
+  response.on('error', () => settle({ kind: 'lost' }));
+  response.on('close', () => settle({ kind: 'lost' }));
+  response.on('end', () => settle(resultOf(response.statusCode ?? 0, Buffer.concat(chunks))));
+}
+
+function resultOf(status: number, payload: Buffer): CallResult {
+  try {
+    const body = payload.length > 0 ? unpackBody(payload) : null;
+    return { kind: 'answer', status, body };
+  } catch (error) {
+    if (!(error instanceof WireError)) throw error;
+    // Without a readable body, only the status of an error says that nothing was executed.
+    return status >= MIN_ERROR_STATUS ? { kind: 'answer', status, body: null } : { kind: 'lost' };
+  }
 }
--- a/packages/adapters/src/http-server.ts
+++ b/packages/adapters/src/http-server.ts
@@ -1,80 +1,93 @@
 /** The public HTTP interface. */
-import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
+import {
+  createServer,
+  type IncomingMessage,
+  type OutgoingHttpHeaders,
+  type Server,
+  type ServerResponse,
+} from 'node:http';
 import { HEALTH_PATH, MAX_BODY_BYTES, HEARTBEAT_PATH, packBody } from '@tealdock/wire';
 import type { Reply, SocketShares } from '@tealdock/controller';
-import type { Connections, Holder } from './connections.js';
-import { listen } from './listen.js';
+import type { Connections, ClientKind } from './connections.js';
+import { listen, type ListenEvents } from './listen.js';
 
-const SWEEP_EVERY = 1000;
-const REQUEST_TIMEOUT = 10_000;
-const REPLY_TIMEOUT = 6000;
+const CLOSE_IDLE_INTERVAL_MS = 1000;
+const REQUEST_TIMEOUT_MS = 10_000;
+const REPLY_TIMEOUT_MS = 6000;
+const BUSY_RETRY_AFTER_MS = 1000;
+const MS_PER_SECOND = 1000;
 
-/** Takes a whole request in; its answer goes through `respond`. */
-export type Receive = (method: string, path: string, body: Buffer, respond: Respond) => void;
+/** Handles a whole request; its answer goes through `respond`. */
+export type RequestHandler = (method: string, path: string, body: Buffer, respond: Respond) => void;
 /** Sends the answer to a request, once. */
 export type Respond = (reply: Reply) => void;
 
-const BUSY: Reply = { status: 503, body: { error: 'busy' }, retryAfter: 1000 };
+const BUSY: Reply = { status: 503, body: { error: 'busy' }, retryAfter: BUSY_RETRY_AFTER_MS };
+const LEASE_IN_DOUBT: Reply = { status: 503, body: { error: 'lease in doubt' } };
 
-/** Users, workers and health checks. Bounded in bodies, connections and waiting. */
-export class HttpFront {
+/**
+ * The HTTP server for users, workers and health checks, with limits on bodies, connections and
+ * the time that a request or its answer may take.
+ */
+export class PublicHttpServer {
   private readonly server: Server;
 
   constructor(
-    private readonly receive: Receive,
+    private readonly handle: RequestHandler,
     private readonly connections: Connections,
     shares: SocketShares,
   ) {
-    this.server = createServer({ noDelay: true }, (req, res) => this.serve(req, res));
-    // Idle connections are closed by the table, which knows whose they are.
+    this.server = createServer({ noDelay: true }, (req, res) => this.accept(req, res));
+    // `Connections` closes idle ones, by kinds of clients.
     this.server.keepAliveTimeout = 0;
-    this.server.headersTimeout = REQUEST_TIMEOUT;
-    this.server.requestTimeout = REQUEST_TIMEOUT;
+    this.server.headersTimeout = REQUEST_TIMEOUT_MS;
+    this.server.requestTimeout = REQUEST_TIMEOUT_MS;
     this.server.maxConnections = shares.clients + shares.turnedAway;
     this.server.on('clientError', (_error, socket) => socket.destroy());
     this.server.on('connection', (socket) => {
-      connections.opened(socket);
-      socket.on('close', () => connections.closed(socket));
+      connections.connectionOpened(socket);
+      socket.on('close', () => connections.connectionClosed(socket));
     });
-    setInterval(() => connections.sweep(), SWEEP_EVERY).unref();
+    setInterval(() => connections.closeIdleConnections(), CLOSE_IDLE_INTERVAL_MS).unref();
   }
 
-  listen(address: string, ready: () => void, failed: (error: Error) => void): void {
-    listen(this.server, address, ready, failed);
+  /** Listens on an address in the form `host:port`. */
+  listen(address: string, events: ListenEvents): void {
+    listen(this.server, address, events);
   }
 
-  private serve(req: IncomingMessage, res: ServerResponse): void {
+  private accept(req: IncomingMessage, res: ServerResponse): void {
     const { socket } = req;
-    const welcome = this.connections.asked(socket, holderOf(pathOf(req)));
-    if (this.connections.mustClose(socket)) res.setHeader('connection', 'close');
-    res.on('close', () => this.connections.answered(socket));
-    if (welcome) return this.receiveBody(req, res);
+    const isAdmitted = this.connections.admitRequest(socket, clientOf(pathOf(req)));
+    if (this.connections.mustCloseAfterAnswer(socket)) res.setHeader('connection', 'close');
+    res.on('close', () => this.connections.requestAnswered(socket));
+    if (isAdmitted) return this.receiveBody(req, res);
     req.resume();
     req.on('end', () => write(res, BUSY));
   }
 
   private receiveBody(req: IncomingMessage, res: ServerResponse): void {
     const chunks: Buffer[] = [];
-    let size = 0;
+    let bytes = 0;
     req.on('data', (chunk: Buffer) => {
-      size += chunk.length;
-      if (size <= MAX_BODY_BYTES) chunks.push(chunk);
-      else if (!res.headersSent) this.tooLarge(res);
+      bytes += chunk.length;
+      if (bytes <= MAX_BODY_BYTES) chunks.push(chunk);
+      else if (!res.headersSent) this.refuseBody(res);
     });
     req.on('error', () => res.destroy());
     req.on('end', () => {
-      if (size <= MAX_BODY_BYTES) this.pass(req, Buffer.concat(chunks), res);
+      if (bytes <= MAX_BODY_BYTES) this.passOn(req, Buffer.concat(chunks), res);
     });
   }
 
-  private tooLarge(res: ServerResponse): void {
+  private refuseBody(res: ServerResponse): void {
     res.setHeader('connection', 'close');
     write(res, { status: 400, body: { error: 'the body is over 64 KiB' } });
   }
 
-  private pass(req: IncomingMessage, body: Buffer, res: ServerResponse): void {
-    const timer = setTimeout(() => write(res, BUSY), REPLY_TIMEOUT);
-    this.receive(req.method ?? 'GET', pathOf(req), body, (reply) => {
+  private passOn(req: IncomingMessage, body: Buffer, res: ServerResponse): void {
+    const timer = setTimeout(() => write(res, BUSY), REPLY_TIMEOUT_MS);
+    this.handle(req.method ?? 'GET', pathOf(req), body, (reply) => {
       clearTimeout(timer);
       write(res, reply);
     });
@@ -83,7 +96,7 @@
 
 const pathOf = (req: IncomingMessage): string => (req.url ?? '/').replace(/\?.*$/s, '');
 
-function holderOf(path: string): Holder {
+function clientOf(path: string): ClientKind {
   if (path === HEARTBEAT_PATH) return 'worker';
   return path === HEALTH_PATH ? 'probe' : 'user';
 }
@@ -91,16 +104,20 @@
 function write(res: ServerResponse, reply: Reply): void {
   if (res.headersSent || res.destroyed) return;
   // Checked at the moment of writing: a leader whose lease may be over promises nothing.
-  const late = reply.validUntil !== undefined && performance.now() >= reply.validUntil;
-  const final: Reply = late ? { status: 503, body: { error: 'lease in doubt' } } : reply;
+  const isLate = reply.validUntil !== undefined && performance.now() >= reply.validUntil;
+  const final = isLate ? LEASE_IN_DOUBT : reply;
   const payload = packBody(final.body);
-  res.writeHead(final.status, {
+  res.writeHead(final.status, headersOf(final, payload.length));
+  res.end(payload);
+}
+
+function headersOf({ retryAfter, allow }: Reply, bytes: number): OutgoingHttpHeaders {
+  return {
     'content-type': 'application/msgpack',
-    'content-length': payload.length,
-    ...(final.retryAfter === undefined
+    'content-length': bytes,
+    ...(retryAfter === undefined
       ? {}
-      : { 'retry-after': String(Math.ceil(final.retryAfter / 1000)) }),
-    ...(final.allow === undefined ? {} : { allow: final.allow }),
-  });
-  res.end(payload);
+      : { 'retry-after': String(Math.ceil(retryAfter / MS_PER_SECOND)) }),
+    ...(allow === undefined ? {} : { allow }),
+  };
 }
--- a/packages/adapters/src/index.ts
+++ b/packages/adapters/src/index.ts
@@ -5,6 +5,6 @@
 export * from './token-bucket.js';
 export * from './listen.js';
 export * from './connections.js';
-export * from './usage.js';
-export * from './call-gates.js';
+export * from './resource-usage.js';
+export * from './call-rate-limiter.js';
 export * from './command-queue.js';
--- a/packages/adapters/src/listen.ts
+++ b/packages/adapters/src/listen.ts
@@ -2,28 +2,47 @@
 import type { Server } from 'node:net';
 import { splitAddress } from './http-client.js';
 
-const RETRY = 500;
-const PATIENCE = 30_000;
-const BACKLOG = 511;
+const RETRY_INTERVAL_MS = 500;
+const RETRY_TIMEOUT_MS = 30_000;
+const BACKLOG_COUNT = 511;
+
+/** An address that can't be listened on, or not any more. */
+export class ListenError extends Error {
+  override readonly name = 'ListenError';
+
+  constructor(
+    readonly address: string,
+    cause: Error,
+  ) {
+    super(`cannot listen: ${cause.message}`, { cause });
+  }
+}
+
+/** What becomes of a listener. */
+export interface ListenEvents {
+  onListening: () => void;
+  /** May also be called after `onListening`. */
+  onFailure: (error: ListenError) => void;
+}
 
 /**
- * Listens, and waits for the address while something else still has it: a process that
- * is back at once may find that a connection of its neighbours has taken the port.
+ * Listens, and retries while something else still has the address: a process that
+ * restarts at once may find that an outgoing connection of another one has taken the port.
  */
 export function listen(
   server: Server,
   address: string,
-  ready: () => void,
-  failed: (error: Error) => void,
+  { onListening, onFailure }: ListenEvents,
 ): void {
   const { host, port } = splitAddress(address);
-  const began = performance.now();
-  const attempt = () => server.listen(port, host, BACKLOG);
-  server.on('listening', ready);
+  const startedAt = performance.now();
+  const attempt = () => server.listen(port, host, BACKLOG_COUNT);
+  server.on('listening', onListening);
   server.on('error', (error: NodeJS.ErrnoException) => {
-    const taken = error.code === 'EADDRINUSE' && performance.now() - began < PATIENCE;
-    if (taken) setTimeout(attempt, RETRY);
-    else failed(error);
+    const mayRetry =
+      error.code === 'EADDRINUSE' && performance.now() - startedAt < RETRY_TIMEOUT_MS;
+    if (mayRetry) setTimeout(attempt, RETRY_INTERVAL_MS);
+    else onFailure(new ListenError(address, error));
   });
   attempt();
 }
--- a/packages/adapters/src/log.ts
+++ b/packages/adapters/src/log.ts
@@ -2,10 +2,14 @@
 import pino from 'pino';
 import type { Log } from '@tealdock/controller';
 
-/** JSON lines on standard error, in the amount set by LOG_LEVEL. */
+const LEVELS = ['error', 'info', 'debug'];
+const DEFAULT_LEVEL = 'info';
+const STANDARD_ERROR_FD = 2;
+
+/** JSON lines on standard error; `level` is that of LOG_LEVEL, `info` where it is unknown. */
 export function makeLog(level: string | undefined, member: string): Log {
-  const known = ['error', 'info', 'debug'].includes(level ?? '');
-  const options = { level: known ? level : 'info', base: { member } };
-  const logger = pino(options, pino.destination({ fd: 2, sync: true }));
+  const isKnown = level !== undefined && LEVELS.includes(level);
+  const options = { level: isKnown ? level : DEFAULT_LEVEL, base: { member } };
+  const logger = pino(options, pino.destination({ fd: STANDARD_ERROR_FD, sync: true }));
   return (at, fields, message) => logger[at](fields, message);
 }
--- a/packages/adapters/src/peer-link.ts
+++ b/packages/adapters/src/peer-link.ts
@@ -5,40 +5,45 @@
   packBody,
   packPeer,
   unpackBody,
-  type PeerMessage,
   type LeaderBroadcast,
   type PeerHeartbeat,
+  type PeerMessage,
 } from '@tealdock/wire';
 import type { Call, CallResult, Log } from '@tealdock/controller';
 import { splitAddress } from './http-client.js';
-import { listen } from './listen.js';
+import { listen, type ListenError } from './listen.js';
 
-const RECONNECT = 1000;
-const CONNECT_TIMEOUT = 2000;
+const RECONNECT_INTERVAL_MS = 1000;
+const CONNECT_TIMEOUT_MS = 2000;
 /** A peer sends a heartbeat every second; a link without anything for this long is cut. */
-const SILENCE = 5000;
-const MOST_BUFFERED = 512 * 1024;
+const SILENCE_TIMEOUT_MS = 5000;
+/** A link with more to send than this is cut: its peer does not read. */
+const MAX_BUFFERED_BYTES = 512 * 1024;
+const MAX_SOCKET_COUNT = 64;
 
-/** What is heard from the other controllers. */
+/** What comes from the other controllers. */
 export interface PeerEvents {
-  heartbeat(message: PeerHeartbeat): void;
-  broadcast(message: LeaderBroadcast): void;
-  refused(member: string): void;
-  ask(
-    message: Extract<PeerMessage, { kind: 'ask' }>,
+  onHeartbeat(message: PeerHeartbeat): void;
+  onBroadcast(message: LeaderBroadcast): void;
+  /** Nothing listens on the peer's address: its process is surely not running. */
+  onConnectionRefused(member: string): void;
+  onRequest(
+    request: Extract<PeerMessage, { kind: 'ask' }>,
     respond: (status: number, body: unknown) => void,
   ): void;
 }
 
 /**
- * Links between controllers: Avro records over `net`. Each node dials every peer
- * and speaks on the connection it dialled; answers return the same way.
+ * Links between controllers: Avro records over TCP. Each node dials every peer
+ * and sends on the connection it dialled; answers return on the same one.
  */
 export class PeerLink {
   private readonly server: Server;
+  /** Connections that were dialled, by member. */
   private readonly sockets = new Map<string, Socket>();
-  private readonly waiting = new Map<number, (result: CallResult) => void>();
-  private lastAsk = 0;
+  /** Requests without an answer yet, by id. */
+  private readonly pending = new Map<number, (result: CallResult) => void>();
+  private lastRequestId = 0;
 
   constructor(
     private readonly peers: { member: string; address: string }[],
@@ -46,97 +51,99 @@
     private readonly log: Log,
   ) {
     this.server = createServer((socket) => this.read(socket));
-    this.server.maxConnections = 64;
+    this.server.maxConnections = MAX_SOCKET_COUNT;
   }
 
-  listen(address: string, failed: (error: Error) => void): void {
-    listen(this.server, address, () => undefined, failed);
+  /** Listens on an address in the form `host:port`, and dials all peers again and again. */
+  listen(address: string, onFailure: (error: ListenError) => void): void {
+    listen(this.server, address, { onListening: () => undefined, onFailure });
     for (const peer of this.peers) this.dial(peer);
   }
 
-  heartbeat(heartbeat: PeerHeartbeat): void {
-    const frame = packPeer(heartbeat);
-    for (const socket of this.sockets.values()) this.write(socket, frame);
-  }
-
-  broadcast(message: LeaderBroadcast): void {
+  /** Sends a message to all peers that are connected. */
+  send(message: PeerHeartbeat | LeaderBroadcast): void {
     const frame = packPeer(message);
     for (const socket of this.sockets.values()) this.write(socket, frame);
   }
 
-  ask(call: Call, done: (result: CallResult) => void): void {
+  /** Sends a call to the peer that it names; `onResult` is called exactly once. */
+  request(call: Call, onResult: (result: CallResult) => void): void {
     const socket = this.sockets.get(call.to);
-    if (!socket) return done({ kind: 'unsent' });
-    const id = ++this.lastAsk;
+    if (!socket) return onResult({ kind: 'unsent' });
+    const id = ++this.lastRequestId;
     const timer = setTimeout(() => this.settle(id, { kind: 'lost' }), call.timeout);
-    this.waiting.set(id, (result) => {
+    this.pending.set(id, (result) => {
       clearTimeout(timer);
-      done(result);
+      onResult(result);
     });
     const { method, path } = call;
     this.write(socket, packPeer({ kind: 'ask', id, method, path, body: call.body as Buffer }));
   }
 
   private settle(id: number, result: CallResult): void {
-    const done = this.waiting.get(id);
-    this.waiting.delete(id);
-    done?.(result);
+    const onResult = this.pending.get(id);
+    this.pending.delete(id);
+    onResult?.(result);
   }
 
   private write(socket: Socket, frame: Buffer): void {
     if (socket.destroyed) return;
-    if (socket.writableLength > MOST_BUFFERED) socket.destroy();
+    if (socket.writableLength > MAX_BUFFERED_BYTES) socket.destroy();
     else socket.write(frame);
   }
 
   private dial(peer: { member: string; address: string }): void {
     const { host, port } = splitAddress(peer.address);
     const socket = connect({ host, port, noDelay: true });
-    const giveUp = setTimeout(() => socket.destroy(), CONNECT_TIMEOUT);
+    const connectTimer = setTimeout(() => socket.destroy(), CONNECT_TIMEOUT_MS);
     socket.on('connect', () => {
-      clearTimeout(giveUp);
+      clearTimeout(connectTimer);
       this.sockets.set(peer.member, socket);
       this.log('debug', { peer: peer.member }, 'peer connected');
     });
     socket.on('error', (error: NodeJS.ErrnoException) => {
-      if (error.code === 'ECONNREFUSED') this.events.refused(peer.member);
+      if (error.code === 'ECONNREFUSED') this.events.onConnectionRefused(peer.member);
     });
     socket.on('close', () => {
-      clearTimeout(giveUp);
+      clearTimeout(connectTimer);
       if (this.sockets.get(peer.member) === socket) this.sockets.delete(peer.member);
-      setTimeout(() => this.dial(peer), RECONNECT);
+      setTimeout(() => this.dial(peer), RECONNECT_INTERVAL_MS);
     });
     this.read(socket, peer.member);
   }
 
-  /** Frames from either side; only accepted connections get heartbeats, so one without any is closed. */
-  private read(socket: Socket, dialled?: string): void {
+  /** Only accepted connections receive heartbeats, so only they are cut when silent. */
+  private read(socket: Socket, dialledMember?: string): void {
     const decoder = new PeerDecoder();
-    if (dialled === undefined) socket.setTimeout(SILENCE, () => socket.destroy());
+    if (dialledMember === undefined) socket.setTimeout(SILENCE_TIMEOUT_MS, () => socket.destroy());
     socket.on('error', () => socket.destroy());
     socket.on('data', (chunk) => {
       try {
-        for (const message of decoder.push(chunk)) this.take(socket, message);
+        for (const message of decoder.push(chunk)) this.receive(socket, message);
       } catch (error) {
+        // Whatever a peer sends costs its link, never the process.
         this.log('info', { error: String(error) }, 'malformed peer message');
         socket.destroy();
       }
     });
   }
 
-  private take(socket: Socket, message: PeerMessage): void {
-    if (message.kind === 'heartbeat') this.events.heartbeat(message);
-    else if (message.kind === 'counts' || message.kind === 'hints') this.events.broadcast(message);
-    else if (message.kind === 'answer') {
-      const body = message.body.length > 0 ? unpackBody(message.body) : null;
-      this.settle(message.id, { kind: 'answer', status: message.status, body });
-    } else {
-      this.events.ask(message, (status, body) =>
-        this.write(
-          socket,
-          packPeer({ kind: 'answer', id: message.id, status, body: packBody(body) }),
-        ),
-      );
+  private receive(socket: Socket, message: PeerMessage): void {
+    switch (message.kind) {
+      case 'heartbeat':
+        return this.events.onHeartbeat(message);
+      case 'counts':
+      case 'hints':
+        return this.events.onBroadcast(message);
+      case 'answer': {
+        const body = message.body.length > 0 ? unpackBody(message.body) : null;
+        return this.settle(message.id, { kind: 'answer', status: message.status, body });
+      }
+      case 'ask':
+        return this.events.onRequest(message, (status, body) => {
+          const answer = { kind: 'answer' as const, id: message.id, status, body: packBody(body) };
+          this.write(socket, packPeer(answer));
+        });
     }
   }
 }
--- a/packages/adapters/src/token-bucket.ts
+++ b/packages/adapters/src/token-bucket.ts
@@ -1,16 +1,32 @@
 /** Token buckets with priorities. */
-import type { Instant } from '@tealdock/wire';
+import type { Duration, Instant } from '@tealdock/wire';
 
-interface Waiting {
+/** Time and timers, so that tests can simulate them. */
+export interface Clock {
+  now: () => Instant;
+  schedule: (delay: Duration, run: () => void) => void;
+}
+
+/** A call that waits for tokens; exactly one of `run` and `drop` is called. */
+export interface TokenRequest {
+  /** Tokens that it takes; one of 0 runs at once. */
   cost: number;
+  /** Lower goes first. */
   priority: number;
-  expires: Instant;
+  /** It is dropped once it has waited this long. */
+  timeout: Duration;
   run: () => void;
   drop: () => void;
 }
 
-/** Rooms for at most this many waiting calls; the newest beyond it are dropped. */
-const MOST_WAITING = 500;
+interface QueuedRequest extends TokenRequest {
+  expiresAt: Instant;
+}
+
+/** Calls that may wait at a time; the newest beyond it are dropped. */
+const MAX_QUEUE_COUNT = 500;
+const MIN_SLEEP_MS = 1;
+const MS_PER_SECOND = 1000;
 
 /**
  * Tokens for calls to an outside service. A call that finds none waits in order
@@ -18,61 +34,64 @@
  */
 export class TokenBucket {
   private tokens: number;
-  private filled: Instant;
-  private waiting: Waiting[] = [];
-  private asleep = false;
+  private refilledAt: Instant;
+  private readonly queue: QueuedRequest[] = [];
+  private isSleeping = false;
 
   constructor(
-    private rate: number,
+    private tokensPerSecond: number,
     private readonly burst: number,
-    private readonly now: () => Instant,
-    private readonly wake: (delay: number, run: () => void) => void,
+    private readonly clock: Clock,
   ) {
     this.tokens = burst;
-    this.filled = now();
+    this.refilledAt = clock.now();
   }
 
   /** Tokens per second from now on; the burst stays as it is. */
-  setRate(rate: number): void {
-    this.fill();
-    this.rate = rate;
+  setRate(tokensPerSecond: number): void {
+    this.refill();
+    this.tokensPerSecond = tokensPerSecond;
   }
 
-  take(cost: number, priority: number, patience: number, run: () => void, drop: () => void): void {
-    if (cost === 0) return run();
-    const entry = { cost, priority, expires: this.now() + patience, run, drop };
-    if (this.waiting.length >= MOST_WAITING) return drop();
-    const at = this.waiting.findIndex((w) => w.priority > priority);
-    this.waiting.splice(at < 0 ? this.waiting.length : at, 0, entry);
-    this.drain();
+  /** Runs the call once there are tokens for it, at once where there are enough. */
+  take(request: TokenRequest): void {
+    if (request.cost === 0) return request.run();
+    const expiresAt = this.clock.now() + request.timeout;
+    if (this.queue.length >= MAX_QUEUE_COUNT) return request.drop();
+    const index = this.queue.findIndex((queued) => queued.priority > request.priority);
+    this.queue.splice(index < 0 ? this.queue.length : index, 0, { ...request, expiresAt });
+    this.serveQueue();
   }
 
-  private drain(): void {
-    this.fill();
-    for (let first = this.waiting[0]; first; first = this.waiting[0]) {
+  private serveQueue(): void {
+    this.refill();
+    for (let first = this.queue[0]; first; first = this.queue[0]) {
+      // A cost beyond the burst is served by a full bucket, which then owes the rest.
       const missing = Math.min(first.cost, this.burst) - this.tokens;
-      if (first.expires < this.now()) first.drop();
-      else if (missing > 0) return this.sleep(Math.max(1, (missing / this.rate) * 1000));
+      if (first.expiresAt < this.clock.now()) first.drop();
+      else if (missing > 0) return this.sleep(missing);
       else {
         this.tokens -= first.cost;
         first.run();
       }
-      this.waiting.shift();
+      this.queue.shift();
     }
   }
 
-  private sleep(delay: number): void {
-    if (this.asleep) return;
-    this.asleep = true;
-    this.wake(delay, () => {
-      this.asleep = false;
-      this.drain();
+  private sleep(missingTokens: number): void {
+    if (this.isSleeping) return;
+    this.isSleeping = true;
+    const refillTime = (missingTokens / this.tokensPerSecond) * MS_PER_SECOND;
+    this.clock.schedule(Math.max(MIN_SLEEP_MS, refillTime), () => {
+      this.isSleeping = false;
+      this.serveQueue();
     });
   }
 
-  private fill(): void {
-    const now = this.now();
-    this.tokens = Math.min(this.burst, this.tokens + ((now - this.filled) / 1000) * this.rate);
-    this.filled = now;
+  private refill(): void {
+    const now = this.clock.now();
+    const elapsedSeconds = (now - this.refilledAt) / MS_PER_SECOND;
+    this.tokens = Math.min(this.burst, this.tokens + elapsedSeconds * this.tokensPerSecond);
+    this.refilledAt = now;
   }
 }
--- a/packages/cli/src/client.ts
+++ b/packages/cli/src/client.ts
@@ -1,71 +1,75 @@
-/** Commands that talk to a running node. */
+/** Commands that talk to a running node. All throw `CommandError` for a refusal or no answer. */
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
 import { HttpClient, splitAddress } from '@tealdock/adapters';
 import { JOBS_PATH } from '@tealdock/wire';
+import { CommandError, EXIT_CODES } from './command-error.js';
 
-/** Ends the command with a message and an exit code. */
-export type Fail = (message: string, code: number) => never;
-
-const TIMEOUT = 5000;
+const ANSWER_TIMEOUT_MS = 5000;
+const METRICS_PATH = '/metrics';
 
 interface Answer {
   status: number;
   body: unknown;
 }
 
-function send(node: string, method: string, path: string, body: unknown): Promise<Answer | null> {
-  const client = new HttpClient(1);
-  const call = { ...splitAddress(node), method, path, body, timeout: TIMEOUT };
-  return new Promise((resolve) =>
-    client.send(call, (r) =>
-      resolve(r.kind === 'answer' ? { status: r.status, body: r.body } : null),
-    ),
-  );
+/** Submits the job that a TOML file describes, and shows its state. */
+export async function submitJob(node: string, file: string): Promise<void> {
+  showJob(await send(node, 'POST', JOBS_PATH, readJob(file)));
 }
 
-/** Prints the job as the service shows it, or fails with what it said. */
-function show(answer: Answer | null, node: string, fail: Fail): void {
-  if (!answer) return fail(`no answer from ${node}; ask again`, 1);
-  if (answer.status >= 300) {
-    const error = (answer.body as { error?: string } | null)?.error ?? 'refused';
-    return fail(`${answer.status}: ${error}`, 1);
-  }
-  const job = answer.body as Record<string, unknown>;
-  const line = Object.entries(job).map(([key, value]) => `${key}=${String(value)}`);
-  process.stdout.write(`${line.join(' ')}\n`);
-  process.exit(0);
+/** Shows the state of a job. */
+export async function jobStatus(node: string, job: string): Promise<void> {
+  showJob(await send(node, 'GET', jobPath(job), null));
+}
+
+/** Cancels a job, and shows its state. */
+export async function cancelJob(node: string, job: string): Promise<void> {
+  showJob(await send(node, 'POST', `${jobPath(job)}/cancel`, null));
+}
+
+/** Shows counters and histograms of one controller, as indented JSON. */
+export async function nodeStats(node: string): Promise<void> {
+  const answer = await send(node, 'GET', METRICS_PATH, null);
+  if (answer.status !== 200) throw noAnswer(node);
+  process.stdout.write(`${JSON.stringify(answer.body, null, 2)}\n`);
 }
 
-/** Submits the job that a TOML file describes. */
-export async function submitJob(node: string, file: string, fail: Fail): Promise<void> {
-  let job: unknown;
+const jobPath = (job: string): string => `${JOBS_PATH}/${encodeURIComponent(job)}`;
+
+function readJob(file: string): unknown {
   try {
-    job = parse(readFileSync(file, 'utf8'));
+    return parse(readFileSync(file, 'utf8'));
   } catch (error) {
-    return fail(`${file}: ${firstLine((error as Error).message)}`, 2);
+    const message = `${file}: ${firstLine((error as Error).message)}`;
+    throw new CommandError(message, EXIT_CODES.usage, { cause: error });
   }
-  show(await send(node, 'POST', JOBS_PATH, job), node, fail);
 }
 
 /** Parsers add an excerpt below their message. */
 const firstLine = (text: string): string => text.replace(/\n.*$/s, '');
 
-/** Counters and histograms of one controller, as indented JSON. */
-export async function nodeStats(node: string, fail: Fail): Promise<void> {
-  const answer = await send(node, 'GET', '/metrics', null);
-  if (answer?.status !== 200) return fail(`no answer from ${node}; ask again`, 1);
-  process.stdout.write(`${JSON.stringify(answer.body, null, 2)}\n`);
-  process.exit(0);
+async function send(node: string, method: string, path: string, body: unknown): Promise<Answer> {
+  const client = new HttpClient(1);
+  try {
+    const call = { ...splitAddress(node), method, path, body, timeout: ANSWER_TIMEOUT_MS };
+    const result = await client.request(call);
+    if (result.kind !== 'answer') throw noAnswer(node);
+    return { status: result.status, body: result.body };
+  } finally {
+    client.close();
+  }
 }
 
-/** Shows how a job stands. */
-export async function jobStatus(node: string, job: string, fail: Fail): Promise<void> {
-  show(await send(node, 'GET', `${JOBS_PATH}/${encodeURIComponent(job)}`, null), node, fail);
-}
+const noAnswer = (node: string): CommandError =>
+  new CommandError(`no answer from ${node}; ask again`, EXIT_CODES.failure);
 
-/** Cancels a job. */
-export async function cancelJob(node: string, job: string, fail: Fail): Promise<void> {
-  const path = `${JOBS_PATH}/${encodeURIComponent(job)}/cancel`;
-  show(await send(node, 'POST', path, null), node, fail);
+/** Prints a job as the service shows it; throws where the service refused. */
+function showJob({ status, body }: Answer): void {
+  if (status >= 300) {
+    const reason = (body as { error?: string } | null)?.error ?? 'refused';
+    throw new CommandError(`${status}: ${reason}`, EXIT_CODES.failure);
+  }
+  const fields = Object.entries(body as Record<string, unknown>);
+  process.stdout.write(`${fields.map(([key, value]) => `${key}=${String(value)}`).join(' ')}\n`);
 }
--- /dev/null
+++ b/packages/cli/src/settings-files.ts
@@ -0,0 +1,42 @@
+/** Settings files named on the command line. */
+import { readFileSync } from 'node:fs';
+import { whyTooShort } from '@tealdock/controller';
+import { SettingsError, parseOperatorSettings, parseSettings } from '@tealdock/wire';
+import type { OperatorSettings, Settings } from '@tealdock/wire';
+import { CommandError, EXIT_CODES } from './command-error.js';
+
+/** Paths of the settings files. */
+export interface SettingsFiles {
+  config: string;
+  /** Without it, the operators' settings have their defaults. */
+  operator?: string;
+}
+
+/** The settings in the files; throws `CommandError` naming the file and what is wrong in it. */
+export function readSettingsFiles(files: SettingsFiles): {
+  settings: Settings;
+  operator: OperatorSettings;
+} {
+  const settings = parseFile(files.config, parseSettings);
+  const problem = whyTooShort(settings);
+  if (problem !== null) throw usageError(`${files.config}: ${problem}`);
+  const operator = files.operator
+    ? parseFile(files.operator, parseOperatorSettings)
+    : parseOperatorSettings('');
+  return { settings, operator };
+}
+
+function parseFile<T>(file: string, parse: (text: string) => T): T {
+  try {
+    return parse(readFileSync(file, 'utf8'));
+  } catch (error) {
+    const reason =
+      error instanceof SettingsError
+        ? error.message
+        : ((error as NodeJS.ErrnoException).code ?? 'unreadable');
+    throw usageError(`${file}: ${reason}`, error);
+  }
+}
+
+const usageError = (message: string, cause?: unknown): CommandError =>
+  new CommandError(message, EXIT_CODES.usage, { cause });
--- a/packages/controller/src/autoscaling/autoscaler.ts
+++ b/packages/controller/src/autoscaling/autoscaler.ts
@@ -1,5 +1,5 @@
 /** How many machines of which kind there should be. */
-import { MAX_RENT, type Instant, type MachineType } from '@tealdock/wire';
+import { MAX_RENTAL_COUNT, type Instant, type MachineType } from '@tealdock/wire';
 import {
   minSlotPrice,
   offerings,
@@ -203,7 +203,7 @@
       groups.set(placeKey(p), group);
     }
     for (const { place, count } of groups.values()) {
-      if (!this.rentals.asked(place)) this.rentals.ask(place, Math.min(MAX_RENT, count));
+      if (!this.rentals.asked(place)) this.rentals.ask(place, Math.min(MAX_RENTAL_COUNT, count));
     }
   }
 
--- a/packages/controller/src/autoscaling/machine-returns.ts
+++ b/packages/controller/src/autoscaling/machine-returns.ts
@@ -1,5 +1,5 @@
 /** Machines that go back to the cloud: idle, failed, vanished or never up. */
-import { MAX_RETURN, RETURN_PATH, renderReturn, type MachineType } from '@tealdock/wire';
+import { MAX_RETURN_COUNT, RETURN_PATH, renderReturn, type MachineType } from '@tealdock/wire';
 import type { Machine } from '../machines/machine.js';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
@@ -63,7 +63,7 @@
       this.term.membership.markReturning(machine);
     }
     if (this.returning) return;
-    const ids = [...new Set([...this.marked(), ...this.neverUsed()])].slice(0, MAX_RETURN);
+    const ids = [...new Set([...this.marked(), ...this.neverUsed()])].slice(0, MAX_RETURN_COUNT);
     if (ids.length > 0) this.sendReturn(ids);
   }
 
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -223,7 +223,7 @@
     if (
       young ||
       term.machines.size < 2 ||
-      silence < this.runtime.operator.leadership.resignUnreachable
+      silence < this.runtime.operator.leadership.unreachableTimeout
     )
       return;
     this.leadership.resign('no reports arrive');
--- a/packages/testing/src/fake-sockets.ts
+++ b/packages/testing/src/fake-sockets.ts
@@ -1,7 +1,7 @@
 /** The sockets of a simulated process. */
 import type { Settings } from '@tealdock/wire';
 import { CLOUD_SOCKETS, STATE_SOCKETS, WORKER_SOCKETS, socketShares } from '@tealdock/controller';
-import { Connections, type Closable, type Holder } from '@tealdock/adapters';
+import { Connections, type Closable, type ClientKind } from '@tealdock/adapters';
 
 /** A client's end of a connection. */
 class Line implements Closable {
@@ -37,24 +37,24 @@
   }
 
   tick(): void {
-    this.connections.sweep();
+    this.connections.closeIdleConnections();
   }
 
-  ask(client: string, holder: Holder): Line | 'turned away' {
+  ask(client: string, holder: ClientKind): Line | 'turned away' {
     const line = this.lines.get(client) ?? this.open(client);
-    if (line && this.connections.asked(line, holder)) return line;
+    if (line && this.connections.admitRequest(line, holder)) return line;
     this.turnedAway++;
     line?.destroy();
     return 'turned away';
   }
 
   answered(line: Line): void {
-    this.connections.answered(line);
+    this.connections.requestAnswered(line);
   }
 
   hangUp(client: string): void {
     const line = this.lines.get(client);
-    if (line) this.connections.closed(line);
+    if (line) this.connections.connectionClosed(line);
     this.lines.delete(client);
   }
 
@@ -62,7 +62,7 @@
     if (this.lines.size >= this.room) return null;
     const line = new Line(this, client);
     this.lines.set(client, line);
-    this.connections.opened(line);
+    this.connections.connectionOpened(line);
     this.most = Math.max(this.most, this.lines.size + this.own);
     return line;
   }
--- a/packages/testing/src/fleet.test.ts
+++ b/packages/testing/src/fleet.test.ts
@@ -65,17 +65,17 @@
   /** A client connects and asks; false if it is turned away. */
   ask(name: string, holder: 'worker' | 'user' | 'probe', answered = true): boolean {
     const socket = this.sockets.get(name) ?? { destroy: () => this.gone.push(name) };
-    if (!this.sockets.has(name)) this.table.opened(socket);
+    if (!this.sockets.has(name)) this.table.connectionOpened(socket);
     this.sockets.set(name, socket);
-    const welcome = this.table.asked(socket, holder);
-    if (answered) this.table.answered(socket);
-    if (this.table.mustClose(socket)) this.table.closed(socket);
+    const welcome = this.table.admitRequest(socket, holder);
+    if (answered) this.table.requestAnswered(socket);
+    if (this.table.mustCloseAfterAnswer(socket)) this.table.connectionClosed(socket);
     return welcome;
   }
 
   wait(duration: number): void {
     this.time += duration;
-    this.table.sweep();
+    this.table.closeIdleConnections();
   }
 
   get workers(): number {
@@ -165,11 +165,11 @@
   const report = { method: 'POST', path: '/hello', body: Buffer.alloc(0), via: 'public' } as const;
   for (let id = 0; id < 1000; id++) queue.push({ kind: 'request', id, ...report });
   queue.push({ kind: 'result', id: 1, result: { kind: 'unsent' } });
-  const first = queue.take();
+  const first = queue.nextBatch();
   assert.equal(first[0]?.kind, 'result');
   assert.ok(first.length < 100, 'effects of what was taken in leave before the rest');
   const rest: number[] = [];
-  for (let batch = first; batch.length > 0; batch = queue.take()) {
+  for (let batch = first; batch.length > 0; batch = queue.nextBatch()) {
     for (const c of batch) if (c.kind === 'request') rest.push(c.id);
   }
   assert.deepEqual(
--- a/packages/testing/src/listen.test.ts
+++ b/packages/testing/src/listen.test.ts
@@ -25,12 +25,10 @@
 function start(server: TakenServer): { ready: boolean; failed: boolean } {
   const seen = { ready: false, failed: false };
   mock.timers.enable({ apis: ['setTimeout'] });
-  listen(
-    server as unknown as Server,
-    '127.0.0.1:1',
-    () => (seen.ready = true),
-    () => (seen.failed = true),
-  );
+  listen(server as unknown as Server, '127.0.0.1:1', {
+    onListening: () => (seen.ready = true),
+    onFailure: () => (seen.failed = true),
+  });
   for (let i = 0; i < 5; i++) mock.timers.tick(500);
   mock.timers.reset();
   return seen;
--- a/packages/testing/src/simulated-cluster.ts
+++ b/packages/testing/src/simulated-cluster.ts
@@ -17,7 +17,7 @@
   type Random,
   type Reply,
 } from '@tealdock/controller';
-import { CallGates, CommandQueue } from '@tealdock/adapters';
+import { CallRateLimiter, CommandQueue } from '@tealdock/adapters';
 import {
   NODES,
   USUAL_TIMES,
@@ -55,7 +55,7 @@
   life: number;
   hung: boolean;
   sockets: FakeSockets;
-  gates: CallGates | null;
+  gates: CallRateLimiter | null;
 }
 
 /** Everything in memory and in simulated time: nodes, workers, state, cloud, network. */
@@ -214,10 +214,10 @@
     this.state.caps = this.caps(this.options.next);
   }
 
-  private gatesFor(settings: Settings): CallGates {
-    return new CallGates(settings, {
+  private gatesFor(settings: Settings): CallRateLimiter {
+    return new CallRateLimiter(settings, {
       now: () => this.clock,
-      wake: (delay, run) => this.at(delay, run),
+      schedule: (delay, run) => this.at(delay, run),
     });
   }
 
@@ -250,7 +250,7 @@
 
   private turn(node: Node): void {
     if (node.hung) return;
-    const batch = node.queue.take();
+    const batch = node.queue.nextBatch();
     const today = new Date(TODAY + this.clock);
     for (const effect of node.controller.process(batch, this.clock, today)) {
       this.carryOut(node, effect);
@@ -271,7 +271,7 @@
       const done = (result: CallResult) =>
         this.at(HALF_TRIP, () => this.returnResult(node, effect.id, result));
       const send = () => this.at(HALF_TRIP, () => this.call(node.name, effect.call, done));
-      if (node.gates) node.gates.pass(effect.call, send, () => done({ kind: 'unsent' }));
+      if (node.gates) node.gates.submit(effect.call, send, () => done({ kind: 'unsent' }));
       else send();
     }
   }
--- a/packages/testing/src/smoke.ts
+++ b/packages/testing/src/smoke.ts
@@ -39,14 +39,11 @@
   ].join('\n');
 }
 
-function healthy(port: number): Promise<boolean> {
+async function healthy(port: number): Promise<boolean> {
   const client = new HttpClient(1);
   const call = { host: LOOPBACK, port, method: 'GET', path: '/healthz', body: null };
-  return new Promise((resolve) =>
-    client.send({ ...call, timeout: 1000 }, (r) =>
-      resolve(r.kind === 'answer' && r.status === 200),
-    ),
-  );
+  const result = await client.request({ ...call, timeout: 1000 });
+  return result.kind === 'answer' && result.status === 200;
 }
 
 async function waitHealthy(port: number): Promise<void> {
--- a/packages/testing/src/soak/users.ts
+++ b/packages/testing/src/soak/users.ts
@@ -179,7 +179,7 @@
   ): Promise<CallResult> {
     const port = this.site.httpPorts.get(node) ?? 0;
     const call = { host: LOOPBACK, port, method, path, body, timeout };
-    return new Promise((resolve) => this.client.send(call, resolve));
+    return this.client.request(call);
   }
 
   private anyNode(): string {
--- a/packages/wire/src/cancellations.ts
+++ b/packages/wire/src/cancellations.ts
@@ -1,18 +1,21 @@
-/** What controllers tell each other of cancellations. */
+/** Messages by which controllers announce cancelled jobs to each other. */
 import { z } from 'zod';
-import { WireError } from './body.js';
-import { isJobId, issueText } from './jobs.js';
+import { isJobId } from './jobs.js';
+import { validateBody } from './validation.js';
 
-/** Where a controller tells another one of jobs whose cancellation it has committed. */
+/** Where a controller announces jobs whose cancellation it has committed. */
 export const CANCELLATIONS_PATH = '/cancellations';
 
-const cancellations = z.object({ jobs: z.array(z.string().refine(isJobId)).max(1000) });
+const MAX_JOB_COUNT = 1000;
 
-/** Ids of jobs that a controller has cancelled. */
+const cancellationsSchema = z.object({
+  jobs: z.array(z.string().refine(isJobId)).max(MAX_JOB_COUNT),
+});
+
+/** Ids of jobs that a controller has cancelled; throws `WireError`. */
 export function parseCancellations(body: unknown): string[] {
-  const parsed = cancellations.safeParse(body);
-  if (!parsed.success) throw new WireError(issueText(parsed.error));
-  return parsed.data.jobs;
+  return validateBody(cancellationsSchema, body).jobs;
 }
 
+/** The body that announces cancelled jobs. */
 export const renderCancellations = (jobs: string[]): Record<string, unknown> => ({ jobs });
--- a/packages/wire/src/cloud.ts
+++ b/packages/wire/src/cloud.ts
@@ -1,15 +1,24 @@
-/** The cloud's interface. */
+/**
+ * The cloud's interface: its catalog of machine types, its machine list, rentals and returns.
+ * All of its own names are mapped here; see domain.ts for the terms used everywhere else.
+ */
 import { z } from 'zod';
-import { WireError, millis } from './body.js';
-import { issueText } from './jobs.js';
+import { millisecondsOf } from './body.js';
 import type { ListedMachine, MachineType } from './domain.js';
+import { validateBody } from './validation.js';
 
+/** Machine types on offer. */
 export const CATALOG_PATH = '/catalog';
+/** The machine list (GET) and rentals (POST). */
 export const MACHINES_PATH = '/machines';
+/** Returns of machines (POST). */
 export const RETURN_PATH = '/machines/return';
-export const MAX_RENT = 50;
-export const MAX_RETURN = 100;
-export const MAX_LIST = 500;
+/** Machines that one rental may ask for. */
+export const MAX_RENTAL_COUNT = 50;
+/** Machines that one return may name. */
+export const MAX_RETURN_COUNT = 100;
+/** Machines on one page of the list. */
+const MAX_PAGE_COUNT = 500;
 
 /** A request for machines; its name makes it idempotent. */
 export interface RentRequest {
@@ -17,11 +26,12 @@
   type: string;
   zone: string;
   spot: boolean;
+  /** How many machines, at most `MAX_RENTAL_COUNT`. */
   count: number;
 }
 
 const amount = z.number().nonnegative();
-const catalog = z.object({
+const catalogSchema = z.object({
   flavours: z.array(
     z.object({
       label: z.string().min(1),
@@ -37,8 +47,8 @@
     }),
   ),
 });
-const rented = z.object({ hosts: z.array(z.string()) });
-const listing = z.object({
+const rentedSchema = z.object({ hosts: z.array(z.string()) });
+const machinePageSchema = z.object({
   hosts: z.array(
     z.object({
       ref: z.string(),
@@ -53,56 +63,54 @@
   has_next: z.boolean().nullish(),
 });
 
-function check<T>(schema: z.ZodType<T>, body: unknown): T {
-  const parsed = schema.safeParse(body);
-  if (!parsed.success) throw new WireError(issueText(parsed.error));
-  return parsed.data;
-}
-
-/** Machine types that the cloud offers. */
+/** Machine types that the cloud offers; throws `WireError`. */
 export function parseCatalog(body: unknown): MachineType[] {
-  return check(catalog, body).flavours.map((f) => ({
-    name: f.label,
-    cpus: f.cpus,
-    gpus: f.accelerators,
-    memoryGb: f.mem_gb,
-    cacheGb: f.cache_gb,
-    fetchGbPerS: f.pull_gb_per_s,
-    price: f.price,
-    spotPrice: f.low_price ?? f.price,
-    boot: millis(f.ready_s),
-    zones: f.halls,
+  return validateBody(catalogSchema, body).flavours.map((flavour) => ({
+    name: flavour.label,
+    cpus: flavour.cpus,
+    gpus: flavour.accelerators,
+    memoryGb: flavour.mem_gb,
+    cacheGb: flavour.cache_gb,
+    fetchGbPerS: flavour.pull_gb_per_s,
+    price: flavour.price,
+    spotPrice: flavour.low_price ?? flavour.price,
+    boot: millisecondsOf(flavour.ready_s),
+    zones: flavour.halls,
   }));
 }
 
-export const renderRent = (r: RentRequest): Record<string, unknown> => ({
-  rental: r.request,
-  flavour: r.type,
-  hall: r.zone,
-  spare: r.spot,
-  count: r.count,
+/** The body of a rental. */
+export const renderRent = (request: RentRequest): Record<string, unknown> => ({
+  rental: request.request,
+  flavour: request.type,
+  hall: request.zone,
+  spare: request.spot,
+  count: request.count,
 });
 
-export const parseRented = (body: unknown): string[] => check(rented, body).hosts;
+/** Ids of the machines that a rental was answered with; throws `WireError`. */
+export const parseRented = (body: unknown): string[] => validateBody(rentedSchema, body).hosts;
 
+/** The body of a return of machines, by their ids. */
 export const renderReturn = (machines: string[]): Record<string, unknown> => ({ hosts: machines });
 
+/** The path of the page of the machine list that begins after an id; '' for the first page. */
 export const listPath = (after: string): string =>
-  `${MACHINES_PATH}?after=${encodeURIComponent(after)}&most=${MAX_LIST}`;
+  `${MACHINES_PATH}?after=${encodeURIComponent(after)}&most=${MAX_PAGE_COUNT}`;
 
-/** One page of the machine list. */
+/** One page of the machine list, and whether there are more; throws `WireError`. */
 export function parseList(body: unknown): { machines: ListedMachine[]; more: boolean } {
-  const list = check(listing, body);
+  const page = validateBody(machinePageSchema, body);
   return {
-    more: list.has_next ?? false,
-    machines: list.hosts.map((h) => ({
-      id: h.ref,
-      address: h.addr ?? '',
-      type: h.flavour,
-      zone: h.hall,
-      spot: h.spare,
-      state: h.status,
-      age: millis(h.age_s),
+    more: page.has_next ?? false,
+    machines: page.hosts.map((host) => ({
+      id: host.ref,
+      address: host.addr ?? '',
+      type: host.flavour,
+      zone: host.hall,
+      spot: host.spare,
+      state: host.status,
+      age: millisecondsOf(host.age_s),
     })),
   };
 }
--- a/packages/wire/src/jobs.ts
+++ b/packages/wire/src/jobs.ts
@@ -1,11 +1,18 @@
-/** Users' interface. */
+/**
+ * Users' interface: submissions and the state of jobs. All of its own names are mapped here; see
+ * domain.ts for the terms used everywhere else.
+ */
 import { z } from 'zod';
-import { WireError, millis } from './body.js';
+import { millisecondsOf } from './body.js';
 import type { JobKind, JobSpec, JobView, Priority } from './domain.js';
+import { WireError } from './errors.js';
+import { validateBody } from './validation.js';
 
+/** Submissions (POST); single jobs are below it. */
 export const JOBS_PATH = '/api/jobs';
+/** Health checks of the platform. */
 export const HEALTH_PATH = '/healthz';
-export const MAX_TASKS = 100_000;
+const MAX_TASK_COUNT = 100_000;
 
 const PRIORITIES = {
   prod: 'production',
@@ -24,13 +31,13 @@
 const amount = z.number().nonnegative();
 const flag = z.boolean();
 
-const submission = z.object({
+const submissionSchema = z.object({
   ref: z.string(),
   jobclass: name,
   owner: name,
   shape: z.enum(['array', 'group', 'service']),
   urgency: z.enum(['prod', 'urgent', 'normal', 'idle']),
-  batch: z.number().int().min(1).max(MAX_TASKS),
+  batch: z.number().int().min(1).max(MAX_TASK_COUNT),
   cpus: amount,
   accelerators: amount,
   mem_gb: amount,
@@ -52,7 +59,7 @@
 export const isJobId = (text: unknown): text is string =>
   typeof text === 'string' && /^run-\d{1,60}$/.test(text);
 
-/** The id in a submission, even when the rest of it is malformed. */
+/** The id in a submission, even when the rest of it is malformed; null if it has none. */
 export function submissionId(body: unknown): string | null {
   const ref = (body as { ref?: unknown } | null)?.ref;
   return isJobId(ref) ? ref : null;
@@ -60,36 +67,34 @@
 
 /** The job that a submission describes; throws `WireError` naming the wrong field. */
 export function parseSubmission(body: unknown): JobSpec {
-  const parsed = submission.safeParse(body);
-  if (!parsed.success) throw new WireError(issueText(parsed.error));
-  const s = parsed.data;
-  if (!isJobId(s.ref)) throw new WireError('ref: not a job id');
+  const submission = validateBody(submissionSchema, body);
+  if (!isJobId(submission.ref)) throw new WireError('ref: not a job id');
   return {
-    id: s.ref,
-    kind: KINDS[s.shape],
-    jobClass: s.jobclass,
-    team: s.owner,
-    priority: PRIORITIES[s.urgency],
-    taskCount: s.batch,
-    cpus: s.cpus,
-    gpus: s.accelerators,
-    memoryGb: s.mem_gb,
-    image: s.bundle,
-    imageGb: s.image_gb,
-    types: s.flavours ?? null,
-    zone: s.hall ?? null,
-    oneZone: s.same_place,
-    spread: s.apart,
-    spot: s.spare,
-    estimate: millis(s.expected_s),
-    checkpoint: millis(s.snapshot_s),
-    save: millis(s.flush_s),
-    deadline: s.due_s == null ? null : millis(s.due_s),
-    ...(s.waits_on?.length ? { predecessors: [...new Set(s.waits_on)] } : {}),
+    id: submission.ref,
+    kind: KINDS[submission.shape],
+    jobClass: submission.jobclass,
+    team: submission.owner,
+    priority: PRIORITIES[submission.urgency],
+    taskCount: submission.batch,
+    cpus: submission.cpus,
+    gpus: submission.accelerators,
+    memoryGb: submission.mem_gb,
+    image: submission.bundle,
+    imageGb: submission.image_gb,
+    types: submission.flavours ?? null,
+    zone: submission.hall ?? null,
+    oneZone: submission.same_place,
+    spread: submission.apart,
+    spot: submission.spare,
+    estimate: millisecondsOf(submission.expected_s),
+    checkpoint: millisecondsOf(submission.snapshot_s),
+    save: millisecondsOf(submission.flush_s),
+    deadline: submission.due_s == null ? null : millisecondsOf(submission.due_s),
+    ...(submission.waits_on?.length ? { predecessors: [...new Set(submission.waits_on)] } : {}),
   };
 }
 
-/** How a job stands, as users read it. */
+/** The state of a job, as users read it. */
 export function renderJobView(view: JobView): Record<string, unknown> {
   return {
     ref: view.id,
@@ -97,10 +102,3 @@
     ...(view.done === undefined ? {} : { done: view.done, running: view.running ?? 0 }),
   };
 }
-
-/** The first thing that is wrong with a value, with its path. */
-export function issueText(error: z.ZodError): string {
-  const issue = error.issues[0];
-  const path = issue?.path.map(String).join('.') ?? '';
-  return `${path || 'value'}: ${issue?.message ?? 'invalid'}`;
-}
--- a/packages/wire/src/peers.ts
+++ b/packages/wire/src/peers.ts
@@ -1,5 +1,6 @@
-/** Messages between controllers. */
+/** Messages between controllers: frames of Avro records over TCP. */
 import avsc from 'avsc';
+import { PeerProtocolError } from './errors.js';
 
 /** Tasks of a live job that are done and that run, for display. */
 export interface JobCount {
@@ -20,14 +21,14 @@
   fetchSharing: number;
 }
 
-/** What the leader tells the others, for display and as hints. */
+/** What the leader sends the others: task counts for display, and hints for a successor. */
 export type LeaderBroadcast = { kind: 'counts'; jobs: JobCount[] } | ({ kind: 'hints' } & Hints);
 
-/** A sign of life of a controller, with what it knows of the leader. */
+/** A heartbeat of a controller, with what it knows of the leader. */
 export interface PeerHeartbeat {
   kind: 'heartbeat';
   member: string;
-  /** Member that it takes for the leader; empty where it knows of none. */
+  /** The member that leads, as far as it knows; empty where it knows of none. */
   leader: string;
   /** Fencing token of its own term; 0 where it does not lead. */
   fencingToken: number;
@@ -59,27 +60,36 @@
   stateOk: boolean;
 }
 
-const beat = message('Beat', {
+const heartbeatType = message('Beat', {
   member: 'string',
   leader: 'string',
   token: 'long',
   stateOk: 'boolean',
 });
-const counts = message('Counts', {
+const countsType = message('Counts', {
   jobs: listOf(recordOf('JobCount', { id: 'string', done: 'int', running: 'int' })),
 });
-const hints = message('Hints', {
+const hintsType = message('Hints', {
   ratios: listOf(recordOf('ClassRatio', { jobClass: 'string', ratio: 'double' })),
   images: listOf(recordOf('Image', { image: 'string', gb: 'double' })),
   machines: listOf(recordOf('Holder', { id: 'string', held: listOf('int') })),
   fetchSharing: 'double',
 });
-const ask = message('Ask', { id: 'long', method: 'string', path: 'string', body: 'bytes' });
-const answer = message('Answer', { id: 'long', status: 'int', body: 'bytes' });
-const TYPES = { heartbeat: beat, ask, answer, counts, hints } as const;
+const askType = message('Ask', { id: 'long', method: 'string', path: 'string', body: 'bytes' });
+const answerType = message('Answer', { id: 'long', status: 'int', body: 'bytes' });
+const TYPES = {
+  heartbeat: heartbeatType,
+  ask: askType,
+  answer: answerType,
+  counts: countsType,
+  hints: hintsType,
+} as const;
+/** A frame's kind is an index into this list, so its order is part of the protocol. */
 const KINDS = ['heartbeat', 'ask', 'answer', 'counts', 'hints'] as const;
-const HEADER_BYTES = 5;
-export const MAX_PEER_FRAME = 256 * 1024;
+/** Four bytes of length, one of kind. */
+const LENGTH_BYTES = 4;
+const HEADER_BYTES = LENGTH_BYTES + 1;
+const MAX_FRAME_BYTES = 256 * 1024;
 
 /** A heartbeat's fields in the names of its Avro record. */
 function recordFor(message: PeerMessage): unknown {
@@ -94,34 +104,43 @@
   return { kind, member, leader, fencingToken: token, stateAvailable: stateOk };
 }
 
-/** A frame: four bytes of length, one of kind, then the Avro record. */
+/** A frame: four bytes of length, one of kind, then the Avro record of the message. */
 export function packPeer(message: PeerMessage): Buffer {
   const body = TYPES[message.kind].toBuffer(recordFor(message));
   const frame = Buffer.alloc(HEADER_BYTES + body.length);
   frame.writeUInt32BE(body.length, 0);
-  frame.writeUInt8(KINDS.indexOf(message.kind), 4);
+  frame.writeUInt8(KINDS.indexOf(message.kind), LENGTH_BYTES);
   body.copy(frame, HEADER_BYTES);
   return frame;
 }
 
-/** Cuts a stream of bytes into messages; throws on anything malformed. */
+/** Cuts a stream of bytes into messages. After an error the stream can't be read on. */
 export class PeerDecoder {
-  private rest: Buffer = Buffer.alloc(0);
+  /** Bytes of a frame that is not complete yet. */
+  private pending: Buffer = Buffer.alloc(0);
 
+  /** The messages that are complete with these bytes; throws `PeerProtocolError`. */
   push(chunk: Buffer): PeerMessage[] {
-    this.rest = Buffer.concat([this.rest, chunk]);
+    this.pending = Buffer.concat([this.pending, chunk]);
     const messages: PeerMessage[] = [];
     for (;;) {
-      if (this.rest.length < HEADER_BYTES) return messages;
-      const length = this.rest.readUInt32BE(0);
-      if (length > MAX_PEER_FRAME) throw new Error('peer frame too long');
-      if (this.rest.length < HEADER_BYTES + length) return messages;
-      const kind = KINDS[this.rest.readUInt8(4)];
-      if (!kind) throw new Error('unknown peer frame');
-      const bytes = this.rest.subarray(HEADER_BYTES, HEADER_BYTES + length);
-      const record = TYPES[kind].fromBuffer(bytes) as object;
-      messages.push(messageFrom(kind, record));
-      this.rest = this.rest.subarray(HEADER_BYTES + length);
+      if (this.pending.length < HEADER_BYTES) return messages;
+      const length = this.pending.readUInt32BE(0);
+      if (length > MAX_FRAME_BYTES) throw new PeerProtocolError('peer frame too long');
+      const frameBytes = HEADER_BYTES + length;
+      if (this.pending.length < frameBytes) return messages;
+      const kind = KINDS[this.pending.readUInt8(LENGTH_BYTES)];
+      if (!kind) throw new PeerProtocolError('unknown peer frame');
+      messages.push(decodeRecord(kind, this.pending.subarray(HEADER_BYTES, frameBytes)));
+      this.pending = this.pending.subarray(frameBytes);
     }
   }
 }
+
+function decodeRecord(kind: PeerMessage['kind'], bytes: Buffer): PeerMessage {
+  try {
+    return messageFrom(kind, TYPES[kind].fromBuffer(bytes) as object);
+  } catch (error) {
+    throw new PeerProtocolError(`malformed ${kind} frame: ${String(error)}`, { cause: error });
+  }
+}
--- a/packages/wire/src/state.ts
+++ b/packages/wire/src/state.ts
@@ -1,9 +1,15 @@
-/** The state service's interface. */
+/**
+ * The state service's interface: keys with versions, compare-and-swap transactions, leases and
+ * watches. All of its own names are mapped here. Every `parse…` throws `WireError` and nothing
+ * else for an answer that does not have its form.
+ */
 import { z } from 'zod';
-import { WireError } from './body.js';
-import { issueText } from './jobs.js';
+import type { Duration } from './domain.js';
+import { validateBody } from './validation.js';
 
+/** Transactions (POST). */
 export const COMMIT_PATH = '/commit';
+/** Leases: granted by POST here, renewed and revoked below it. */
 export const LEASES_PATH = '/grants';
 
 /** A stored key with its value and version. */
@@ -17,7 +23,7 @@
   key: string;
   version: number;
 }
-/** A change of a transaction. */
+/** A change of a transaction; a value put with a lease is removed when the lease ends. */
 export type Write = { put: string; value: unknown; lease?: number } | { remove: string };
 /** A change of a key that was watched. */
 export interface StateEvent {
@@ -29,62 +35,67 @@
 }
 
 const count = z.number().int().nonnegative();
-const item = z.object({ key: z.string(), v: z.unknown(), stamp: count });
-const page = z.object({
-  items: z.array(item),
+const itemSchema = z.object({ key: z.string(), v: z.unknown(), stamp: count });
+const pageSchema = z.object({
+  items: z.array(itemSchema),
   has_next: z.boolean().nullish(),
   epoch: count,
 });
-const committed = z.object({ epoch: count });
-const refused = z.object({ failed: z.array(z.string()) });
-const grant = z.object({ tenancy: count });
-const change = z.object({
+const committedSchema = z.object({ epoch: count });
+const conflictSchema = z.object({ failed: z.array(z.string()) });
+const leaseSchema = z.object({ tenancy: count });
+const changeSchema = z.object({
   write: z.string().optional(),
   delete: z.string().optional(),
   v: z.unknown().optional(),
   stamp: count,
 });
-const changes = z.object({ epoch: count, news: z.array(change) });
+const changesSchema = z.object({ epoch: count, news: z.array(changeSchema) });
 
-function check<T>(schema: z.ZodType<T>, body: unknown): T {
-  const parsed = schema.safeParse(body);
-  if (!parsed.success) throw new WireError(issueText(parsed.error));
-  return parsed.data;
-}
-
-const fromWire = (i: z.infer<typeof item>): StateItem => ({
-  key: i.key,
-  value: i.v,
-  version: i.stamp,
+const itemFrom = (item: z.infer<typeof itemSchema>): StateItem => ({
+  key: item.key,
+  value: item.v,
+  version: item.stamp,
 });
 
+/** The path of one key. */
 export const keyPath = (key: string): string => `/keys/${key}`;
+/** The path of a page of the keys with a prefix, after a key; '' for the first page. */
 export const pagePath = (prefix: string, after: string, limit: number): string =>
   `/keys?starts=${prefix}&most=${limit}${after ? `&after=${after}` : ''}`;
-export const watchPath = (prefix: string, after: number, hold: number): string =>
-  `/changes?starts=${prefix}&after=${after}&hold_ms=${hold}`;
+/** The path of a watch: changes after a revision, awaited for so long. */
+export const watchPath = (prefix: string, afterRevision: number, timeout: Duration): string =>
+  `/changes?starts=${prefix}&after=${afterRevision}&hold_ms=${timeout}`;
+/** The path that renews a lease (POST). */
 export const renewPath = (lease: number): string => `${LEASES_PATH}/${lease}/renew`;
+/** The path of one lease. */
 export const leasePath = (lease: number): string => `${LEASES_PATH}/${lease}`;
 
-export const parseItem = (body: unknown): StateItem => fromWire(check(item, body));
-/** One page of stored keys. */
+/** One stored key; throws `WireError`. */
+export const parseItem = (body: unknown): StateItem => itemFrom(validateBody(itemSchema, body));
+/** One page of stored keys, whether there are more, and the store's revision; throws `WireError`. */
 export function parsePage(body: unknown): { items: StateItem[]; more: boolean; revision: number } {
-  const p = check(page, body);
-  return { items: p.items.map(fromWire), more: p.has_next ?? false, revision: p.epoch };
+  const page = validateBody(pageSchema, body);
+  return { items: page.items.map(itemFrom), more: page.has_next ?? false, revision: page.epoch };
 }
-export const parseCommitRevision = (body: unknown): number => check(committed, body).epoch;
-export const parseFailedPreconditions = (body: unknown): string[] => check(refused, body).failed;
-export const parseLeaseId = (body: unknown): number => check(grant, body).tenancy;
-/** The changes that a watch was answered with. */
+/** The store's revision after a transaction; throws `WireError`. */
+export const parseCommitRevision = (body: unknown): number =>
+  validateBody(committedSchema, body).epoch;
+/** Keys whose preconditions did not hold; throws `WireError`. */
+export const parseFailedPreconditions = (body: unknown): string[] =>
+  validateBody(conflictSchema, body).failed;
+/** The id of a lease that was granted; throws `WireError`. */
+export const parseLeaseId = (body: unknown): number => validateBody(leaseSchema, body).tenancy;
+/** The changes that a watch was answered with, up to a revision; throws `WireError`. */
 export function parseChanges(body: unknown): { revision: number; events: StateEvent[] } {
-  const c = check(changes, body);
+  const changes = validateBody(changesSchema, body);
   return {
-    revision: c.epoch,
-    events: c.news.map((n) => ({
-      key: n.write ?? n.delete ?? '',
-      value: n.v,
-      version: n.stamp,
-      removed: n.write === undefined,
+    revision: changes.epoch,
+    events: changes.news.map((change) => ({
+      key: change.write ?? change.delete ?? '',
+      value: change.v,
+      version: change.stamp,
+      removed: change.write === undefined,
     })),
   };
 }
@@ -95,11 +106,13 @@
   writes: Write[],
 ): Record<string, unknown> {
   return {
-    guards: preconditions.map((g) => ({ key: g.key, stamp: g.version })),
-    writes: writes.map((w) =>
-      'remove' in w
-        ? { delete: w.remove }
-        : { write: w.put, v: w.value, ...(w.lease === undefined ? {} : { tenancy: w.lease }) },
-    ),
+    guards: preconditions.map(({ key, version }) => ({ key, stamp: version })),
+    writes: writes.map(renderWrite),
   };
 }
+
+function renderWrite(write: Write): Record<string, unknown> {
+  if ('remove' in write) return { delete: write.remove };
+  const lease = write.lease === undefined ? {} : { tenancy: write.lease };
+  return { write: write.put, v: write.value, ...lease };
+}
--- a/packages/wire/src/workers.ts
+++ b/packages/wire/src/workers.ts
@@ -1,10 +1,15 @@
-/** Workers' interface. */
+/**
+ * Workers' interface: heartbeats and commands. All of its own names are mapped here; see
+ * domain.ts for the terms used everywhere else.
+ */
 import { z } from 'zod';
-import { WireError, millis, seconds } from './body.js';
-import { issueText } from './jobs.js';
-import type { ExitReason, WorkerCommand, TaskState, WorkerHeartbeat } from './domain.js';
+import { millisecondsOf, secondsOf } from './body.js';
+import type { ExitReason, TaskState, WorkerCommand, WorkerHeartbeat } from './domain.js';
+import { validateBody } from './validation.js';
 
+/** Where workers send their heartbeats. */
 export const HEARTBEAT_PATH = '/hello';
+/** Where a worker takes commands outside the answers to its heartbeats. */
 export const COMMANDS_PATH = '/commands';
 
 const TASK_STATES = {
@@ -49,28 +54,26 @@
   ),
 });
 
-/** A report in the terms of this project; throws `WireError`. */
+/** A worker's heartbeat; throws `WireError` naming the wrong field. */
 export function parseHeartbeat(body: unknown): WorkerHeartbeat {
-  const parsed = heartbeatSchema.safeParse(body);
-  if (!parsed.success) throw new WireError(issueText(parsed.error));
-  const r = parsed.data;
+  const heartbeat = validateBody(heartbeatSchema, body);
   return {
-    machine: r.host,
-    address: r.addr,
-    type: r.flavour,
-    zone: r.hall,
-    spot: r.spare,
-    agentEpoch: r.shift,
-    sequenceNumber: r.tally,
-    fencingToken: r.fence,
-    preemptionNotice: r.warning_s == null ? null : millis(r.warning_s),
-    tasks: r.batch.map((t) => ({
-      task: t.piece,
-      attempt: t.try_no,
-      state: TASK_STATES[t.status],
+    machine: heartbeat.host,
+    address: heartbeat.addr,
+    type: heartbeat.flavour,
+    zone: heartbeat.hall,
+    spot: heartbeat.spare,
+    agentEpoch: heartbeat.shift,
+    sequenceNumber: heartbeat.tally,
+    fencingToken: heartbeat.fence,
+    preemptionNotice: heartbeat.warning_s == null ? null : millisecondsOf(heartbeat.warning_s),
+    tasks: heartbeat.batch.map((task) => ({
+      task: task.piece,
+      attempt: task.try_no,
+      state: TASK_STATES[task.status],
       // A reason this version does not know is a failure like any other.
-      reason: t.status === 'exited' ? (EXIT_REASONS[t.reason ?? ''] ?? 'error') : null,
-      saved: t.saved ?? false,
+      reason: task.status === 'exited' ? (EXIT_REASONS[task.reason ?? ''] ?? 'error') : null,
+      saved: task.saved ?? false,
     })),
   };
 }
@@ -78,11 +81,11 @@
 function renderCommand(command: WorkerCommand): Record<string, unknown> {
   const base = { piece: command.task, try_no: command.attempt };
   if (command.op === 'stop')
-    return { verb: 'kill', ...base, wind_down_s: seconds(command.gracePeriod) };
+    return { verb: 'kill', ...base, wind_down_s: secondsOf(command.gracePeriod) };
   return { verb: command.op, ...base };
 }
 
-/** The answer to a report that renews the worker's lease. */
+/** The answer to a heartbeat; it renews the worker's lease. */
 export function renderHeartbeatResponse(
   fencingToken: number,
   commands: WorkerCommand[],
@@ -90,7 +93,7 @@
   return { fence: fencingToken, orders: commands.map(renderCommand) };
 }
 
-/** Orders sent to a worker directly; they do not renew its lease. */
+/** Commands sent to a worker directly; they do not renew its lease. */
 export function renderDirectCommands(
   fencingToken: number,
   agentEpoch: number,
@@ -99,5 +102,6 @@
   return { ...renderHeartbeatResponse(fencingToken, commands), shift: agentEpoch };
 }
 
+/** Tells a worker which controller leads, by its address; null where none is known. */
 export const renderRedirect = (leader: string | null): Record<string, unknown> =>
   leader === null ? {} : { upstream: leader };
