--- a/packages/testing/src/random-faults.ts
+++ b/packages/testing/src/random-faults.ts
@@ -172,7 +172,7 @@
   blink,
 ];
 
-function user(cluster: SimulatedCluster, number: number): void {
+function user(cluster: SimulatedCluster, number: number, { jobFields }: Workload): void {
   const node = () => pick(cluster, [...cluster.alive.keys()]);
   const id = `run-${String(number).padStart(6, '0')}`;
   // Some wait for earlier ones, as far as those were accepted.
@@ -185,6 +185,7 @@
     batch: 1 + Math.floor(cluster.random() * 6),
     expected_s: 2 + cluster.random() * 30,
     urgency: pick(cluster, ['urgent', 'normal', 'idle']),
+    ...jobFields(cluster),
   });
   const step = () => {
     const at = node();
@@ -204,15 +205,61 @@
   }
 }
 
+/** What a site consists of beside its options, and what its users submit. */
+interface Workload {
+  ownedMachines: number;
+  jobFields: (cluster: SimulatedCluster) => Record<string, unknown>;
+}
+
+/** Owned machines, and small job arrays of one team. */
+const OWNED_FLEET: Workload = { ownedMachines: 3, jobFields: () => ({}) };
+
+/** Only machines that are scaled out, and jobs of all kinds, teams and placement constraints. */
+const RENTED_FLEET: Workload = { ownedMachines: 0, jobFields: mixedJobFields };
+
+function mixedJobFields(cluster: SimulatedCluster): Record<string, unknown> {
+  const chance = (share: number) => cluster.random() < share;
+  const checkpoints = chance(0.4);
+  return {
+    owner: pick(cluster, ['team', 'other']),
+    shape: chance(0.2) ? 'group' : 'array',
+    spare: chance(0.6),
+    cpus: pick(cluster, [0.5, 1, 2]),
+    bundle: pick(cluster, ['img-1', 'img-2', 'img-3']),
+    image_gb: pick(cluster, [0.5, 1, 3]),
+    same_place: chance(0.2),
+    apart: chance(0.1),
+    due_s: chance(0.5) ? 30 + cluster.random() * 120 : null,
+    snapshot_s: checkpoints ? 3 : 0,
+    flush_s: checkpoints ? 1 : 0,
+  };
+}
+
+/** Options of a site under which limits of sockets and of the state service are enforced. */
+const RENTED_SITE: ClusterOptions = {
+  capacity: 10,
+  cpuLimit: 24,
+  guarantee: 8,
+  fetches: { gbPerS: 0.4, shared: true },
+  limits: { sockets: 400, requestsPerSecond: 120, writesPerSecond: 30 },
+};
+
+/** The same on a rented fleet with enforced limits and jobs of all kinds. */
+export const playOnRentedFleet = (options: ClusterOptions): ReturnType<typeof playRandomFaults> =>
+  playRandomFaults({ ...RENTED_SITE, ...options }, RENTED_FLEET);
+
 /** Random faults for a while, then none; returns the numbers of jobs that have not ended. */
-export function playRandomFaults(options: ClusterOptions): {
+export function playRandomFaults(
+  options: ClusterOptions,
+  workload: Workload = OWNED_FLEET,
+): {
   cluster: SimulatedCluster;
   open: string[];
 } {
   const cluster = new SimulatedCluster({ capacity: 6, cpuLimit: 16, ...options });
-  for (let i = 0; i < 3; i++) cluster.cloud.add(i % 2 ? 'a' : 'b');
+  for (let i = 0; i < workload.ownedMachines; i++) cluster.cloud.add(i % 2 ? 'a' : 'b');
   const ids = Array.from({ length: JOBS }, (_, i) => i + 1);
-  for (const i of ids) user(cluster, i);
+  for (const i of ids) user(cluster, i, workload);
   for (let at = 8000; at < TROUBLED; at += FAULT_EVERY) {
     cluster.at(at, () => pick(cluster, FAULTS)!(cluster));
   }
