--- a/eslint.config.js
+++ b/eslint.config.js
@@ -4,7 +4,8 @@
 
 /** Files over a limit, each with the reason; the list only gets shorter. */
 const LONG_TEST_FILES = {
-  'packages/testing/src/simulated-cluster.ts': 'processes, workers and users are to be parted',
+  'packages/testing/src/simulation/simulated-cluster.ts':
+    'processes, workers and users are to be parted',
 };
 
 export default tseslint.config(
--- a/packages/testing/src/machine-room.ts
+++ b/packages/testing/src/checker/free-capacity.ts
@@ -1,7 +1,7 @@
 /** What is free on a machine, seen from outside. */
 import type { JobSpec } from '@tealdock/wire';
-import { TYPE } from './fake-cloud.js';
-import type { FakeWorker } from './fake-worker.js';
+import { TYPE } from '../fakes/fake-cloud.js';
+import type { FakeWorker } from '../fakes/fake-worker.js';
 
 /** What is free on a machine. */
 export interface MachineRoom {
--- a/packages/testing/src/rule-checker.test.ts
+++ b/packages/testing/src/checker/rule-checker.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { parseSubmission } from '@tealdock/wire';
-import { RuleChecker, SimulatedCluster, job, type MachineRoom } from './index.js';
-import { A, settled, running, status, ask } from './scenario.js';
+import { RuleChecker, SimulatedCluster, job, type MachineRoom } from '../index.js';
+import { A, settled, running, status, ask } from '../scenarios/steps.js';
 
 // Each check is shown a fault and must notice it, and nothing else.
 const ROOM: MachineRoom = { type: 'small', zone: 'a', spot: false, cpus: 4, memoryGb: 16 };
--- a/packages/testing/src/rule-checker.ts
+++ b/packages/testing/src/checker/rule-checker.ts
@@ -1,7 +1,7 @@
 /** The protocol's rules, checked from outside. */
 import { predecessorsOf, type JobSpec } from '@tealdock/wire';
 import { groupBy } from './group-by.js';
-import { fitsInto, type MachineRoom } from './machine-room.js';
+import { fitsInto, type MachineRoom } from './free-capacity.js';
 
 /** No question about a job is answered for this long: it is forgotten. */
 const UNANSWERED = 75_000;
--- a/packages/testing/src/cancelled-before-outage.test.ts
+++ b/packages/testing/src/scenarios/cancelled-before-outage.test.ts
@@ -1,6 +1,6 @@
 import { busy, onEachDeployment } from './deployments.js';
-import { cancelled, endsWell, idOf, others } from './scenario.js';
-import type { DeploymentTimes } from './cluster-options.js';
+import { cancelled, endsWell, idOf, others } from './steps.js';
+import type { DeploymentTimes } from '../simulation/cluster-options.js';
 
 const SEEDS = Array.from({ length: 20 }, (_, i) => i + 1);
 /** How long after an outage the state service still tells the leader nothing of jobs. */
--- a/packages/testing/src/combined-faults.test.ts
+++ b/packages/testing/src/scenarios/combined-faults.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
-import { job } from './index.js';
+import { job } from '../index.js';
 import { busy, onEachDeployment, start } from './deployments.js';
-import { A, cancelled, endsWell, idOf, others, running, workers } from './scenario.js';
+import { A, cancelled, endsWell, idOf, others, running, workers } from './steps.js';
 
 // Two faults at the same time, with the times of both deployments.
 
--- a/packages/testing/src/dependencies.test.ts
+++ b/packages/testing/src/scenarios/dependencies.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { packBody } from '@tealdock/wire';
-import { SimulatedCluster, job } from './index.js';
+import { SimulatedCluster, job } from '../index.js';
 import {
   A,
   after,
@@ -15,7 +15,7 @@
   settled,
   submitted,
   told,
-} from './scenario.js';
+} from './steps.js';
 
 test('a job starts once the last of its predecessors is done, across a change of leader', () => {
   for (const moment of [2000, 6000, 10_000, 14_000]) {
--- a/packages/testing/src/dependency-cancellation.test.ts
+++ b/packages/testing/src/scenarios/dependency-cancellation.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { SimulatedCluster, job } from './index.js';
+import { SimulatedCluster, job } from '../index.js';
 import {
   A,
   after,
@@ -16,7 +16,7 @@
   status,
   submitted,
   told,
-} from './scenario.js';
+} from './steps.js';
 
 const CANCEL_WITHIN = 45_000;
 
--- a/packages/testing/src/dependency-faults.test.ts
+++ b/packages/testing/src/scenarios/dependency-faults.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import type { Call } from '@tealdock/controller';
-import { job, type FakeWorker, type SimulatedCluster } from './index.js';
+import { job, type FakeWorker, type SimulatedCluster } from '../index.js';
 import { onEachDeployment, start } from './deployments.js';
 import {
   A,
@@ -16,7 +16,7 @@
   running,
   status,
   submitted,
-} from './scenario.js';
+} from './steps.js';
 
 // Dependent jobs that meet other faults.
 
--- a/packages/testing/src/dependent-demands.test.ts
+++ b/packages/testing/src/scenarios/dependent-demands.test.ts
@@ -12,7 +12,7 @@
   settled,
   status,
   submitted,
-} from './scenario.js';
+} from './steps.js';
 
 const chainJob = (id: string, predecessors: string[], over: Partial<GraphJob> = {}): GraphJob => ({
   id,
--- a/packages/testing/src/deployments.ts
+++ b/packages/testing/src/scenarios/deployments.ts
@@ -1,10 +1,10 @@
 /** Tests that run with the times of each deployment. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { running, settled } from './scenario.js';
-import type { ClusterOptions, DeploymentTimes } from './cluster-options.js';
-import type { SimulatedCluster } from './simulated-cluster.js';
-import { job } from './small-job.js';
+import { running, settled } from './steps.js';
+import type { ClusterOptions, DeploymentTimes } from '../simulation/cluster-options.js';
+import type { SimulatedCluster } from '../simulation/simulated-cluster.js';
+import { job } from '../simulation/small-job.js';
 
 /** Times of the deployments that tealdock was built for, in ms. */
 const DEPLOYMENTS: Record<string, DeploymentTimes> = {
--- a/packages/testing/src/fetches.test.ts
+++ b/packages/testing/src/scenarios/fetches.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { SimulatedCluster } from './index.js';
-import { job } from './index.js';
-import { idOf, keepsRules, settled } from './scenario.js';
+import type { SimulatedCluster } from '../index.js';
+import { job } from '../index.js';
+import { idOf, keepsRules, settled } from './steps.js';
 
 /** Jobs of one task each, with an image of their own. */
 function submitImages(
--- a/packages/testing/src/fleet.test.ts
+++ b/packages/testing/src/scenarios/fleet.test.ts
@@ -2,8 +2,8 @@
 import { test } from 'node:test';
 import { CommandQueue, Connections, type Closable } from '@tealdock/adapters';
 import { socketShares } from '@tealdock/controller';
-import { SimulatedCluster, job } from './index.js';
-import { idOf, keepsRules, running, settled } from './scenario.js';
+import { SimulatedCluster, job } from '../index.js';
+import { idOf, keepsRules, running, settled } from './steps.js';
 
 /** Half as many machines again as the largest fleet that operations.md speaks of. */
 const MACHINES = 1300;
--- a/packages/testing/src/guards.test.ts
+++ b/packages/testing/src/scenarios/guards.test.ts
@@ -1,18 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Call } from '@tealdock/controller';
-import { SimulatedCluster, job } from './index.js';
-import {
-  A,
-  ask,
-  finished,
-  idOf,
-  keepsRules,
-  others,
-  running,
-  settled,
-  status,
-} from './scenario.js';
+import { SimulatedCluster, job } from '../index.js';
+import { A, ask, finished, idOf, keepsRules, others, running, settled, status } from './steps.js';
 
 /** Keys that a transaction writes. */
 function writtenKeys(call: Call): string[] {
--- a/packages/testing/src/late-messages.test.ts
+++ b/packages/testing/src/scenarios/late-messages.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
-import { job } from './index.js';
+import { job } from '../index.js';
 import { busy, onEachDeployment, start } from './deployments.js';
-import { A, cancelled, endsWell, idOf, others, running, workers } from './scenario.js';
+import { A, cancelled, endsWell, idOf, others, running, workers } from './steps.js';
 
 onEachDeployment(
   'a command or its answer is held up for seconds, and the machine goes on',
--- a/packages/testing/src/lowered-limits.test.ts
+++ b/packages/testing/src/scenarios/lowered-limits.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { parseSettings } from '@tealdock/wire';
-import { SimulatedCluster, job } from './index.js';
+import { SimulatedCluster, job } from '../index.js';
 import {
   A,
   after,
@@ -12,7 +12,7 @@
   running,
   settled,
   submitted,
-} from './scenario.js';
+} from './steps.js';
 
 /** Entries of all shards below a prefix, and whether any shard is too large. */
 function entriesOf(cluster: SimulatedCluster, prefix: string): Set<string> {
--- a/packages/testing/src/older-versions.test.ts
+++ b/packages/testing/src/scenarios/older-versions.test.ts
@@ -8,8 +8,8 @@
   type JobSpec,
   type PeerMessage,
 } from '@tealdock/wire';
-import { SimulatedCluster, job, type ClusterOptions } from './index.js';
-import { A, ask, finished, idOf, keepsRules, settled, status } from './scenario.js';
+import { SimulatedCluster, job, type ClusterOptions } from '../index.js';
+import { A, ask, finished, idOf, keepsRules, settled, status } from './steps.js';
 
 /** What an older version stored and sent, made by running it. */
 interface Recorded {
@@ -19,7 +19,7 @@
 }
 
 function readFixture(name: string): Recorded {
-  const file = new URL(`../fixtures/${name}.json`, import.meta.url);
+  const file = new URL(`../../fixtures/${name}.json`, import.meta.url);
   return JSON.parse(readFileSync(file, 'utf8')) as Recorded;
 }
 
--- a/packages/testing/src/placement.test.ts
+++ b/packages/testing/src/scenarios/placement.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { job, SimulatedCluster } from './index.js';
-import { A, ask, finished, keepsRules, running, settled } from './scenario.js';
+import { job, SimulatedCluster } from '../index.js';
+import { A, ask, finished, keepsRules, running, settled } from './steps.js';
 
 /** Tasks that a shard of the progress table calls done. */
 function doneIn(value: unknown): number {
--- a/packages/testing/src/predecessor-lists.test.ts
+++ b/packages/testing/src/scenarios/predecessor-lists.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { packBody } from '@tealdock/wire';
 import type { Reply } from '@tealdock/controller';
-import { job, type SimulatedCluster } from './index.js';
+import { job, type SimulatedCluster } from '../index.js';
 import { onEachDeployment, start } from './deployments.js';
-import { A, after, endsWell, idOf, keepsRules, submitted } from './scenario.js';
+import { A, after, endsWell, idOf, keepsRules, submitted } from './steps.js';
 
 const LIMIT = 400_000;
 
--- a/packages/testing/src/renewals-after-takeover.test.ts
+++ b/packages/testing/src/scenarios/renewals-after-takeover.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { busy, onEachDeployment } from './deployments.js';
-import { A, cancelled, crashLeader, endsWell, others, workers } from './scenario.js';
-import type { FakeWorker } from './fake-worker.js';
-import type { SimulatedCluster } from './simulated-cluster.js';
+import { A, cancelled, crashLeader, endsWell, others, workers } from './steps.js';
+import type { FakeWorker } from '../fakes/fake-worker.js';
+import type { SimulatedCluster } from '../simulation/simulated-cluster.js';
 
 /** A machine with a task of the first job. */
 function machineOfFirstJob(cluster: SimulatedCluster): FakeWorker {
--- a/packages/testing/src/rolling-upgrade.test.ts
+++ b/packages/testing/src/scenarios/rolling-upgrade.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
-import { SimulatedCluster, job, type DeploymentTimes } from './index.js';
+import { SimulatedCluster, job, type DeploymentTimes } from '../index.js';
 import { onEachDeployment } from './deployments.js';
-import { endsWell, idOf, insist, running } from './scenario.js';
+import { endsWell, idOf, insist, running } from './steps.js';
 
 // Rolling upgrades, older and current versions side by side, that meet other faults. The
 // times are those of both deployments.
--- a/packages/testing/src/scale.test.ts
+++ b/packages/testing/src/scenarios/scale.test.ts
@@ -4,8 +4,8 @@
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import type { Call } from '@tealdock/controller';
 import { chooseVolunteer, dominates, firstOfFront, type Volunteer } from '@tealdock/scheduler';
-import { SimulatedCluster, job } from './index.js';
-import { A, keepsRules, running, settled } from './scenario.js';
+import { SimulatedCluster, job } from '../index.js';
+import { A, keepsRules, running, settled } from './steps.js';
 
 /** Notes every call to the state service. */
 function recordCalls(cluster: SimulatedCluster): Call[] {
--- a/packages/testing/src/scenarios.test.ts
+++ b/packages/testing/src/scenarios/scenarios.test.ts
@@ -2,8 +2,8 @@
 import { test } from 'node:test';
 import type { StatsView } from '@tealdock/controller';
 import { packBody } from '@tealdock/wire';
-import { job, SimulatedCluster } from './index.js';
-import { A, ask, finished, keepsRules, others, running, settled, status } from './scenario.js';
+import { job, SimulatedCluster } from '../index.js';
+import { A, ask, finished, keepsRules, others, running, settled, status } from './steps.js';
 
 test('a job is accepted, runs, is done and stays known', () => {
   const cluster = settled();
--- a/packages/testing/src/single-faults.test.ts
+++ b/packages/testing/src/scenarios/single-faults.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { whyTooShort } from '@tealdock/controller';
-import { job } from './index.js';
-import { A, ask, finished, keepsRules, others, running, settled, status } from './scenario.js';
+import { job } from '../index.js';
+import { A, ask, finished, keepsRules, others, running, settled, status } from './steps.js';
 
 // Its reports arrive while no answer does: it looks idle, the best of volunteers.
 test('a machine that hears nothing does not eat start after start', () => {
--- a/packages/testing/src/stale-cancellations.test.ts
+++ b/packages/testing/src/scenarios/stale-cancellations.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
-import { job, type SimulatedCluster } from './index.js';
+import { job, type SimulatedCluster } from '../index.js';
 import { busy, onEachDeployment, start } from './deployments.js';
-import { A, cancelled, endsWell, idOf, others, running, workers } from './scenario.js';
+import { A, cancelled, endsWell, idOf, others, running, workers } from './steps.js';
 
 /** The leader alone is refused, users cancel elsewhere, then the service is out for all. */
 function gap(cluster: SimulatedCluster, pause: number, outage: number): void {
--- a/packages/testing/src/scenario.ts
+++ b/packages/testing/src/scenarios/steps.ts
@@ -1,10 +1,10 @@
 /** Steps that many scenarios share. */
 import assert from 'node:assert/strict';
 import type { Reply } from '@tealdock/controller';
-import type { FakeWorker } from './fake-worker.js';
-import { job } from './small-job.js';
-import type { ClusterOptions } from './cluster-options.js';
-import { SimulatedCluster } from './simulated-cluster.js';
+import type { FakeWorker } from '../fakes/fake-worker.js';
+import { job } from '../simulation/small-job.js';
+import type { ClusterOptions } from '../simulation/cluster-options.js';
+import { SimulatedCluster } from '../simulation/simulated-cluster.js';
 
 /** Id of a job by its number. */
 export const idOf = (n: number): string => `run-${String(n).padStart(6, '0')}`;
--- a/packages/testing/src/watch-gap.test.ts
+++ b/packages/testing/src/scenarios/watch-gap.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
-import { job } from './index.js';
+import { job } from '../index.js';
 import { busy, onEachDeployment } from './deployments.js';
-import { cancelled, endsWell, idOf, others } from './scenario.js';
+import { cancelled, endsWell, idOf, others } from './steps.js';
 
 const PAGE = 200;
 /** More live jobs than one page holds. */
--- a/packages/testing/src/zones.test.ts
+++ b/packages/testing/src/scenarios/zones.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { SimulatedCluster } from './index.js';
-import { job } from './index.js';
-import { A, ask, finished, keepsRules, others, running, settled, status } from './scenario.js';
+import type { SimulatedCluster } from '../index.js';
+import { job } from '../index.js';
+import { A, ask, finished, keepsRules, others, running, settled, status } from './steps.js';
 
 /** Parts zone `b`, with one controller that does not lead, from the leader's side. */
 function partZones(cluster: SimulatedCluster): { far: string; machines: string[] } {
--- a/packages/testing/src/cluster-options.ts
+++ b/packages/testing/src/simulation/cluster-options.ts
@@ -1,7 +1,7 @@
 /** What a simulated cluster is made of: nodes, settings and times. */
 import type { Settings } from '@tealdock/wire';
-import type { WireObserver } from './wire-trace/wire-trace.js';
-import type { StateCaps } from './fake-state.js';
+import type { WireObserver } from '../wire-trace/wire-trace.js';
+import type { StateCaps } from '../fakes/fake-state.js';
 
 /** Names of the controllers. */
 export const NODES = ['n-0', 'n-1', 'n-2'];
--- a/packages/testing/src/simulated-cluster.ts
+++ b/packages/testing/src/simulation/simulated-cluster.ts
@@ -27,12 +27,12 @@
 } from './cluster-options.js';
 import { CutNetwork } from './cut-network.js';
 import { EventQueue } from './event-queue.js';
-import { FakeCloud } from './fake-cloud.js';
-import { FakeSockets } from './fake-sockets.js';
-import { FakeState, type StateCaps } from './fake-state.js';
-import { FakeWorker, type WireCommands, type WorkerHost } from './fake-worker.js';
-import { roomsOf } from './machine-room.js';
-import { RuleChecker } from './rule-checker.js';
+import { FakeCloud } from '../fakes/fake-cloud.js';
+import { FakeSockets } from '../fakes/fake-sockets.js';
+import { FakeState, type StateCaps } from '../fakes/fake-state.js';
+import { FakeWorker, type WireCommands, type WorkerHost } from '../fakes/fake-worker.js';
+import { roomsOf } from '../checker/free-capacity.js';
+import { RuleChecker } from '../checker/rule-checker.js';
 import { seededRandom } from './seeded-random.js';
 
 const STEP = 50;
--- a/packages/testing/src/soak/fault-plan.ts
+++ b/packages/testing/src/soak/fault-plan.ts
@@ -1,7 +1,7 @@
 /** Which faults a soak injects, and when: planned ahead from its seed. */
 import type { Random } from '@tealdock/controller';
 import type { Duration } from '@tealdock/wire';
-import { between, pick } from '../seeded-random.js';
+import { between, pick } from '../simulation/seeded-random.js';
 import { NODES, TIMES, type NodeName } from './site-times.js';
 
 /** Each names what is done in `fault-injector.ts`. */
--- a/packages/testing/src/soak/loopback-site.ts
+++ b/packages/testing/src/soak/loopback-site.ts
@@ -4,9 +4,9 @@
 import { join } from 'node:path';
 import type { CallResult } from '@tealdock/controller';
 import type { Duration, JobSpec } from '@tealdock/wire';
-import { FakeCloud, TYPE } from '../fake-cloud.js';
-import { FakeState } from '../fake-state.js';
-import { RuleChecker } from '../rule-checker.js';
+import { FakeCloud, TYPE } from '../fakes/fake-cloud.js';
+import { FakeState } from '../fakes/fake-state.js';
+import { RuleChecker } from '../checker/rule-checker.js';
 import { ControllerProcess } from './controller-process.js';
 import {
   NODES,
--- a/packages/testing/src/soak/main.ts
+++ b/packages/testing/src/soak/main.ts
@@ -1,7 +1,7 @@
 /** The soak: `node packages/testing/dist/soak/main.js --seeds 1-50`; see docs/operations.md. */
 import { spawn } from 'node:child_process';
 import { parseArgs } from 'node:util';
-import { parseSeeds } from '../seeded-random.js';
+import { parseSeeds } from '../simulation/seeded-random.js';
 import { playSeed, type SoakResult } from './soak-run.js';
 
 /** A run with as many machines as controllers have trouble with, for each so many others. */
--- a/packages/testing/src/soak/scale.ts
+++ b/packages/testing/src/soak/scale.ts
@@ -1,7 +1,7 @@
 /** Measures a large fleet: `node packages/testing/dist/soak/scale.js 400 1400 4000`. */
 import { existsSync, readFileSync } from 'node:fs';
 import type { Duration } from '@tealdock/wire';
-import { seededRandom } from '../seeded-random.js';
+import { seededRandom } from '../simulation/seeded-random.js';
 import { LoopbackSite } from './loopback-site.js';
 import { DEPLOYED_TIMES, NODES, type NodeName } from './site-times.js';
 import { SoakUsers } from './users.js';
--- a/packages/testing/src/soak/soak-run.ts
+++ b/packages/testing/src/soak/soak-run.ts
@@ -2,7 +2,7 @@
 import { writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import type { Duration } from '@tealdock/wire';
-import { between, mixedRandom } from '../seeded-random.js';
+import { between, mixedRandom } from '../simulation/seeded-random.js';
 import { FaultInjector } from './fault-injector.js';
 import { planFaults } from './fault-plan.js';
 import { LoopbackSite } from './loopback-site.js';
--- a/packages/testing/src/soak/users.ts
+++ b/packages/testing/src/soak/users.ts
@@ -2,8 +2,8 @@
 import { parseSubmission, type Duration, type Instant } from '@tealdock/wire';
 import { HttpClient } from '@tealdock/adapters';
 import type { CallResult, Random } from '@tealdock/controller';
-import { between, pick } from '../seeded-random.js';
-import { job } from '../small-job.js';
+import { between, pick } from '../simulation/seeded-random.js';
+import { job } from '../simulation/small-job.js';
 import type { LoopbackSite } from './loopback-site.js';
 import { NODES } from './site-times.js';
 import { LOOPBACK } from './loopback.js';
--- a/packages/testing/src/soak/worker-host.ts
+++ b/packages/testing/src/soak/worker-host.ts
@@ -2,9 +2,14 @@
 import type { CallResult } from '@tealdock/controller';
 import { HttpClient } from '@tealdock/adapters';
 import type { Duration, Instant, JobSpec } from '@tealdock/wire';
-import type { CloudMachine } from '../fake-cloud.js';
-import { FakeWorker, type WireCommands, type WorkerHost, type WorkerTask } from '../fake-worker.js';
-import type { RuleChecker } from '../rule-checker.js';
+import type { CloudMachine } from '../fakes/fake-cloud.js';
+import {
+  FakeWorker,
+  type WireCommands,
+  type WorkerHost,
+  type WorkerTask,
+} from '../fakes/fake-worker.js';
+import type { RuleChecker } from '../checker/rule-checker.js';
 import { closeStandIn, serveStandIn, type Listening } from './stand-in-server.js';
 import { NODES, type SiteTimes } from './site-times.js';
 import { LOOPBACK } from './loopback.js';
--- a/packages/testing/src/authority.test.ts
+++ b/packages/testing/src/unit/authority.test.ts
@@ -9,9 +9,9 @@
   type Knowledge,
   type StartTarget,
 } from '@tealdock/controller';
-import { job } from './index.js';
-import { settingsFor } from './cluster-options.js';
-import { A, cancelled, settled, violations } from './scenario.js';
+import { job } from '../index.js';
+import { settingsFor } from '../simulation/cluster-options.js';
+import { A, cancelled, settled, violations } from '../scenarios/steps.js';
 
 const NOW = 100_000;
 const READY: StartTarget = { registered: true, reconciled: true, returning: false };
--- a/packages/testing/src/wire-trace/main.ts
+++ b/packages/testing/src/wire-trace/main.ts
@@ -3,7 +3,7 @@
  * two versions of the sources: `npm run --silent wire-trace -- --seeds 1-20`.
  */
 import { parseArgs } from 'node:util';
-import { parseSeeds } from '../seeded-random.js';
+import { parseSeeds } from '../simulation/seeded-random.js';
 import { traceOf } from './trace-of.js';
 
 const { values } = parseArgs({ options: { seeds: { type: 'string', default: '1-20' } } });
--- a/packages/testing/src/wire-trace/trace-of.ts
+++ b/packages/testing/src/wire-trace/trace-of.ts
@@ -1,5 +1,5 @@
 /** Plays the random faults of a seed and digests what crosses. */
-import { playRandomFaults } from '../random-faults.js';
+import { playRandomFaults } from '../simulation/random-faults.js';
 import { WireTrace } from './wire-trace.js';
 
 /** The digest of all that crosses under the random faults of a seed. */
--- a/packages/testing/src/wire-trace.test.ts
+++ b/packages/testing/src/wire-trace/wire-trace.test.ts
@@ -2,8 +2,8 @@
 import { test } from 'node:test';
 import type { Call, Reply } from '@tealdock/controller';
 import type { PeerMessage } from '@tealdock/wire';
-import { traceOf } from './wire-trace/trace-of.js';
-import { WireTrace } from './wire-trace/wire-trace.js';
+import { traceOf } from './trace-of.js';
+import { WireTrace } from './wire-trace.js';
 
 const SEED = 1;
 
