--- a/packages/testing/src/wire-trace/main.ts
+++ b/packages/testing/src/wire-trace/main.ts
@@ -3,7 +3,7 @@
  * two versions of the sources: `npm run --silent wire-trace -- --seeds 1-20 --site rented`.
  */
 import { parseArgs } from 'node:util';
-import { parseSeeds } from '../seeded-random.js';
+import { parseSeeds } from '../simulation/seeded-random.js';
 import { SITES, traceOf, type Site } from './trace-of.js';
 import { WireTrace } from './wire-trace.js';
 
--- a/packages/testing/src/wire-trace/trace-of.ts
+++ b/packages/testing/src/wire-trace/trace-of.ts
@@ -1,5 +1,5 @@
 /** Plays the random faults of a seed and digests what crosses. */
-import { playOnRentedFleet, playRandomFaults } from '../random-faults.js';
+import { playOnRentedFleet, playRandomFaults } from '../simulation/random-faults.js';
 import { WireTrace } from './wire-trace.js';
 
 /** Sites whose traces can be compared. */
