--- a/packages/cli/src/cli.ts
+++ b/packages/cli/src/cli.ts
@@ -3,7 +3,7 @@
 import { Command, Option } from 'commander';
 import { WireError, parseOperatorSettings, parseSettings } from '@tealdock/wire';
 import type { OperatorSettings, Settings } from '@tealdock/wire';
-import { whyTooShort } from '@tealdock/controller';
+import { cancelLimitProblem } from '@tealdock/controller';
 import { cancelJob, jobStatus, nodeStats, submitJob } from './client.js';
 import { serve } from './serve.js';
 
@@ -34,8 +34,8 @@
 
 function readSettings(options: FileOptions): { settings: Settings; operator: OperatorSettings } {
   const settings = read(options.config, parseSettings);
-  const tooShort = whyTooShort(settings);
-  if (tooShort !== null) fail(`${options.config}: ${tooShort}`, EXIT_USAGE);
+  const problem = cancelLimitProblem(settings);
+  if (problem !== null) fail(`${options.config}: ${problem}`, EXIT_USAGE);
   const operator = options.operator
     ? read(options.operator, parseOperatorSettings)
     : parseOperatorSettings('');
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -57,12 +57,10 @@
   constructor(env: Environment) {
     this.runtime = new Runtime(env);
     this.state = new StateStore(this.runtime);
-    this.leadership = new Leadership(
-      this.runtime,
-      this.state,
-      (token) => this.startTerm(token),
-      () => this.endTerm(),
-    );
+    this.leadership = new Leadership(this.runtime, this.state, {
+      onElected: (fencingToken) => this.startTerm(fencingToken),
+      onLeadershipLost: () => this.endTerm(),
+    });
     this.catalog = new Catalog(this.runtime, this.state, this.leadership);
     this.peers = new Peers(this.runtime);
     const lookup = new JobLookup(this.runtime, this.state);
--- a/packages/controller/src/leadership/freshness.ts
+++ b/packages/controller/src/leadership/freshness.ts
@@ -3,31 +3,40 @@
 import { maxOnOtherClock } from '../runtime/clock-drift.js';
 
 /** For the way of an answer, and for what a worker takes to end its tasks. */
-const MARGIN = 2000;
+const STOP_MARGIN_MS = 2000;
 /** More than a few missed watches, and about as long as a leader's lease. */
-const USUAL_MAX_STALENESS = 6000;
+const DEFAULT_MAX_STALENESS_MS = 6000;
 /** News travels for longer than this often enough. */
-const LEAST_MAX_STALENESS = 2000;
+const MIN_MAX_STALENESS_MS = 2000;
+/** The steps in which a limit is named to users: a tenth of a second. */
+const ROUNDING_MS = 100;
+const TENTHS_PER_SECOND_COUNT = 10;
 
-/** What of `cancel_s` is left once a worker's lease has run out. */
-const timeLeftAfterLease = ({ cancellationLimit, workerLeaseDuration }: LeaseTimes): Duration =>
-  cancellationLimit - maxOnOtherClock(workerLeaseDuration) - MARGIN;
+type CancellationSettings = Pick<Settings, 'cancellationLimit' | 'workerLeaseDuration'>;
 
-type LeaseTimes = Pick<Settings, 'cancellationLimit' | 'workerLeaseDuration'>;
+/**
+ * How stale the known cancellations may be, in ms, on which an answer rests that renews a
+ * lease. A job whose cancellation was not known then ends with that lease, which must still
+ * be within `cancel_s` of the cancellation (docs/safety.md).
+ */
+export function maxStaleness(settings: CancellationSettings): Duration {
+  return Math.min(DEFAULT_MAX_STALENESS_MS, timeLeftAfterLease(settings));
+}
 
 /**
- * How stale the known cancellations may be on which an answer rests that renews a lease.
- * Whatever such an answer does not know of and so keeps running ends a lease later, which
- * must still be within `cancel_s` of the cancellation (docs/safety.md).
+ * Checks that cancellations can be carried out in time under these settings. Null if they
+ * can, else a message for users that names the setting and its least value.
  */
-export function maxStaleness(settings: LeaseTimes): Duration {
-  return Math.min(USUAL_MAX_STALENESS, timeLeftAfterLease(settings));
+export function cancelLimitProblem(settings: CancellationSettings): string | null {
+  if (timeLeftAfterLease(settings) >= MIN_MAX_STALENESS_MS) return null;
+  const minLimit =
+    maxOnOtherClock(settings.workerLeaseDuration) + STOP_MARGIN_MS + MIN_MAX_STALENESS_MS;
+  const minSeconds = Math.ceil(minLimit / ROUNDING_MS) / TENTHS_PER_SECOND_COUNT;
+  return `settings.workers.cancel_s: must be at least ${minSeconds} with this lease_s`;
 }
 
-/** Why cancellations could not be kept in time under these settings, or null. */
-export function cancelLimitProblem(settings: LeaseTimes): string | null {
-  if (timeLeftAfterLease(settings) >= LEAST_MAX_STALENESS) return null;
-  const least = maxOnOtherClock(settings.workerLeaseDuration) + MARGIN + LEAST_MAX_STALENESS;
-  const atLeast = Math.ceil(least / 100) / 10;
-  return `settings.workers.cancel_s: must be at least ${atLeast} with this lease_s`;
+/** What is left of `cancel_s` once a worker's lease has expired. */
+function timeLeftAfterLease(settings: CancellationSettings): Duration {
+  const leaseEnd = maxOnOtherClock(settings.workerLeaseDuration);
+  return settings.cancellationLimit - leaseEnd - STOP_MARGIN_MS;
 }
--- a/packages/controller/src/leadership/leadership.ts
+++ b/packages/controller/src/leadership/leadership.ts
@@ -1,19 +1,25 @@
-/** Election and the leader's lease. */
-import type { Instant } from '@tealdock/wire';
-import { LEADER_KEY, type LeaderValue } from '../state/keys.js';
+/** Leader election over the leader key of the state service. */
+import type { Instant, Precondition } from '@tealdock/wire';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
+import { LEADER_KEY, type LeaderValue } from '../state/keys.js';
 import type { StateStore } from '../state/state-store.js';
 import { readLeader } from '../state/stored-values.js';
-import { minOnOtherClock } from '../runtime/clock-drift.js';
-
-const LEASE_MARGIN = 100;
-const RENEW_PART = 6;
-const WATCH_HOLD = 10_000;
-const RETRY = 500;
-const READ_EVERY = 2000;
-/** After giving leadership up, others get this long to take it. */
-const STAND_BACK = 12_000;
+import { ElectionLease } from './election-lease.js';
+
+/** Renewals in one duration of the lease. */
+const RENEWALS_PER_LEASE_COUNT = 6;
+const WATCH_TIMEOUT_MS = 10_000;
+const READ_RETRY_DELAY_MS = 500;
+/** Pause between reads of the leader key while it is vacant or an election is under way. */
+const ELECTION_POLL_INTERVAL_MS = 250;
+/** A watch that ended sooner than this without events was refused: the next one is delayed. */
+const MIN_WATCH_DURATION_MS = 2000;
+/** Random delay before a candidate writes the key, so that candidates rarely collide. */
+const MAX_ELECTION_JITTER_MS = 200;
+/** After a resignation the other nodes get this long to take over. */
+const REELECTION_BACKOFF_MS = 12_000;
+const NONCE_RANGE = 2 ** 31;
 
 /** Leadership that is surely held until an instant. */
 export interface LeaderLease {
@@ -21,191 +27,180 @@
   validUntil: Instant;
 }
 
+/** Receives the changes of this node's leadership. */
+export interface LeadershipListener {
+  /** This node has won an election; the fencing token is higher than those of all earlier terms. */
+  onElected(fencingToken: number): void;
+  /** This node leads no longer. */
+  onLeadershipLost(): void;
+}
+
 /**
- * The leader is whoever holds one key on a lease of the state service; the token
- * is the revision of the commit that wrote it. A lease is sure from the *send* of
- * its last renewal, so a slow answer never stretches it.
+ * Whoever holds the leader key on a lease of the state service is the leader. The fencing
+ * token is the revision of the commit that wrote the key.
  */
 export class Leadership {
-  /** Member that the key names, as last read; null when unknown. */
-  leader: string | null = null;
-  /** Version of the key as last read, which is the leader's token. */
-  leaderFencingToken: number | null = null;
-  private lease: number | null = null;
-  private leaseUntil: Instant = 0;
+  private observedLeader: string | null = null;
+  private observedVersion: number | null = null;
+  private readonly lease: ElectionLease;
+  /** Set while this node leads. */
   private fencingToken: number | null = null;
+  /** What this node's newest commit of the leader key wrote; null if that can't have lasted. */
   private nonce: string | null = null;
-  private electing = false;
-  private standBackUntil: Instant = 0;
+  private electionInProgress = false;
+  private reelectionAllowedAt: Instant = 0;
 
   constructor(
     private readonly runtime: Runtime,
     private readonly state: StateStore,
-    private readonly onGained: (token: number) => void,
-    private readonly onLost: () => void,
-  ) {}
+    private readonly listener: LeadershipListener,
+  ) {
+    this.lease = new ElectionLease(runtime, state);
+  }
+
+  /** Member that the leader key names, as last read; null when vacant or unknown. */
+  get leader(): string | null {
+    return this.observedLeader;
+  }
+
+  /** Fencing token of the current leader, as last read; null when the key is vacant. */
+  get leaderFencingToken(): number | null {
+    return this.observedVersion;
+  }
 
+  /** Begins to take part in elections, for as long as the process runs. */
   start(): void {
-    this.follow();
-    this.runtime.every(this.runtime.operator.leadership.leaseDuration / RENEW_PART, () => {
-      this.renew();
+    this.readLeaderKey();
+    const { leaseDuration } = this.runtime.operator.leadership;
+    this.runtime.every(leaseDuration / RENEWALS_PER_LEASE_COUNT, () => {
+      this.lease.renew(() => this.onLeaseEnded());
       return true;
     });
   }
 
-  /** Set only while the lease is surely valid. */
+  /** Null unless this node leads and its lease is surely valid now. */
   validLease(): LeaderLease | null {
-    if (this.fencingToken === null || this.runtime.now >= this.leaseUntil) return null;
-    return { fencingToken: this.fencingToken, validUntil: this.leaseUntil };
+    if (this.fencingToken === null || this.runtime.now >= this.lease.validUntil) return null;
+    return { fencingToken: this.fencingToken, validUntil: this.lease.validUntil };
   }
 
-  /** Every transaction of a leader is guarded by this. */
-  leaderPrecondition(): { key: string; version: number } {
+  /** Guards every transaction of a leader: it fails once another node has been elected. */
+  leaderPrecondition(): Precondition {
     return { key: LEADER_KEY, version: this.fencingToken ?? 0 };
   }
 
-  /** Gives leadership up for the others to take. */
+  /** Gives leadership up and leaves the next election to the other nodes; logs the reason. */
   resign(reason: string): void {
-    if (this.fencingToken === null) return;
-    this.runtime.env.log(
-      'info',
-      { fencingToken: this.fencingToken, reason },
-      'leadership resigned',
-    );
-    this.standBackUntil = this.runtime.now + STAND_BACK;
-    if (this.lease !== null) this.state.revokeLease(this.lease);
-    this.dropLease();
-    this.lose();
-  }
-
-  /** A higher token exists: some other node leads. */
-  observeHigherToken(token: number): void {
-    if (this.fencingToken === null || token <= this.fencingToken) return;
-    this.runtime.env.log(
-      'info',
-      { fencingToken: this.fencingToken, observedToken: token },
-      'leadership superseded',
-    );
-    this.lose();
+    const { fencingToken } = this;
+    if (fencingToken === null) return;
+    this.runtime.log('info', { fencingToken, reason }, 'leadership resigned');
+    this.reelectionAllowedAt = this.runtime.now + REELECTION_BACKOFF_MS;
+    this.lease.revoke();
+    this.forgetLease();
+    this.onLeadershipLost();
   }
 
-  private lose(): void {
-    this.fencingToken = null;
-    this.nonce = null;
-    this.leader = null;
-    this.onLost();
+  /** Ends leadership if the token is higher than its own: then another node was elected. */
+  observeHigherToken(observedToken: number): void {
+    const { fencingToken } = this;
+    if (fencingToken === null || observedToken <= fencingToken) return;
+    this.runtime.log('info', { fencingToken, observedToken }, 'leadership superseded');
+    this.onLeadershipLost();
   }
 
-  private dropLease(): void {
-    this.lease = null;
-    this.leaseUntil = 0;
-    // A key written on the lost lease can't be kept alive by a new one.
-    this.nonce = null;
+  /** Reads the key, acts on it, then watches for its next change. */
+  private readLeaderKey(): void {
+    this.state.getValue(LEADER_KEY, readLeader, PRIORITY.lease, (read) => {
+      if (read.kind === 'failed') return this.readLeaderKeyAfter(READ_RETRY_DELAY_MS);
+      if (read.kind === 'missing') this.onLeaderKeyVacant();
+      else this.onLeaderKeyHeld(read.value, read.version);
+      if (read.kind === 'missing' || this.electionInProgress)
+        return this.readLeaderKeyAfter(ELECTION_POLL_INTERVAL_MS);
+      this.watchLeaderKey(read.version);
+    });
   }
 
-  private renew(): void {
-    const lease = this.lease;
-    if (lease === null) return;
-    const sent = this.runtime.now;
-    this.state.renewLease(lease, (renewed) => {
-      if (this.lease !== lease) return;
-      if (renewed === 'ok') this.extend(sent);
-      if (renewed !== 'ended') return;
-      this.dropLease();
-      if (this.fencingToken !== null) this.lose();
+  private readLeaderKeyAfter(delay: number): void {
+    this.runtime.after(delay, () => this.readLeaderKey());
+  }
+
+  private watchLeaderKey(afterRevision: number): void {
+    const startedAt = this.runtime.now;
+    this.state.watch(LEADER_KEY, afterRevision, WATCH_TIMEOUT_MS, (watched) => {
+      const endedEarly = this.runtime.now - startedAt < MIN_WATCH_DURATION_MS;
+      const delay = endedEarly && watched.kind !== 'events' ? READ_RETRY_DELAY_MS : 0;
+      this.readLeaderKeyAfter(delay);
     });
   }
 
-  private extend(sent: Instant): void {
-    const life = this.runtime.operator.leadership.leaseDuration;
-    this.leaseUntil = Math.max(this.leaseUntil, sent + minOnOtherClock(life) - LEASE_MARGIN);
+  private onLeaderKeyVacant(): void {
+    this.observedLeader = null;
+    this.observedVersion = null;
+    if (this.fencingToken !== null) this.onLeadershipLost();
+    if (this.electionInProgress || this.runtime.now < this.reelectionAllowedAt) return;
+    this.startElection(0, this.runtime.env.random() * MAX_ELECTION_JITTER_MS);
   }
 
-  /** Reads the key, acts on it, then watches for its next change. */
-  private follow(): void {
-    this.state.getValue(LEADER_KEY, readLeader, PRIORITY.lease, (got) => {
-      if (got.kind === 'failed') return this.runtime.after(RETRY, () => this.follow());
-      if (got.kind === 'missing') this.seeVacant();
-      else this.seeHolder(got.value, got.version);
-      const version = got.kind === 'found' ? got.version : null;
-      if (version === null || this.electing)
-        return this.runtime.after(RETRY / 2, () => this.follow());
-      this.watchFrom(version);
-    });
+  private onLeaderKeyHeld(holder: LeaderValue, version: number): void {
+    this.observedLeader = holder.member;
+    this.observedVersion = version;
+    if (version === this.fencingToken) return;
+    if (this.fencingToken !== null) this.onLeadershipLost();
+    const isOwnMember = holder.member === this.runtime.settings.member;
+    if (!isOwnMember || this.electionInProgress) return;
+    // A commit of this process that got no answer has been executed.
+    if (this.nonce !== null && holder.nonce === this.nonce) return this.onElected(version);
+    // An earlier process of this member wrote the key. It has ended: there is never more than one.
+    this.startElection(version, 0);
+  }
+
+  /** Writes the leader key if it still has that version. */
+  private startElection(version: number, delay: number): void {
+    this.electionInProgress = true;
+    this.runtime.after(delay, () =>
+      this.lease.obtain((leaseId) => {
+        if (leaseId === null) this.electionInProgress = false;
+        else this.writeLeaderKey(version, leaseId);
+      }),
+    );
   }
 
-  private watchFrom(revision: number): void {
-    const opened = this.runtime.now;
-    this.state.watch(LEADER_KEY, revision, WATCH_HOLD, (watched) => {
-      const quick = this.runtime.now - opened < READ_EVERY && watched.kind !== 'events';
-      this.runtime.after(quick ? RETRY : 0, () => this.follow());
+  private writeLeaderKey(version: number, lease: number): void {
+    const random = Math.floor(this.runtime.env.random() * NONCE_RANGE);
+    this.nonce = `${this.runtime.wallClock.getTime()}-${random}`;
+    const value: LeaderValue = { member: this.runtime.settings.member, nonce: this.nonce };
+    const precondition = { key: LEADER_KEY, version };
+    const write = { put: LEADER_KEY, value, lease };
+    this.state.compareAndSwap([precondition], [write], PRIORITY.lease, (commit) => {
+      this.electionInProgress = false;
+      if (commit.kind === 'ok') this.onElected(commit.revision);
+      else if (commit.kind === 'no_lease') this.forgetLease();
     });
   }
 
-  private seeVacant(): void {
-    this.leader = null;
-    this.leaderFencingToken = null;
-    if (this.fencingToken !== null) this.lose();
-    if (this.electing || this.runtime.now < this.standBackUntil) return;
-    this.elect(0, this.runtime.env.random() * 200);
+  private onElected(fencingToken: number): void {
+    if (!this.lease.isHeld) return;
+    this.fencingToken = fencingToken;
+    this.observedLeader = this.runtime.settings.member;
+    this.runtime.log('info', { fencingToken }, 'leadership acquired');
+    this.listener.onElected(fencingToken);
   }
 
-  private seeHolder(value: LeaderValue, version: number): void {
-    const own = value.member === this.runtime.settings.member;
-    this.leader = value.member;
-    this.leaderFencingToken = version;
-    if (version === this.fencingToken) return;
-    if (this.fencingToken !== null) this.lose();
-    if (!own || this.electing) return;
-    if (this.nonce !== null && value.nonce === this.nonce) return this.gain(version);
-    // The same member's earlier process is dead: there is never more than one.
-    this.elect(version, 0);
-  }
-
-  private elect(version: number, delay: number): void {
-    this.electing = true;
-    this.runtime.after(delay, () => this.obtainLease(version));
-  }
-
-  private obtainLease(version: number): void {
-    if (this.lease !== null && this.runtime.now < this.leaseUntil) {
-      return this.campaign(version, this.lease);
-    }
-    const sent = this.runtime.now;
-    this.state.grantLease(this.runtime.operator.leadership.leaseDuration, (lease) => {
-      if (lease === null) {
-        this.electing = false;
-        return;
-      }
-      this.lease = lease;
-      this.leaseUntil = 0;
-      this.extend(sent);
-      this.campaign(version, lease);
-    });
+  private onLeaseEnded(): void {
+    this.forgetLease();
+    if (this.fencingToken !== null) this.onLeadershipLost();
   }
 
-  private campaign(version: number, lease: number): void {
-    // Kept after an unanswered commit: the next read recognises it as our own.
-    this.nonce = `${this.runtime.wallClock.getTime()}-${Math.floor(this.runtime.env.random() * 2 ** 31)}`;
-    const value: LeaderValue = { member: this.runtime.settings.member, nonce: this.nonce };
-    const write = { put: LEADER_KEY, value, lease };
-    this.state.compareAndSwap(
-      [{ key: LEADER_KEY, version }],
-      [write],
-      PRIORITY.lease,
-      (committed) => {
-        this.electing = false;
-        if (committed.kind === 'ok') return this.gain(committed.revision);
-        if (committed.kind === 'no_lease') this.dropLease();
-      },
-    );
+  private onLeadershipLost(): void {
+    this.fencingToken = null;
+    this.nonce = null;
+    this.observedLeader = null;
+    this.listener.onLeadershipLost();
   }
 
-  private gain(token: number): void {
-    if (this.lease === null) return;
-    this.fencingToken = token;
-    this.leader = this.runtime.settings.member;
-    this.runtime.env.log('info', { fencingToken: token }, 'leadership acquired');
-    this.onGained(token);
+  private forgetLease(): void {
+    this.lease.forget();
+    // A key written on the lost lease can't be kept alive by a new one.
+    this.nonce = null;
   }
 }
--- a/packages/controller/src/machines/lease-expiry.ts
+++ b/packages/controller/src/machines/lease-expiry.ts
@@ -1,6 +1,6 @@
 /** When a worker's lease is surely over. */
 import type { Instant, StateItem } from '@tealdock/wire';
-import { GRANT_DURATION_MS } from '../leadership/delegated-renewal.js';
+import { GRANT_DURATION_MS } from '../leadership/delegation-grants.js';
 import { GRANT_PREFIX } from '../state/keys.js';
 import { readGrant } from '../state/stored-values.js';
 import type { Machine } from './machine.js';
--- a/packages/controller/src/requests/heartbeat-requests.ts
+++ b/packages/controller/src/requests/heartbeat-requests.ts
@@ -108,13 +108,7 @@
   }
 
   private renewForLeader(request: HttpRequest, report: WorkerHeartbeat): void {
-    this.delegatedRenewal.renew(report, (status, body, validUntil) =>
-      this.runtime.reply(request.id, {
-        status,
-        body,
-        ...(validUntil === undefined ? {} : { validUntil }),
-      }),
-    );
+    this.delegatedRenewal.renew(report, (response) => this.runtime.reply(request.id, response));
   }
 
   private liveLeader(): string | null {
--- a/packages/controller/src/runtime/runtime.ts
+++ b/packages/controller/src/runtime/runtime.ts
@@ -7,7 +7,7 @@
   Settings,
   LeaderBroadcast,
 } from '@tealdock/wire';
-import type { Call, CallResult, Effect, Log, Random, Reply } from './ports.js';
+import type { Call, CallResult, Effect, Log, LogLevel, Random, Reply } from './ports.js';
 import type { Stats } from './stats.js';
 
 interface Timer {
@@ -54,6 +54,11 @@
     return this.env.operator;
   }
 
+  /** Writes one log line. */
+  log(level: LogLevel, fields: Record<string, unknown>, message: string): void {
+    this.env.log(level, fields, message);
+  }
+
   call(call: Call, done: (result: CallResult) => void): void {
     const id = ++this.lastId;
     this.waiting.set(id, done);
--- a/packages/testing/src/single-faults.test.ts
+++ b/packages/testing/src/single-faults.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { whyTooShort } from '@tealdock/controller';
+import { cancelLimitProblem } from '@tealdock/controller';
 import { job } from './index.js';
 import { A, ask, finished, keepsRules, others, running, settled, status } from './scenario.js';
 
@@ -254,7 +254,7 @@
     workerLeaseDuration: lease,
     cancellationLimit: cancel,
   });
-  assert.equal(whyTooShort(times(27_000, 47_000)), null);
-  assert.equal(whyTooShort(times(26_000, 56_000)), null);
-  assert.match(whyTooShort(times(27_000, 30_000)) ?? '', /cancel_s: must be at least 31.1/);
+  assert.equal(cancelLimitProblem(times(27_000, 47_000)), null);
+  assert.equal(cancelLimitProblem(times(26_000, 56_000)), null);
+  assert.match(cancelLimitProblem(times(27_000, 30_000)) ?? '', /cancel_s: must be at least 31.1/);
 });
