--- a/packages/controller/src/autoscaling/machine-inventory.ts
+++ b/packages/controller/src/autoscaling/machine-inventory.ts
@@ -4,8 +4,9 @@
 import type { Leadership } from '../leadership/leadership.js';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
+import { parseResponse } from '../runtime/call-results.js';
 import { OWNED_KEY } from '../state/keys.js';
-import { parseOrNull, type StateStore } from '../state/state-store.js';
+import type { StateStore } from '../state/state-store.js';
 import { readOwned } from '../state/stored-values.js';
 import type { Term } from '../term/term.js';
 import type { CloudCalls } from './cloud-calls.js';
@@ -82,10 +83,7 @@
 
   private list(after: string, found: Map<string, ListedMachine>, asked: Instant): void {
     this.cloud.send('GET', listPath(after), null, PRIORITY.leader, (result) => {
-      const page =
-        result.kind === 'answer' && result.status === 200
-          ? parseOrNull(() => parseList(result.body))
-          : null;
+      const page = parseResponse(result, parseList);
       if (!page) return;
       for (const m of page.machines) found.set(m.id, m);
       const last = page.machines.at(-1);
--- a/packages/controller/src/autoscaling/rental-requests.ts
+++ b/packages/controller/src/autoscaling/rental-requests.ts
@@ -9,7 +9,7 @@
 import { offerings, type Offering, type Place } from '@tealdock/scheduler';
 import { PRIORITY, type CallResult } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
-import { parseOrNull } from '../state/state-store.js';
+import { parseOrNull } from '../runtime/call-results.js';
 import type { TermState } from '../term/term-state.js';
 import { CLOUD_CALL_TIMEOUT_MS, type CloudCalls } from './cloud-calls.js';
 import type { MachineInventory } from './machine-inventory.js';
--- a/packages/controller/src/jobs/liveness-proofs.ts
+++ b/packages/controller/src/jobs/liveness-proofs.ts
@@ -94,8 +94,8 @@
     }));
     this.state.compare(guards, TIMEOUT, (compared) => {
       if (compared.kind === 'equal') return this.settle(batch, 'live');
-      if (compared.kind === 'unsure') return this.settle(batch, 'unsure');
-      const changed = new Set(compared.failed);
+      if (compared.kind === 'unknown') return this.settle(batch, 'unsure');
+      const changed = new Set(compared.changedKeys);
       const gone = batch.filter(({ job }) => changed.has(specKey(job)));
       const rest = batch.filter(({ job }) => !changed.has(specKey(job)));
       for (const { job } of gone) this.forget(job);
--- a/packages/controller/src/leadership/election-lease.ts
+++ b/packages/controller/src/leadership/election-lease.ts
@@ -36,13 +36,12 @@
       return onResult(this.leaseId);
     }
     const sentAt = this.runtime.now;
-    this.state.grantLease(this.runtime.operator.leadership.leaseDuration, (leaseId) => {
-      if (leaseId !== null) {
-        this.leaseId = leaseId;
-        this.validUntilInstant = 0;
-        this.extendFrom(sentAt);
-      }
-      onResult(leaseId);
+    this.state.grantLease(this.runtime.operator.leadership.leaseDuration, (grant) => {
+      if (grant.kind === 'failed') return onResult(null);
+      this.leaseId = grant.leaseId;
+      this.validUntilInstant = 0;
+      this.extendFrom(sentAt);
+      onResult(grant.leaseId);
     });
   }
 
--- a/packages/controller/src/machines/catalog.ts
+++ b/packages/controller/src/machines/catalog.ts
@@ -3,9 +3,10 @@
 import { readMachineType } from '../state/stored-values.js';
 import { CATALOG_PREFIX, typeKey } from '../state/keys.js';
 import type { Leadership } from '../leadership/leadership.js';
+import { parseResponse } from '../runtime/call-results.js';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
-import { parseOrNull, type StateStore } from '../state/state-store.js';
+import type { StateStore } from '../state/state-store.js';
 
 const REFRESH = 30_000;
 const RETRY = 2000;
@@ -45,10 +46,7 @@
     this.runtime.call(
       { ...call, priority: PRIORITY.background, writes: 0, timeout: TIMEOUT },
       (result) => {
-        const types =
-          result.kind === 'answer' && result.status === 200
-            ? parseOrNull(() => parseCatalog(result.body))
-            : null;
+        const types = parseResponse(result, parseCatalog);
         if (types && types.length > 0) this.take(types);
         this.runtime.after(types ? REFRESH : RETRY, () => this.refresh());
       },
@@ -76,7 +74,8 @@
   private readStored(): void {
     this.state.readAll(CATALOG_PREFIX, PRIORITY.leader, (all) => {
       if (this.known) return;
-      if (!all || all.items.length === 0) return this.runtime.after(RETRY, () => this.readStored());
+      if (all.kind === 'failed' || all.items.length === 0)
+        return this.runtime.after(RETRY, () => this.readStored());
       this.types = all.items.flatMap((item) => this.state.decode(item, readMachineType) ?? []);
     });
   }
--- a/packages/controller/src/machines/lease-expiry.ts
+++ b/packages/controller/src/machines/lease-expiry.ts
@@ -56,7 +56,7 @@
     this.lastRead = asked;
     this.state.readAll(GRANT_PREFIX, PRIORITY.leader, (grants) => {
       this.reading = false;
-      if (!grants || this.registry.closed) return;
+      if (grants.kind === 'failed' || this.registry.closed) return;
       for (const item of grants.items) this.noteGrant(item);
       const expired = this.expiredAt(asked);
       if (expired.length > 0) this.onExpired(expired);
--- a/packages/controller/src/state/sharded-table.ts
+++ b/packages/controller/src/state/sharded-table.ts
@@ -3,7 +3,8 @@
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
 import { sizeOf, unstored, type Shard } from './shard.js';
-import type { CompareAndSwapResult, StateStore } from './state-store.js';
+import type { CompareAndSwapResult } from './state-results.js';
+import type { StateStore } from './state-store.js';
 import { readShard } from './stored-values.js';
 
 /** Part of a value's limit that a shard is filled to: entries may still grow. */
--- a/packages/controller/src/state/state-store.ts
+++ b/packages/controller/src/state/state-store.ts
@@ -1,4 +1,4 @@
-/** Calls to the state service. */
+/** Client of the state service. */
 import {
   COMMIT_PATH,
   LEASES_PATH,
@@ -7,68 +7,62 @@
   pagePath,
   parseChanges,
   parseCommitRevision,
-  parseLeaseId,
+  parseFailedPreconditions,
   parseItem,
+  parseLeaseId,
   parsePage,
-  parseFailedPreconditions,
   renderTransaction,
   renewPath,
   watchPath,
   type Duration,
-  type Precondition,
   type Instant,
-  type StateEvent,
+  type Precondition,
   type StateItem,
   type Write,
 } from '@tealdock/wire';
+import { parseOrNull, parseResponse } from '../runtime/call-results.js';
 import { PRIORITY, type CallPriority, type CallResult } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
-
-/** A read that failed says nothing about the key. */
-export type ReadResult =
-  { kind: 'found'; item: StateItem } | { kind: 'missing' } | { kind: 'failed' };
-
-/** The same with a decoded value; one that can't be decoded counts as a failed read. */
-export type ValueReadResult<T> =
-  { kind: 'found'; value: T; version: number } | { kind: 'missing' } | { kind: 'failed' };
-
-/** `refused`: surely not executed. `unknown`: perhaps executed, now or later. */
-export type CompareAndSwapResult =
-  | { kind: 'ok'; revision: number }
-  | { kind: 'conflict' }
-  | { kind: 'no_lease' }
-  | { kind: 'refused' }
-  | { kind: 'unknown' };
-
-/** Whether keys have the versions that they were compared with. */
-export type CompareResult =
-  { kind: 'equal' } | { kind: 'changed'; failed: string[] } | { kind: 'unsure' };
-
-/** What a watch of keys came to. */
-export type WatchResult =
-  | { kind: 'events'; revision: number; events: StateEvent[] }
-  | { kind: 'too_old' }
-  | { kind: 'failed' };
-
-/** What the renewal of a lease came to. */
-export type LeaseRenewalResult = 'ok' | 'ended' | 'failed';
-
-const READ_TIMEOUT_MS = 1200;
+import type {
+  CompareAndSwapResult,
+  CompareResult,
+  LeaseGrantResult,
+  LeaseRenewalResult,
+  RangeReadResult,
+  ReadResult,
+  ValueReadResult,
+  WatchResult,
+} from './state-results.js';
+
+const CALL_TIMEOUT_MS = 1200;
 /** A commit without an answer for this long may still be carried out. */
 export const COMMIT_TIMEOUT_MS = 2000;
 /** How long after its time a watch may be answered. */
 const WATCH_TIMEOUT_MARGIN_MS = 2000;
 const PAGE_SIZE_LIMIT = 200;
-/** Calls without a good answer for this long mean that the service is lost to this node. */
+/** The service counts as unavailable once calls have been failing for this long. */
 const UNAVAILABLE_AFTER_MS = 2500;
 
-/** The state service through its protocol, in the terms of the state owner. */
+/** A call to the state service; it changes no key and has no body unless they are given. */
+interface StateCall {
+  method: 'GET' | 'POST' | 'DELETE';
+  path: string;
+  priority: CallPriority;
+  body?: unknown;
+  writeCount?: number;
+  timeout?: Duration;
+}
+
+/**
+ * Calls the state service. No method throws or blocks: results come to the callback, in a
+ * later batch of commands. A malformed response counts as a failed call.
+ */
 export class StateStore {
   private failingSince: Instant | null = null;
 
   constructor(private readonly runtime: Runtime) {}
 
-  /** False once the service has been refusing or silent for a while. */
+  /** False once calls have been refused or without an answer for some time. */
   get isAvailable(): boolean {
     return (
       this.failingSince === null || this.runtime.now - this.failingSince < UNAVAILABLE_AFTER_MS
@@ -80,177 +74,150 @@
     return this.failingSince !== null;
   }
 
-  get(key: string, priority: CallPriority, done: (got: ReadResult) => void): void {
-    this.send('GET', keyPath(key), null, priority, 0, READ_TIMEOUT_MS, (result) => {
-      if (result.kind !== 'answer') return done({ kind: 'failed' });
-      if (result.status === 404) return done({ kind: 'missing' });
-      const item = result.status === 200 ? parseOrNull(() => parseItem(result.body)) : null;
-      done(item ? { kind: 'found', item } : { kind: 'failed' });
+  /** Reads one key. */
+  get(key: string, priority: CallPriority, onResult: (read: ReadResult) => void): void {
+    this.send({ method: 'GET', path: keyPath(key), priority }, (result) => {
+      if (result.kind === 'answer' && result.status === 404) return onResult({ kind: 'missing' });
+      const item = parseResponse(result, parseItem);
+      onResult(item ? { kind: 'found', item } : { kind: 'failed' });
     });
   }
 
-  /** A decoded value. A malformed one is logged, and is never taken for a missing one. */
+  /** Reads and decodes one key; a value for which `decode` returns null is logged. */
   getValue<T>(
     key: string,
     decode: (stored: unknown) => T | null,
     priority: CallPriority,
-    done: (got: ValueReadResult<T>) => void,
+    onResult: (read: ValueReadResult<T>) => void,
   ): void {
-    this.get(key, priority, (got) => {
-      if (got.kind !== 'found') return done(got);
-      const value = this.decode(got.item, decode);
-      done(
-        value === null ? { kind: 'failed' } : { kind: 'found', value, version: got.item.version },
-      );
+    this.get(key, priority, (read) => {
+      if (read.kind !== 'found') return onResult(read);
+      const { version } = read.item;
+      const value = this.decode(read.item, decode);
+      onResult(value === null ? { kind: 'failed' } : { kind: 'found', value, version });
     });
   }
 
-  /** Decodes an item that was read; logs one that can't be. */
+  /** Decodes an item that was read; null, and an error in the log, if that is not possible. */
   decode<T>(item: StateItem, decode: (stored: unknown) => T | null): T | null {
     const value = decode(item.value);
-    if (value === null) {
-      this.runtime.env.log('error', { key: item.key }, 'stored value unreadable');
-    }
+    if (value === null) this.runtime.log('error', { key: item.key }, 'stored value unreadable');
     return value;
   }
 
-  /** Every item with the prefix, or null if that can't be told. */
-  readAll(
-    prefix: string,
-    priority: CallPriority,
-    done: (all: { items: StateItem[]; revision: number } | null) => void,
-  ): void {
+  /** Reads all items with the prefix, page after page; fails if one of the pages does. */
+  readAll(prefix: string, priority: CallPriority, onResult: (read: RangeReadResult) => void): void {
     const items: StateItem[] = [];
-    let first = -1;
-    const next = (after: string) =>
-      this.send(
-        'GET',
-        pagePath(prefix, after, PAGE_SIZE_LIMIT),
-        null,
-        priority,
-        0,
-        READ_TIMEOUT_MS,
-        (result) => {
-          const page =
-            result.kind === 'answer' && result.status === 200
-              ? parseOrNull(() => parsePage(result.body))
-              : null;
-          if (!page) return done(null);
-          items.push(...page.items);
-          if (first < 0) first = page.revision;
-          const last = page.items.at(-1);
-          if (page.more && last) return next(last.key);
-          // The oldest revision: a watch from there repeats what later pages already held.
-          done({ items, revision: first });
-        },
-      );
-    next('');
+    let firstRevision: number | null = null;
+    const readPage = (afterKey: string) => {
+      const path = pagePath(prefix, afterKey, PAGE_SIZE_LIMIT);
+      this.send({ method: 'GET', path, priority }, (result) => {
+        const page = parseResponse(result, parsePage);
+        if (!page) return onResult({ kind: 'failed' });
+        items.push(...page.items);
+        firstRevision ??= page.revision;
+        const last = page.items.at(-1);
+        if (page.more && last) return readPage(last.key);
+        // The oldest revision: a watch from there repeats what later pages already held.
+        onResult({ kind: 'ok', items, revision: firstRevision });
+      });
+    };
+    readPage('');
   }
 
+  /** Makes all writes, or none if a precondition does not hold. */
   compareAndSwap(
     preconditions: Precondition[],
     writes: Write[],
     priority: CallPriority,
-    done: (committed: CompareAndSwapResult) => void,
+    onResult: (commit: CompareAndSwapResult) => void,
   ): void {
     const body = renderTransaction(preconditions, writes);
-    this.send('POST', COMMIT_PATH, body, priority, writes.length, COMMIT_TIMEOUT_MS, (result) =>
-      done(committedFrom(result)),
-    );
+    const call: StateCall = {
+      method: 'POST',
+      path: COMMIT_PATH,
+      priority,
+      body,
+      writeCount: writes.length,
+      timeout: COMMIT_TIMEOUT_MS,
+    };
+    this.send(call, (result) => onResult(commitResult(result)));
   }
 
-  /** A transaction without changes. */
+  /** Compares versions in a transaction without changes. */
   compare(
     preconditions: Precondition[],
     timeout: Duration,
-    done: (compared: CompareResult) => void,
+    onResult: (comparison: CompareResult) => void,
   ): void {
     const body = renderTransaction(preconditions, []);
-    this.send('POST', COMMIT_PATH, body, PRIORITY.user, 0, timeout, (result) => {
-      if (result.kind !== 'answer') return done({ kind: 'unsure' });
-      if (result.status === 200) return done({ kind: 'equal' });
-      const failed =
-        result.status === 409 ? parseOrNull(() => parseFailedPreconditions(result.body)) : null;
-      done(failed ? { kind: 'changed', failed } : { kind: 'unsure' });
-    });
-  }
-
-  grantLease(life: number, done: (lease: number | null) => void): void {
-    const body = { life_ms: Math.round(life) };
-    this.send('POST', LEASES_PATH, body, PRIORITY.lease, 0, READ_TIMEOUT_MS, (result) =>
-      done(
-        result.kind === 'answer' && result.status === 200
-          ? parseOrNull(() => parseLeaseId(result.body))
-          : null,
-      ),
+    const { user: priority } = PRIORITY;
+    this.send({ method: 'POST', path: COMMIT_PATH, priority, body, timeout }, (result) =>
+      onResult(compareResult(result)),
     );
   }
 
-  renewLease(lease: number, done: (renewed: LeaseRenewalResult) => void): void {
-    this.send('POST', renewPath(lease), null, PRIORITY.lease, 0, READ_TIMEOUT_MS, (result) => {
-      if (result.kind !== 'answer') return done('failed');
-      done(result.status === 200 ? 'ok' : result.status === 404 ? 'ended' : 'failed');
+  /** Asks for a lease of this duration. */
+  grantLease(duration: Duration, onResult: (grant: LeaseGrantResult) => void): void {
+    const body = { life_ms: Math.round(duration) };
+    const { lease: priority } = PRIORITY;
+    this.send({ method: 'POST', path: LEASES_PATH, priority, body }, (result) => {
+      const leaseId = parseResponse(result, parseLeaseId);
+      onResult(leaseId === null ? { kind: 'failed' } : { kind: 'granted', leaseId });
     });
   }
 
-  revokeLease(lease: number): void {
-    this.send(
-      'DELETE',
-      leasePath(lease),
-      null,
-      PRIORITY.lease,
-      0,
-      READ_TIMEOUT_MS,
-      () => undefined,
-    );
+  /** Extends the lease by its duration. */
+  renewLease(leaseId: number, onResult: (renewal: LeaseRenewalResult) => void): void {
+    const { lease: priority } = PRIORITY;
+    this.send({ method: 'POST', path: renewPath(leaseId), priority }, (result) => {
+      if (result.kind !== 'answer') return onResult('failed');
+      onResult(result.status === 200 ? 'ok' : result.status === 404 ? 'ended' : 'failed');
+    });
   }
 
-  watch(prefix: string, after: number, hold: number, done: (watched: WatchResult) => void): void {
-    const path = watchPath(prefix, after, hold);
-    this.send('GET', path, null, PRIORITY.leader, 0, hold + WATCH_TIMEOUT_MARGIN_MS, (result) => {
-      if (result.kind === 'answer' && result.status === 410) return done({ kind: 'too_old' });
-      const news =
-        result.kind === 'answer' && result.status === 200
-          ? parseOrNull(() => parseChanges(result.body))
-          : null;
-      done(news ? { kind: 'events', ...news } : { kind: 'failed' });
-    });
+  /** Ends the lease and removes the keys that were written on it; the result is ignored. */
+  revokeLease(leaseId: number): void {
+    const { lease: priority } = PRIORITY;
+    this.send({ method: 'DELETE', path: leasePath(leaseId), priority }, () => undefined);
   }
 
-  private send(
-    method: string,
-    path: string,
-    body: unknown,
-    priority: CallPriority,
-    writes: number,
-    timeout: number,
-    done: (result: CallResult) => void,
+  /** Waits up to `waitTime` for changes of keys with the prefix after a revision. */
+  watch(
+    prefix: string,
+    afterRevision: number,
+    waitTime: Duration,
+    onResult: (watched: WatchResult) => void,
   ): void {
-    const call = {
-      target: 'state' as const,
-      to: '',
-      method,
-      path,
-      body,
-      priority,
-      writes,
-      timeout,
-    };
-    this.runtime.call(call, (result) => {
-      this.note(result);
-      done(result);
+    const path = watchPath(prefix, afterRevision, waitTime);
+    const { leader: priority } = PRIORITY;
+    const timeout = waitTime + WATCH_TIMEOUT_MARGIN_MS;
+    this.send({ method: 'GET', path, priority, timeout }, (result) => {
+      if (result.kind === 'answer' && result.status === 410) return onResult({ kind: 'too_old' });
+      const changes = parseResponse(result, parseChanges);
+      onResult(changes ? { kind: 'events', ...changes } : { kind: 'failed' });
     });
   }
 
-  private note(result: CallResult): void {
-    const served = result.kind === 'answer' && result.status < 500 && result.status !== 429;
-    if (served) this.failingSince = null;
-    else if (result.kind !== 'answer' || result.status >= 500)
-      this.failingSince ??= this.runtime.now;
+  private send(call: StateCall, onResult: (result: CallResult) => void): void {
+    const { method, path, priority, body = null, writeCount = 0, timeout = CALL_TIMEOUT_MS } = call;
+    this.runtime.call(
+      { target: 'state', to: '', method, path, body, priority, writes: writeCount, timeout },
+      (result) => {
+        this.recordOutcome(result);
+        onResult(result);
+      },
+    );
+  }
+
+  /** A refusal for want of capacity (429) says nothing about the service's health. */
+  private recordOutcome(result: CallResult): void {
+    if (result.kind !== 'answer' || result.status >= 500) this.failingSince ??= this.runtime.now;
+    else if (result.status !== 429) this.failingSince = null;
   }
 }
 
-function committedFrom(result: CallResult): CompareAndSwapResult {
+function commitResult(result: CallResult): CompareAndSwapResult {
   if (result.kind === 'lost') return { kind: 'unknown' };
   if (result.kind === 'unsent') return { kind: 'refused' };
   if (result.status === 409) return { kind: 'conflict' };
@@ -261,11 +228,10 @@
   return revision === null ? { kind: 'unknown' } : { kind: 'ok', revision };
 }
 
-/** A surprising answer counts as a failure of its call, never as a crash. */
-export function parseOrNull<T>(parse: () => T): T | null {
-  try {
-    return parse();
-  } catch {
-    return null;
-  }
+function compareResult(result: CallResult): CompareResult {
+  if (result.kind !== 'answer') return { kind: 'unknown' };
+  if (result.status === 200) return { kind: 'equal' };
+  if (result.status !== 409) return { kind: 'unknown' };
+  const changedKeys = parseOrNull(() => parseFailedPreconditions(result.body));
+  return changedKeys ? { kind: 'changed', changedKeys } : { kind: 'unknown' };
 }
--- a/packages/controller/src/term/job-watch.ts
+++ b/packages/controller/src/term/job-watch.ts
@@ -55,7 +55,7 @@
     const asked = this.runtime.now;
     this.state.readAll(LIVE_PREFIX, PRIORITY.leader, (live) => {
       if (this.term.closed) return;
-      if (!live) return this.runtime.after(RETRY, () => this.reread());
+      if (live.kind === 'failed') return this.runtime.after(RETRY, () => this.reread());
       this.cancellationsKnownUntil = asked;
       const specs = new Map<string, StateItem>();
       for (const item of live.items) {
--- a/packages/controller/src/term/rebuild.ts
+++ b/packages/controller/src/term/rebuild.ts
@@ -35,7 +35,7 @@
       if (!registry || !progress) return retry();
       const asked = this.runtime.now;
       this.state.readAll(LIVE_PREFIX, PRIORITY.leader, (live) => {
-        if (!live) return retry();
+        if (live.kind === 'failed') return retry();
         if (this.term.closed) return;
         this.watch.cancellationsKnownUntil = asked;
         for (const [id, entry] of this.membership.registry.load(registry))
@@ -52,9 +52,9 @@
     done: (registry: StateItem[] | null, progress: StateItem[] | null) => void,
   ): void {
     this.state.readAll(REGISTRY_PREFIX, PRIORITY.leader, (registry) => {
-      if (!registry) return done(null, null);
+      if (registry.kind === 'failed') return done(null, null);
       this.state.readAll(PROGRESS_PREFIX, PRIORITY.leader, (progress) =>
-        done(registry.items, progress?.items ?? null),
+        done(registry.items, progress.kind === 'ok' ? progress.items : null),
       );
     });
   }
