--- a/packages/controller/src/term/job-completion.ts
+++ b/packages/controller/src/term/job-completion.ts
@@ -105,7 +105,7 @@
 
   private ended(job: LiveJob, end: JobEnd): void {
     for (const chunk of job.chunks())
-      this.term.liveJobs.progress.delete(progressEntry(job.id, chunk));
+      this.term.liveJobs.progress.forget(progressEntry(job.id, chunk));
     this.term.liveJobs.endJob(job.id, end);
   }
 
--- a/packages/controller/src/term/live-jobs.ts
+++ b/packages/controller/src/term/live-jobs.ts
@@ -30,10 +30,11 @@
     private readonly bindings: Bindings,
   ) {
     this.graph = new DependencyGraph(runtime, state, term);
-    this.progress = new ShardedTable(runtime, state, leadership, PROGRESS_PREFIX, {
-      gather: 0,
-      lazy: true,
-      stored: (entries) => this.progressStored(entries),
+    this.progress = new ShardedTable(runtime, state, leadership, {
+      keyPrefix: PROGRESS_PREFIX,
+      gatherTime: 0,
+      valuesDeferrable: true,
+      onStored: (entries) => this.progressStored(entries),
     });
   }
 
@@ -92,7 +93,7 @@
       const at = splitProgressEntry(entry);
       const job = this.term.jobs.get(at.job);
       if (job) job.applyStoredProgress(at.chunk, bits);
-      else this.progress.delete(entry);
+      else this.progress.forget(entry);
     }
   }
 }
--- a/packages/controller/src/term/membership.ts
+++ b/packages/controller/src/term/membership.ts
@@ -30,10 +30,11 @@
     private readonly term: TermState,
     private readonly bindings: Bindings,
   ) {
-    this.registry = new ShardedTable(runtime, state, leadership, REGISTRY_PREFIX, {
-      gather: JOIN_GATHER,
-      lazy: false,
-      stored: (entries) => this.enrolled(entries),
+    this.registry = new ShardedTable(runtime, state, leadership, {
+      keyPrefix: REGISTRY_PREFIX,
+      gatherTime: JOIN_GATHER,
+      valuesDeferrable: false,
+      onStored: (entries) => this.enrolled(entries),
     });
   }
 
