--- a/packages/controller/src/jobs/dependency-graph.ts
+++ b/packages/controller/src/jobs/dependency-graph.ts
@@ -1,8 +1,8 @@
 /** Which jobs wait for which others, and what releases them. */
 import { predecessorsOf, type Instant } from '@tealdock/wire';
 import { dependentDemands, type GraphJob } from '@tealdock/scheduler';
-import { endedKey, type EndedValue } from '../state/keys.js';
-import { readEnded } from '../state/stored-values.js';
+import { endedKey } from '../state/keys.js';
+import { readEnded, type EndedValue } from '../state/stored-values.js';
 import type { LiveJob } from './live-job.js';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
--- a/packages/controller/src/jobs/job-lookup.ts
+++ b/packages/controller/src/jobs/job-lookup.ts
@@ -3,9 +3,9 @@
 import { BoundedMap } from '../runtime/bounded.js';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
-import { endedKey, specKey, type EndedValue, type LiveValue } from '../state/keys.js';
+import { endedKey, specKey } from '../state/keys.js';
 import type { StateStore } from '../state/state-store.js';
-import { readEnded, readLive } from '../state/stored-values.js';
+import { readEnded, readLive, type EndedValue, type LiveValue } from '../state/stored-values.js';
 import { LivenessProofs } from './liveness-proofs.js';
 
 /** Final answers that are remembered. */
--- a/packages/controller/src/leadership/delegation-grants.ts
+++ b/packages/controller/src/leadership/delegation-grants.ts
@@ -3,7 +3,8 @@
 import { minOnOtherClock } from '../runtime/clock-drift.js';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
-import { GRANT_PREFIX, LEADER_KEY, type GrantValue } from '../state/keys.js';
+import { GRANT_PREFIX, LEADER_KEY } from '../state/keys.js';
+import type { GrantValue } from '../state/stored-values.js';
 import type { StateStore } from '../state/state-store.js';
 import type { Leadership } from './leadership.js';
 
--- a/packages/controller/src/leadership/leadership.ts
+++ b/packages/controller/src/leadership/leadership.ts
@@ -2,9 +2,9 @@
 import type { Instant, Precondition } from '@tealdock/wire';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
-import { LEADER_KEY, type LeaderValue } from '../state/keys.js';
+import { LEADER_KEY } from '../state/keys.js';
 import type { StateStore } from '../state/state-store.js';
-import { readLeader } from '../state/stored-values.js';
+import { readLeader, type LeaderValue } from '../state/stored-values.js';
 import { ElectionLease } from './election-lease.js';
 
 /** Renewals in one duration of the lease. */
--- a/packages/controller/src/requests/job-requests.ts
+++ b/packages/controller/src/requests/job-requests.ts
@@ -12,7 +12,8 @@
 } from '@tealdock/wire';
 import { infeasibilityReason } from '@tealdock/scheduler';
 import type { Catalog } from '../machines/catalog.js';
-import { endedKey, endedValue, fitsValue, specKey, type LiveValue } from '../state/keys.js';
+import { endedKey, specKey } from '../state/keys.js';
+import { endedValue, fitsValue, type LiveValue } from '../state/stored-values.js';
 import { AncestorCheck } from '../jobs/ancestor-check.js';
 import type { JobLookup, JobLocateResult } from '../jobs/job-lookup.js';
 import type { JobCounts, Peers } from '../peers/peers.js';
--- a/packages/controller/src/term/job-completion.ts
+++ b/packages/controller/src/term/job-completion.ts
@@ -2,13 +2,13 @@
 import type { Precondition, Write } from '@tealdock/wire';
 import { priorityRank } from '@tealdock/scheduler';
 import { endOf, type JobEnd } from '../jobs/dependency-graph.js';
-import { endedKey, endedValue, progressEntry, specKey, type EndedValue } from '../state/keys.js';
+import { endedKey, progressEntry, specKey } from '../state/keys.js';
 import type { Leadership } from '../leadership/leadership.js';
 import type { LiveJob } from '../jobs/live-job.js';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { StateStore } from '../state/state-store.js';
-import { readEnded } from '../state/stored-values.js';
+import { readEnded, endedValue, type EndedValue } from '../state/stored-values.js';
 import type { Term } from './term.js';
 
 const FLUSH_EVERY = 250;
--- a/packages/controller/src/term/job-watch.ts
+++ b/packages/controller/src/term/job-watch.ts
@@ -82,7 +82,7 @@
     const known = this.term.jobs.get(at.job);
     // A job that this leader ends is removed by its own commit.
     const byOthers = !event.removed || (known && !known.complete && !known.predecessorCancelled);
-    if (byOthers) this.writeShare.note(event);
+    if (byOthers) this.writeShare.recordChange(event);
     if (event.removed) this.liveJobs.endJob(at.job);
     else this.liveJobs.addJob(at.job, event.value, event.version);
   }
--- a/packages/controller/src/term/rebuild.ts
+++ b/packages/controller/src/term/rebuild.ts
@@ -2,13 +2,8 @@
 import type { StateItem } from '@tealdock/wire';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
-import {
-  LIVE_PREFIX,
-  PROGRESS_PREFIX,
-  REGISTRY_PREFIX,
-  splitLiveKey,
-  type RegistryEntry,
-} from '../state/keys.js';
+import { LIVE_PREFIX, PROGRESS_PREFIX, REGISTRY_PREFIX, splitLiveKey } from '../state/keys.js';
+import type { RegistryEntry } from '../state/stored-values.js';
 import type { StateStore } from '../state/state-store.js';
 import type { JobWatch } from './job-watch.js';
 import type { LiveJobs } from './live-jobs.js';
