--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -22,8 +22,12 @@
 import { Scheduler } from './placement/scheduler.js';
 import type { Command, Effect, HttpRequest } from './runtime/ports.js';
 import { JobRequests } from './requests/job-requests.js';
-import { malformed, methodNotAllowed } from './requests/replies.js';
-import { HeartbeatRequests, type LeaderContext } from './requests/heartbeat-requests.js';
+import { Cancellations } from './requests/cancellations.js';
+import { HeartbeatRequests } from './requests/heartbeat-requests.js';
+import { JobStatus } from './requests/job-status.js';
+import { LeaderHeartbeats, type LeaderContext } from './requests/leader-heartbeats.js';
+import { replyMalformed, replyMethodNotAllowed } from './requests/replies.js';
+import { Submissions } from './requests/submissions.js';
 import { Runtime, type Environment } from './runtime/runtime.js';
 import { StateStore } from './state/state-store.js';
 import { Term } from './term/term.js';
@@ -64,15 +68,7 @@
     this.catalog = new Catalog(this.runtime, this.state, this.leadership);
     this.peers = new Peers(this.runtime);
     const lookup = new JobLookup(this.runtime, this.state);
-    this.jobRequests = new JobRequests(
-      this.runtime,
-      this.state,
-      lookup,
-      this.catalog,
-      this.peers,
-      (id) => this.peers.taskCountsOf(id),
-      (id) => this.spreadCancellation(id),
-    );
+    this.jobRequests = this.createJobRequests(lookup);
     const delegatedRenewal = new DelegatedRenewal(
       this.runtime,
       this.state,
@@ -80,15 +76,24 @@
       this.peers,
       (job, done) => lookup.prove(job, done),
     );
-    this.heartbeatRequests = new HeartbeatRequests(
-      this.runtime,
-      this.state,
-      this.leadership,
-      this.catalog,
-      this.peers,
+    this.heartbeatRequests = new HeartbeatRequests(this.runtime, {
+      state: this.state,
+      leadership: this.leadership,
+      peers: this.peers,
       delegatedRenewal,
-      this,
+      leader: this,
+      leaderHeartbeats: new LeaderHeartbeats(this.runtime, this.catalog, this),
+    });
+  }
+
+  private createJobRequests(lookup: JobLookup): JobRequests {
+    const { runtime, state, catalog, peers } = this;
+    const cancellations = new Cancellations(runtime, state, lookup, (id) =>
+      this.spreadCancellation(id),
     );
+    const jobStatus = new JobStatus(runtime, lookup, cancellations, (id) => peers.taskCountsOf(id));
+    const submissions = new Submissions(runtime, state, lookup, catalog, jobStatus);
+    return new JobRequests(runtime, state, peers, { submissions, jobStatus, cancellations });
   }
 
   process(commands: Command[], now: Instant, today: Date): Effect[] {
@@ -97,7 +102,7 @@
     if (this.startedAt === null) this.start();
     for (const command of commands) this.apply(command);
     this.runtime.runDue();
-    this.heartbeatRequests.unpark();
+    this.heartbeatRequests.resumeParked();
     this.longPolls?.release();
     return this.runtime.takeEffects();
   }
@@ -241,13 +246,13 @@
   }
 
   private health(request: HttpRequest): void {
-    if (request.method !== 'GET') return methodNotAllowed(this.runtime, request, 'GET');
+    if (request.method !== 'GET') return replyMethodNotAllowed(this.runtime, request, 'GET');
     const healthy = this.healthy();
     this.runtime.reply(request.id, { status: healthy ? 200 : 503, body: { healthy } });
   }
 
   private replyWithStats(request: HttpRequest): void {
-    if (request.method !== 'GET') return methodNotAllowed(this.runtime, request, 'GET');
+    if (request.method !== 'GET') return replyMethodNotAllowed(this.runtime, request, 'GET');
     this.runtime.reply(request.id, { status: 200, body: this.runtime.stats.view() });
   }
 
@@ -257,7 +262,7 @@
       for (const id of jobs) this.term?.liveJobs.cancellationReceived(id);
       this.runtime.reply(request.id, { status: 200, body: {} });
     } catch (error) {
-      malformed(this.runtime, request, error);
+      replyMalformed(this.runtime, request, error);
     }
   }
 
--- a/packages/controller/src/requests/heartbeat-requests.ts
+++ b/packages/controller/src/requests/heartbeat-requests.ts
@@ -1,158 +1,104 @@
-/** Reports of workers: answered by the leader, kept for an election, or sent on. */
-import {
-  parseHeartbeat,
-  renderRedirect,
-  renderHeartbeatResponse,
-  unpackBody,
-  type Duration,
-  type WorkerHeartbeat,
-} from '@tealdock/wire';
-import type { Granted } from '../authority/decision.js';
+/** Workers' heartbeats: answered by the leader, else delegated, parked or redirected. */
+import { parseHeartbeat, unpackBody, type WorkerHeartbeat } from '@tealdock/wire';
 import type { DelegatedRenewal } from '../leadership/delegated-renewal.js';
 import type { Leadership } from '../leadership/leadership.js';
-import type { Catalog } from '../machines/catalog.js';
 import type { Peers } from '../peers/peers.js';
 import type { HttpRequest } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { StateStore } from '../state/state-store.js';
-import type { Term } from '../term/term.js';
-import type { LongPolls } from './long-polls.js';
-import { malformed, methodNotAllowed } from './replies.js';
+import type { LeaderContext, LeaderHeartbeats } from './leader-heartbeats.js';
+import { ParkedHeartbeats, type HeartbeatRequest } from './parked-heartbeats.js';
+import { replyMalformed, replyMethodNotAllowed, replyRedirect } from './replies.js';
 
-/** Reports that leave the queue of those that waited for an election, in one batch. */
-const MAX_UNPARKED = 64;
-/** How long a report waits for an election; workers give up after 4 s. */
-const PARK = 2500;
-
-/** What this node may answer as the leader; no term where it does not lead. */
-export interface LeaderContext {
-  readonly term: Term | null;
-  readonly longPolls: LongPolls | null;
-  /** Set while answers may renew leases (docs/safety.md, Freshness of cancellations). */
-  renewalGrant(): Granted | null;
-}
-
-/** A report that waits for an election. */
-interface Parked {
-  request: HttpRequest;
-  heartbeat: WorkerHeartbeat;
+/** What a node knows of the leader, and what it may do for it. */
+export interface HeartbeatServices {
+  state: StateStore;
+  leadership: Leadership;
+  peers: Peers;
+  delegatedRenewal: DelegatedRenewal;
+  leader: LeaderContext;
+  leaderHeartbeats: LeaderHeartbeats;
 }
 
-/** Answers the reports of workers, or tells them where to go. */
+/** Answers workers' heartbeats on any node. */
 export class HeartbeatRequests {
-  private readonly parked = new Map<number, Parked>();
+  private readonly parked: ParkedHeartbeats;
 
   constructor(
     private readonly runtime: Runtime,
-    private readonly state: StateStore,
-    private readonly leadership: Leadership,
-    private readonly catalog: Catalog,
-    private readonly peers: Peers,
-    private readonly delegatedRenewal: DelegatedRenewal,
-    private readonly leader: LeaderContext,
-  ) {}
+    private readonly services: HeartbeatServices,
+  ) {
+    this.parked = new ParkedHeartbeats(runtime);
+  }
 
-  /** Takes a report in; its answer may be kept back, or come from another node. */
+  /** Takes in a heartbeat; its answer may come later, or be that of another node. */
   handle(request: HttpRequest): void {
-    if (request.method !== 'POST') return methodNotAllowed(this.runtime, request, 'POST');
-    let report: WorkerHeartbeat;
+    if (request.method !== 'POST') return replyMethodNotAllowed(this.runtime, request, 'POST');
+    let heartbeat: WorkerHeartbeat;
     try {
-      report = parseHeartbeat(unpackBody(request.body));
+      heartbeat = parseHeartbeat(unpackBody(request.body));
     } catch (error) {
-      return malformed(this.runtime, request, error);
+      return replyMalformed(this.runtime, request, error);
     }
-    this.processOrRedirect(request, report);
+    this.process({ request, heartbeat });
+  }
+
+  /** Passes parked heartbeats on once the election is over, or this node can't follow it. */
+  resumeParked(): void {
+    if (this.parked.isEmpty) return;
+    const handler = this.parkedHandler();
+    if (handler) this.parked.resume(handler);
   }
 
-  private processOrRedirect(request: HttpRequest, heartbeat: WorkerHeartbeat): void {
-    const { term, longPolls } = this.leader;
-    this.leadership.observeHigherToken(heartbeat.fencingToken);
-    // Also while it may not answer: a leader that an outage kept from answering is reachable.
-    if (term) term.lastHeartbeatAt = this.runtime.now;
-    const held = this.leader.renewalGrant();
-    if (!held || !term) return this.redirect(request, heartbeat);
-    const { counted, answered, commands: orders } = term.heartbeats.process(heartbeat);
-    if (!answered) return this.redirectTo(request.id, null);
-    this.runtime.stats.record('evidence.renewal_age_ms', held.evidence.age);
-    this.runtime.stats.count(counted ? 'reports.counted' : 'reports.ignored');
-    // Only a newer report shows that the one before was given up; a late copy does not.
-    if (counted) longPolls?.drop(heartbeat.machine, held);
-    const hold = counted && orders.length === 0 ? this.longPollTimeoutOf(term, heartbeat) : 0;
-    if (hold > 0) {
-      this.runtime.stats.count('reports.held');
-      return longPolls?.hold(heartbeat.machine, request.id, hold);
+  /** Null while the election goes on. */
+  private parkedHandler(): ((resumed: HeartbeatRequest) => void) | null {
+    const { leader, delegatedRenewal, state } = this.services;
+    if (leader.renewalGrant()) return (resumed) => this.process(resumed);
+    const liveLeader = this.liveLeader();
+    if (liveLeader === null && delegatedRenewal.mayRenew) {
+      return (resumed) => this.renewForLeader(resumed);
     }
-    this.runtime.reply(request.id, {
-      status: 200,
-      body: renderHeartbeatResponse(held.fencingToken, orders),
-      validUntil: held.validUntil,
-    });
+    if (liveLeader === null && !state.lastCallFailed) return null;
+    return ({ request }) => replyRedirect(this.runtime, request.id, liveLeader);
   }
 
-  private longPollTimeoutOf(term: Term, report: WorkerHeartbeat): Duration {
-    const type = this.catalog.types.find((t) => t.name === report.type);
-    return type ? term.workerCommands.longPollTimeoutOf(report.machine, type) : 0;
+  private process(received: HeartbeatRequest): void {
+    const { request, heartbeat } = received;
+    this.services.leadership.observeHigherToken(heartbeat.fencingToken);
+    if (!this.services.leaderHeartbeats.answer(request.id, heartbeat)) this.follow(received);
   }
 
   /**
    * Names the leader only while it seems to live, so that workers lose no time on
-   * it. While there is none, the report waits for the election for a moment: a
+   * it. While there is none, the heartbeat waits for the election for a moment: a
    * thousand workers that go round the nodes once a second would slow it down.
    */
-  private redirect(request: HttpRequest, report: WorkerHeartbeat): void {
+  private follow(received: HeartbeatRequest): void {
+    const { state, delegatedRenewal } = this.services;
     const leader = this.liveLeader();
-    if (leader === null && this.delegatedRenewal.mayRenew)
-      return this.renewForLeader(request, report);
-    if (leader === null && this.mayPark()) return this.park(request, report);
-    this.redirectTo(request.id, leader);
-  }
-
-  private renewForLeader(request: HttpRequest, report: WorkerHeartbeat): void {
-    this.delegatedRenewal.renew(report, (response) => this.runtime.reply(request.id, response));
-  }
-
-  private liveLeader(): string | null {
-    const leader = this.leadership.leader;
-    return leader !== null && this.peers.isAlive(leader) ? leader : null;
-  }
-
-  private redirectTo(request: number, leader: string | null): void {
-    this.runtime.stats.count('reports.redirected');
-    this.runtime.reply(request, { status: 421, body: renderRedirect(leader) });
+    if (leader === null && delegatedRenewal.mayRenew) return this.renewForLeader(received);
+    // A node without the state service will not learn the result of the election.
+    if (leader === null && !state.lastCallFailed && !this.parked.isFull) {
+      return this.park(received);
+    }
+    replyRedirect(this.runtime, received.request.id, leader);
   }
 
-  /** A node without the state service will not know of the election, nor win it. */
-  private mayPark(): boolean {
-    return (
-      !this.state.lastCallFailed && this.parked.size < this.runtime.settings.maxConnections / 2
+  private renewForLeader({ request, heartbeat }: HeartbeatRequest): void {
+    this.services.delegatedRenewal.renew(heartbeat, (response) =>
+      this.runtime.reply(request.id, response),
     );
   }
 
-  private park(request: HttpRequest, report: WorkerHeartbeat): void {
-    this.parked.set(request.id, { request, heartbeat: report });
-    this.runtime.stats.count('reports.parked');
-    this.runtime.after(PARK, () => {
-      if (this.parked.delete(request.id)) this.redirectTo(request.id, this.liveLeader());
-    });
+  private park(received: HeartbeatRequest): void {
+    this.parked.add(received, () =>
+      replyRedirect(this.runtime, received.request.id, this.liveLeader()),
+    );
   }
 
-  /**
-   * Somebody leads, or a leader behind a cut does, or this node can't tell any more. A few
-   * at a time: a process that has just started takes seconds for a thousand reports.
-   */
-  unpark(): void {
-    if (this.parked.size === 0) return;
-    const leads = this.leader.renewalGrant() !== null;
-    const leader = this.liveLeader();
-    const keeps = !leads && leader === null && this.delegatedRenewal.mayRenew;
-    if (!leads && !keeps && leader === null && !this.state.lastCallFailed) return;
-    const waiting = [...this.parked.values()].slice(0, MAX_UNPARKED);
-    for (const { request, heartbeat: report } of waiting) {
-      this.parked.delete(request.id);
-      if (leads) this.processOrRedirect(request, report);
-      else if (keeps) this.renewForLeader(request, report);
-      else this.redirectTo(request.id, leader);
-    }
-    if (this.parked.size > 0) this.runtime.after(0, () => undefined);
+  private liveLeader(): string | null {
+    const { leadership, peers } = this.services;
+    const { leader } = leadership;
+    return leader !== null && peers.isAlive(leader) ? leader : null;
   }
 }
--- a/packages/controller/src/requests/long-polls.ts
+++ b/packages/controller/src/requests/long-polls.ts
@@ -1,65 +1,65 @@
-/** Answers to reports that wait for a start. */
+/** Answers to heartbeats that wait for a start. */
 import { renderHeartbeatResponse, type Duration } from '@tealdock/wire';
 import type { Granted } from '../authority/decision.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { Term } from '../term/term.js';
 
 /**
- * An answer without orders is kept back for a short, bounded time, so that a
- * start booked meanwhile leaves at once instead of with the next report. It
- * stays the answer to the newest report, since a worker has one in flight.
+ * An answer without commands is kept back for a short, bounded time, so that a start assigned
+ * meanwhile leaves at once instead of with the next heartbeat. A machine has one long poll at
+ * the most, that of its newest heartbeat, since a worker has one request under way.
  */
 export class LongPolls {
-  private readonly open = new Map<string, number>();
+  private readonly requestByMachine = new Map<string, number>();
 
   constructor(
     private readonly runtime: Runtime,
     private readonly term: Term,
-    private readonly held: () => Granted | null,
+    private readonly renewalGrant: () => Granted | null,
   ) {}
 
-  hold(machine: string, request: number, duration: Duration): void {
-    this.open.set(machine, request);
-    this.runtime.after(duration, () => {
-      if (this.open.get(machine) === request) this.answer(machine, request);
+  /** Keeps the answer back until there are commands, for this long at the most. */
+  open(machine: string, requestId: number, waitTime: Duration): void {
+    this.runtime.stats.count('reports.held');
+    this.requestByMachine.set(machine, requestId);
+    this.runtime.after(waitTime, () => {
+      if (this.requestByMachine.get(machine) === requestId) this.answer(machine, requestId);
     });
   }
 
-  /** The worker gave the older report up: its answer is worth nothing any more. */
-  drop(machine: string, held: Granted): void {
-    const request = this.open.get(machine);
-    if (request === undefined) return;
-    this.open.delete(machine);
-    this.runtime.reply(request, {
-      status: 503,
-      body: renderHeartbeatResponse(held.fencingToken, []),
-    });
+  /** Ends a machine's long poll without an answer: the worker has given that request up. */
+  abandon(machine: string, grant: Granted): void {
+    const requestId = this.requestByMachine.get(machine);
+    if (requestId === undefined) return;
+    this.requestByMachine.delete(machine);
+    const body = renderHeartbeatResponse(grant.fencingToken, []);
+    this.runtime.reply(requestId, { status: 503, body });
   }
 
-  /** Lets go what has got orders since; everything once the term is over. */
+  /** Answers where there are commands by now; everywhere once the term may not answer. */
   release(): void {
-    if (!this.held() || this.term.closed) {
-      for (const [machine, request] of this.open) this.answer(machine, request);
+    if (!this.renewalGrant() || this.term.closed) {
+      for (const [machine, requestId] of this.requestByMachine) this.answer(machine, requestId);
       return;
     }
     for (const machine of this.term.dirtyMachines) {
-      const request = this.open.get(machine);
-      if (request !== undefined && this.term.workerCommands.hasPendingCommands(machine))
-        this.answer(machine, request);
-      if (!this.open.has(machine) || !this.term.bindings.hasUndispatched(machine)) {
+      const requestId = this.requestByMachine.get(machine);
+      if (requestId !== undefined && this.term.workerCommands.hasPendingCommands(machine))
+        this.answer(machine, requestId);
+      if (!this.requestByMachine.has(machine) || !this.term.bindings.hasUndispatched(machine)) {
         this.term.dirtyMachines.delete(machine);
       }
     }
   }
 
-  private answer(machine: string, request: number): void {
-    this.open.delete(machine);
-    const held = this.held();
-    if (!held || this.term.closed) return this.runtime.reply(request, { status: 503, body: {} });
-    const body = renderHeartbeatResponse(
-      held.fencingToken,
-      this.term.workerCommands.commandsFor(machine),
-    );
-    this.runtime.reply(request, { status: 200, body, validUntil: held.validUntil });
+  private answer(machine: string, requestId: number): void {
+    this.requestByMachine.delete(machine);
+    const grant = this.renewalGrant();
+    if (!grant || this.term.closed) {
+      return this.runtime.reply(requestId, { status: 503, body: {} });
+    }
+    const commands = this.term.workerCommands.commandsFor(machine);
+    const body = renderHeartbeatResponse(grant.fencingToken, commands);
+    this.runtime.reply(requestId, { status: 200, body, validUntil: grant.validUntil });
   }
 }
--- a/packages/controller/src/requests/replies.ts
+++ b/packages/controller/src/requests/replies.ts
@@ -1,33 +1,48 @@
-/** Answers that several kinds of requests share. */
-import { WireError, renderJobView, type Duration, type JobView } from '@tealdock/wire';
+/** Replies that several kinds of requests share. */
+import {
+  WireError,
+  renderJobView,
+  renderRedirect,
+  type Duration,
+  type JobView,
+} from '@tealdock/wire';
 import type { HttpRequest, Reply } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
 
-/** When users are asked to come back where nothing can be told or done now. */
-export const RETRY_AFTER: Duration = 1000;
+/** Sends the one reply to a request. */
+export type Respond = (reply: Reply) => void;
+
+/** When users may repeat a request that could not be answered. */
+export const RETRY_AFTER_MS: Duration = 1000;
 
 /** A refusal with its reason. */
-export const refuse = (status: number, error: string): Reply => ({ status, body: { error } });
+export const errorReply = (status: number, error: string): Reply => ({ status, body: { error } });
 
-/** Nothing can be told or done now. */
-export const unsure = (): Reply => ({
-  ...refuse(503, 'state service not reached'),
-  retryAfter: RETRY_AFTER,
+/** The state service could not be asked: nothing is known, and the request may be repeated. */
+export const unavailableReply = (): Reply => ({
+  ...errorReply(503, 'state service not reached'),
+  retryAfter: RETRY_AFTER_MS,
 });
 
-/** How a job stands. */
-export const shown = (view: JobView, status = 200): Reply => ({
+/** The state of a job. */
+export const jobReply = (view: JobView, status = 200): Reply => ({
   status,
   body: renderJobView(view),
 });
 
-/** Answers a request whose path knows only another method. */
-export function methodNotAllowed(runtime: Runtime, request: HttpRequest, allow: string): void {
-  runtime.reply(request.id, { ...refuse(405, 'method not allowed'), allow });
+/** Replies to a request whose path knows only another method. */
+export function replyMethodNotAllowed(runtime: Runtime, request: HttpRequest, allow: string): void {
+  runtime.reply(request.id, { ...errorReply(405, 'method not allowed'), allow });
 }
 
-/** Answers a request whose body could not be read; anything but that goes on as an error. */
-export function malformed(runtime: Runtime, request: HttpRequest, error: unknown): void {
+/** Replies to a request whose body could not be read; throws any error but a `WireError`. */
+export function replyMalformed(runtime: Runtime, request: HttpRequest, error: unknown): void {
   if (!(error instanceof WireError)) throw error;
-  runtime.reply(request.id, refuse(400, error.message));
+  runtime.reply(request.id, errorReply(400, error.message));
+}
+
+/** Sends a worker to the leader, or to any other node where the leader is not known. */
+export function replyRedirect(runtime: Runtime, requestId: number, leader: string | null): void {
+  runtime.stats.count('reports.redirected');
+  runtime.reply(requestId, { status: 421, body: renderRedirect(leader) });
 }
