--- a/packages/controller/src/term/job-watch.ts
+++ b/packages/controller/src/term/job-watch.ts
@@ -55,7 +55,7 @@
     const asked = this.runtime.now;
     this.state.readAll(LIVE_PREFIX, PRIORITY.leader, (live) => {
       if (this.term.closed) return;
-      if (!live) return this.runtime.after(RETRY, () => this.reread());
+      if (live.kind === 'failed') return this.runtime.after(RETRY, () => this.reread());
       this.cancellationsKnownUntil = asked;
       const specs = new Map<string, StateItem>();
       for (const item of live.items) {
@@ -82,7 +82,7 @@
     const known = this.term.jobs.get(at.job);
     // A job that this leader ends is removed by its own commit.
     const byOthers = !event.removed || (known && !known.complete && !known.predecessorCancelled);
-    if (byOthers) this.writeShare.note(event);
+    if (byOthers) this.writeShare.recordChange(event);
     if (event.removed) this.liveJobs.endJob(at.job);
     else this.liveJobs.addJob(at.job, event.value, event.version);
   }
