--- a/packages/controller/src/term/membership.ts
+++ b/packages/controller/src/term/membership.ts
@@ -4,7 +4,8 @@
 import { Machine } from '../machines/machine.js';
 import { BoundedSet } from '../runtime/bounded.js';
 import type { Runtime } from '../runtime/runtime.js';
-import { REGISTRY_PREFIX, type RegistryEntry } from '../state/keys.js';
+import { REGISTRY_PREFIX } from '../state/keys.js';
+import type { RegistryEntry } from '../state/stored-values.js';
 import { ShardedTable } from '../state/sharded-table.js';
 import type { StateStore } from '../state/state-store.js';
 import type { Bindings } from './bindings.js';
@@ -30,10 +31,11 @@
     private readonly term: TermState,
     private readonly bindings: Bindings,
   ) {
-    this.registry = new ShardedTable(runtime, state, leadership, REGISTRY_PREFIX, {
-      gather: JOIN_GATHER,
-      lazy: false,
-      stored: (entries) => this.enrolled(entries),
+    this.registry = new ShardedTable(runtime, state, leadership, {
+      keyPrefix: REGISTRY_PREFIX,
+      gatherTime: JOIN_GATHER,
+      valuesDeferrable: false,
+      onStored: (entries) => this.enrolled(entries),
     });
   }
 
