--- a/packages/controller/src/authority/invariants.ts
+++ b/packages/controller/src/authority/invariants.ts
@@ -16,12 +16,12 @@
   ageMs: number | null;
 }
 
-/**
- * A task on a machine whose job is over. `goneBy` is when it must be gone by the protocol;
- * Infinity once its lateness has been reported.
- */
+/** A task on a machine. */
 export interface EndingTask {
-  terminationDeadline: Instant | null;
+  /** When it must be gone, since its job has ended; null while the job has not. */
+  readonly terminationDeadline: Instant | null;
+  /** Its lateness has been reported; it is not reported again. */
+  markOverdueReported(): void;
 }
 
 /** Reports violations in the log and in the counters, and lets the service go on. */
@@ -37,7 +37,7 @@
   checkGone(ending: EndingTask, describe: () => Violation): void {
     if (ending.terminationDeadline === null || this.runtime.now <= ending.terminationDeadline)
       return;
-    ending.terminationDeadline = Infinity;
+    ending.markOverdueReported();
     this.violated('ran_past_cancel_limit', describe());
   }
 }
--- a/packages/controller/src/jobs/live-job.ts
+++ b/packages/controller/src/jobs/live-job.ts
@@ -133,7 +133,7 @@
   countRunning(): number {
     let running = 0;
     for (const binding of this.bindings.values()) {
-      if (binding.phase === 'observed' && binding.state !== 'fetching') running++;
+      if (!binding.mayNeedImageFetch) running++;
     }
     return running;
   }
@@ -164,9 +164,17 @@
     }
   }
 
-  /** A task that lost its machine goes back to the start of the queue. */
-  requeueTask(index: number): void {
-    if (!this.isDone(index)) this.requeuedTasks.push(index);
+  /** The binding's task is on a machine, or on its way there. */
+  bind(binding: Binding): void {
+    this.openTasks.delete(binding.index);
+    this.bindings.set(binding.index, binding);
+  }
+
+  /** The task goes back to the start of the queue, unless another binding has replaced this. */
+  unbind(binding: Binding): void {
+    if (this.bindings.get(binding.index) !== binding) return;
+    this.bindings.delete(binding.index);
+    if (!this.isDone(binding.index)) this.requeuedTasks.push(binding.index);
   }
 
   /** Counts the attempts of this term at one task. */
--- a/packages/controller/src/machines/machine.ts
+++ b/packages/controller/src/machines/machine.ts
@@ -69,7 +69,7 @@
     return report.sequenceNumber > this.sequenceNumber;
   }
 
-  /** To be called after any change of its bindings. */
+  /** To be called by the owner of the bindings after any change of them. */
   invalidateSums(): void {
     this.summary = null;
   }
@@ -101,9 +101,9 @@
     for (const binding of this.bindings.values()) {
       used = addResources(used, binding.resources);
       if (binding.stopRequest) stopping = addResources(stopping, binding.resources);
-      const waits = binding.phase !== 'observed' || binding.state === 'fetching';
-      if (waits && binding.image !== null && !this.images.has(binding.image)) {
-        fetching.set(binding.image, binding.imageGb);
+      const { image } = binding;
+      if (binding.mayNeedImageFetch && image !== null && !this.images.has(image)) {
+        fetching.set(image, binding.imageGb);
       }
     }
     return { used, stopping, fetching };
--- a/packages/controller/src/machines/usage-ledger.ts
+++ b/packages/controller/src/machines/usage-ledger.ts
@@ -37,7 +37,7 @@
     if (zones.size === 0) this.zones.delete(binding.job);
   }
 
-  /** To be called around any change of a binding's team, size or stop. */
+  /** Applies a change of a binding's team, resources or stop request. */
   change(binding: Binding, apply: () => void): void {
     this.count(binding, subtractResources);
     apply();
--- a/packages/controller/src/placement/drain.ts
+++ b/packages/controller/src/placement/drain.ts
@@ -21,12 +21,12 @@
   /** Saves while there is time; a task that can't save runs on if it may still finish. */
   private stopInTime(machine: Machine, b: Binding): void {
     const job = this.term.jobs.get(b.job);
-    if (!job || b.stopRequest || b.phase !== 'observed') return;
+    if (!job || b.stopRequest || !b.isObserved) return;
     const ran = this.runtime.now - (b.runningSince ?? this.runtime.now);
     const ratio = this.term.runTimeRatios.get(job.spec.jobClass) ?? 1;
     const left = job.spec.estimate * ratio - ran;
     const notice = (machine.preemptionDeadline ?? Infinity) - this.runtime.now;
-    if (b.state === 'running' && left < notice) return;
+    if (b.taskState === 'running' && left < notice) return;
     this.term.bindings.requestStop(b, { gracePeriod: job.spec.save, reason: 'notice' });
   }
 }
--- a/packages/controller/src/placement/preemption.ts
+++ b/packages/controller/src/placement/preemption.ts
@@ -117,12 +117,7 @@
    */
   private mayStop(binding: Binding, guaranteed: boolean): boolean {
     const other = this.term.jobs.get(binding.job);
-    if (
-      !other ||
-      binding.stopRequest ||
-      binding.protectedFromPreemption ||
-      binding.phase !== 'observed'
-    )
+    if (!other || binding.stopRequest || binding.isProtectedFromPreemption || !binding.isObserved)
       return false;
     const lower = priorityRank(other.spec) < priorityRank(this.job.spec);
     if (other.spec.team === this.job.spec.team) return lower;
@@ -144,7 +139,9 @@
 /** Work lost if the task is stopped now; one that saves loses only what stopping takes. */
 function lost(binding: Binding, job: LiveJob, now: Instant): number {
   const ran =
-    binding.runningSince === null || binding.state === 'fetching' ? 0 : now - binding.runningSince;
+    binding.runningSince === null || binding.taskState === 'fetching'
+      ? 0
+      : now - binding.runningSince;
   const fresh = ran < RECENT_START ? RECENT_START : 0;
   return fresh + (job.spec.checkpoint > 0 ? job.spec.save : ran);
 }
--- a/packages/controller/src/term/bindings.ts
+++ b/packages/controller/src/term/bindings.ts
@@ -1,75 +1,89 @@
-/** Which task is bound to which machine: bookings, stops, and ends by proof. */
-import { taskId, type Instant } from '@tealdock/wire';
-import { resourcesOf } from '@tealdock/scheduler';
+/** Which task is bound to which machine: assignments, stop requests, and ends by proof. */
+import { splitTaskId, taskId, type Instant } from '@tealdock/wire';
 import type { LiveJob } from '../jobs/live-job.js';
 import type { Leadership } from '../leadership/leadership.js';
-import { bindingKey, type Binding, type StopRequest } from '../jobs/binding.js';
+import {
+  Binding,
+  UNKNOWN_REQUIREMENTS,
+  bindingKey,
+  requirementsOf,
+  type ActiveTaskState,
+  type BindingObserver,
+  type StopRequest,
+} from '../jobs/binding.js';
 import type { Machine } from '../machines/machine.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { TermState } from './term-state.js';
 
-/** Attempts of one term to one task; their numbers never meet another term's. */
-const ATTEMPTS_A_TERM = 65_536;
+/** Attempts of one term at one task; their numbers never meet another term's. */
+const MAX_TERM_ATTEMPT_COUNT = 65_536;
+
+/** A task that a heartbeat shows and that has not exited. */
+interface ActiveTask {
+  readonly task: string;
+  readonly attempt: number;
+  readonly state: ActiveTaskState;
+}
 
 /**
- * The bindings of one term. A binding ends only with a proof that the task is not on its
- * machine any more (docs/safety.md, Bindings).
+ * The bindings of one term, and the only writer of the sums over them. A binding ends only
+ * with a proof that the task is not on its machine any more (docs/safety.md, Bindings).
  */
-export class Bindings {
+export class Bindings implements BindingObserver {
   constructor(
     private readonly runtime: Runtime,
     private readonly leadership: Leadership,
     private readonly term: TermState,
   ) {}
 
-  assign(job: LiveJob, index: number, machine: Machine, sheltered = false): void {
+  /** Gives a task to a machine. Its start leaves with the machine's next response. */
+  assign(job: LiveJob, index: number, machine: Machine, isProtected = false): void {
     const count = job.nextAttempt(index);
-    if (count >= ATTEMPTS_A_TERM) return this.leadership.resign('attempt numbers used up');
-    const binding: Binding = {
+    if (count >= MAX_TERM_ATTEMPT_COUNT) return this.leadership.resign('attempt numbers used up');
+    const attempt = this.term.fencingToken * MAX_TERM_ATTEMPT_COUNT + count;
+    const identity = {
       task: taskId(job.id, index),
       job: job.id,
       index,
-      attempt: this.term.fencingToken * ATTEMPTS_A_TERM + count,
+      attempt,
       machine: machine.id,
-      team: job.spec.team,
-      resources: resourcesOf(job.spec),
-      image: job.spec.image,
-      imageGb: job.spec.imageGb,
-      phase: 'assigned',
-      assignedAt: this.runtime.now,
-      dispatchedAgentEpoch: 0,
-      dispatchedSequenceNumber: 0,
-      state: null,
-      runningSince: null,
-      stopRequest: null,
-      protectedFromPreemption: sheltered,
-      orphaned: false,
-      terminationDeadline: null,
     };
-    this.bind(machine, binding);
-    job.openTasks.delete(index);
-    job.bindings.set(index, binding);
+    const initial = {
+      identity,
+      requirements: requirementsOf(job.spec),
+      now: this.runtime.now,
+      observer: this,
+    };
+    const binding = Binding.assigned(initial, isProtected);
+    this.bindToMachine(machine, binding);
+    job.bind(binding);
     this.term.dirtyMachines.add(machine.id);
   }
 
-  bind(machine: Machine, binding: Binding): void {
-    machine.bindings.set(bindingKey(binding.task, binding.attempt), binding);
-    machine.invalidateSums();
-    this.term.ledger.add(binding, machine.zone);
+  /**
+   * Binds a task that a heartbeat shows, and that this term has not assigned. One that no
+   * live job needs is orphaned and stopped.
+   */
+  adopt(machine: Machine, { task, attempt, state }: ActiveTask): Binding {
+    const { job: jobId, index } = splitTaskId(task) ?? { job: task, index: 0 };
+    const job = this.term.jobs.get(jobId);
+    const isWanted = job !== undefined && needsTask(job, index);
+    const initial = {
+      identity: { task, job: jobId, index, attempt, machine: machine.id },
+      requirements: job ? requirementsOf(job.spec) : UNKNOWN_REQUIREMENTS,
+      now: this.runtime.now,
+      observer: this,
+    };
+    const binding = Binding.adopted(initial, state, isWanted);
+    this.bindToMachine(machine, binding);
+    if (isWanted) job.bind(binding);
+    return binding;
   }
 
-  private unbind(binding: Binding): void {
+  /** False once the binding has ended. */
+  isBound(binding: Binding): boolean {
     const machine = this.term.machines.get(binding.machine);
-    if (machine?.bindings.delete(bindingKey(binding.task, binding.attempt))) {
-      machine.invalidateSums();
-      machine.fetches.keepOnly(machine.fetching, this.runtime.now);
-      this.term.ledger.remove(binding, machine.zone);
-    }
-    const job = this.term.jobs.get(binding.job);
-    if (job?.bindings.get(binding.index) === binding) {
-      job.bindings.delete(binding.index);
-      job.requeueTask(binding.index);
-    }
+    return machine?.bindings.get(bindingKey(binding.task, binding.attempt)) === binding;
   }
 
   /** Only with proof that the task is not on the machine any more. */
@@ -83,37 +97,73 @@
     this.unbind(binding);
   }
 
+  /** Ends all of a machine whose start may have reached it. */
   endDispatched(machine: Machine, proof: string): void {
-    for (const b of [...machine.bindings.values()]) if (b.phase !== 'assigned') this.end(b, proof);
+    for (const binding of [...machine.bindings.values()])
+      if (!binding.isAssigned) this.end(binding, proof);
   }
 
+  /** Takes back what was assigned to a machine and has not been dispatched. */
   releaseUndispatched(machine: Machine): void {
-    for (const b of [...machine.bindings.values()]) if (b.phase === 'assigned') this.unbind(b);
+    for (const binding of [...machine.bindings.values()])
+      if (binding.isAssigned) this.unbind(binding);
   }
 
-  /** No longer wanted: an unsent booking goes at once, anything else is killed and counted. */
+  /** No longer wanted: released if not dispatched, else stopped and counted until it is gone. */
   discard(binding: Binding, reason: string): void {
-    if (binding.phase === 'assigned') return this.unbind(binding);
-    binding.orphaned = true;
+    if (binding.isAssigned) return this.unbind(binding);
+    binding.orphan();
     this.requestStop(binding, { gracePeriod: 0, reason });
   }
 
-  /** Its job is over since then, as far as known: the task must be gone within `cancel_s`. */
-  setTerminationDeadline(binding: Binding, since: Instant): void {
-    binding.terminationDeadline ??= since + this.runtime.settings.cancellationLimit;
+  /** The job ended at `endedAt`, as far as known: the task must be gone within the limit. */
+  setTerminationDeadline(binding: Binding, endedAt: Instant): void {
+    binding.setTerminationDeadline(endedAt + this.runtime.settings.cancellationLimit);
   }
 
-  /** Has a task stopped by the next answer to its machine. */
-  requestStop(binding: Binding, wish: StopRequest): void {
-    this.term.ledger.change(binding, () => (binding.stopRequest = wish));
-    this.term.machines.get(binding.machine)?.invalidateSums();
+  /** Has a task stopped by the next response to its machine. */
+  requestStop(binding: Binding, request: StopRequest): void {
+    binding.requestStop(request);
     this.term.dirtyMachines.add(binding.machine);
   }
 
-  /** True while something is booked there that no answer has carried yet. */
+  /** True while something is assigned to the machine that no response has carried yet. */
   hasUndispatched(machineId: string): boolean {
     const machine = this.term.machines.get(machineId);
-    if (machine) for (const b of machine.bindings.values()) if (b.phase === 'assigned') return true;
+    if (machine)
+      for (const binding of machine.bindings.values()) if (binding.isAssigned) return true;
     return false;
   }
+
+  /** For bindings only: their transitions call it. */
+  applyUsageChange(binding: Binding, apply: () => void): void {
+    this.term.ledger.change(binding, apply);
+    this.term.machines.get(binding.machine)?.invalidateSums();
+  }
+
+  /** For bindings only: their transitions call it. */
+  onTaskStateChanged(binding: Binding): void {
+    this.term.machines.get(binding.machine)?.invalidateSums();
+  }
+
+  private bindToMachine(machine: Machine, binding: Binding): void {
+    machine.bindings.set(bindingKey(binding.task, binding.attempt), binding);
+    machine.invalidateSums();
+    this.term.ledger.add(binding, machine.zone);
+  }
+
+  private unbind(binding: Binding): void {
+    const machine = this.term.machines.get(binding.machine);
+    if (machine?.bindings.delete(bindingKey(binding.task, binding.attempt))) {
+      machine.invalidateSums();
+      machine.fetches.keepOnly(machine.fetching, this.runtime.now);
+      this.term.ledger.remove(binding, machine.zone);
+    }
+    this.term.jobs.get(binding.job)?.unbind(binding);
+  }
+}
+
+/** The task is one of the job's, and is neither done nor bound to another machine. */
+function needsTask(job: LiveJob, index: number): boolean {
+  return index < job.spec.taskCount && !job.isDone(index) && !job.bindings.has(index);
 }
--- a/packages/controller/src/term/direct-stops.ts
+++ b/packages/controller/src/term/direct-stops.ts
@@ -61,7 +61,7 @@
   private stopsFor(machine: Machine): WorkerCommand[] {
     const orders: WorkerCommand[] = [];
     for (const binding of machine.bindings.values()) {
-      if (binding.phase === 'assigned' || !this.term.liveJobs.hasEnded(binding)) continue;
+      if (binding.isAssigned || !this.term.liveJobs.hasEnded(binding)) continue;
       orders.push({ op: 'stop', task: binding.task, attempt: binding.attempt, gracePeriod: 0 });
     }
     return orders;
--- a/packages/controller/src/term/ended-job-lookup.ts
+++ b/packages/controller/src/term/ended-job-lookup.ts
@@ -1,7 +1,7 @@
 /** Sizes and teams of tasks whose jobs have ended, which reports may still show. */
 import type { JobSpec } from '@tealdock/wire';
 import { resourcesOf } from '@tealdock/scheduler';
-import { bindingKey, type Binding } from '../jobs/binding.js';
+import type { Binding } from '../jobs/binding.js';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
 import { endedKey } from '../state/keys.js';
@@ -59,13 +59,7 @@
 
   private fill(bindings: Binding[], spec: JobSpec): void {
     for (const binding of bindings) {
-      const machine = this.term.machines.get(binding.machine);
-      if (machine?.bindings.get(bindingKey(binding.task, binding.attempt)) !== binding) continue;
-      this.term.ledger.change(binding, () => {
-        binding.team = spec.team;
-        binding.resources = resourcesOf(spec);
-      });
-      machine.invalidateSums();
+      if (this.bindings.isBound(binding)) binding.setUsage(spec.team, resourcesOf(spec));
     }
   }
 
--- a/packages/controller/src/term/heartbeat-processor.ts
+++ b/packages/controller/src/term/heartbeat-processor.ts
@@ -5,9 +5,8 @@
   type TaskStatus,
   type WorkerHeartbeat,
 } from '@tealdock/wire';
-import { NO_RESOURCES, resourcesOf } from '@tealdock/scheduler';
 import type { LiveJob } from '../jobs/live-job.js';
-import { bindingKey, type Binding } from '../jobs/binding.js';
+import { bindingKey, type ActiveTaskState, type Binding } from '../jobs/binding.js';
 import type { Machine } from '../machines/machine.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { Bindings } from './bindings.js';
@@ -121,8 +120,8 @@
     const listed = new Set(report.tasks.map((t) => bindingKey(t.task, t.attempt)));
     let lost = false;
     for (const [key, binding] of [...machine.bindings]) {
-      if (binding.phase === 'assigned' || listed.has(key)) continue;
-      lost ||= binding.phase === 'dispatched';
+      if (binding.isAssigned || listed.has(key)) continue;
+      lost ||= binding.isDispatched;
       this.bindings.end(binding, 'not on the machine');
     }
     if (lost) this.noteLostStart(machine);
@@ -146,25 +145,32 @@
     this.bindings.releaseUndispatched(machine);
   }
 
-  private absorbTask(machine: Machine, t: TaskStatus): void {
-    const bound = machine.bindings.get(bindingKey(t.task, t.attempt));
-    if (t.state === 'exited') return this.absorbExit(machine, t, bound);
-    const binding = bound ?? this.adopt(machine, t);
-    if (binding.phase === 'observed' && binding.state === t.state) return;
+  private absorbTask(machine: Machine, task: TaskStatus): void {
+    const bound = machine.bindings.get(bindingKey(task.task, task.attempt));
+    const { state } = task;
+    if (state === 'exited') return this.absorbExit(machine, task, bound);
+    if (bound?.taskState === state) return;
+    const wasRunning = bound !== undefined && bound.runningSince !== null;
+    const binding = bound ?? this.adopt(machine, { ...task, state });
     machine.consecutiveLostStarts = 0;
-    binding.phase = 'observed';
-    if (t.state !== 'fetching') this.noteStart(machine, binding);
-    else if (this.term.jobs.get(binding.job)?.spec.kind === 'array')
+    bound?.observe(state, this.runtime.now);
+    if (state !== 'fetching') {
+      if (binding.image !== null) this.noteImage(machine, binding.image, binding.imageGb);
+      if (!wasRunning) this.recordRunning(machine, binding);
+    } else if (this.term.jobs.get(binding.job)?.spec.kind === 'array') {
       machine.recordImageMissing(binding, this.runtime.now);
-    binding.state = t.state;
-    machine.invalidateSums();
+    }
+  }
+
+  /** A task found on a machine without a binding of this term. */
+  private adopt(machine: Machine, task: TaskStatus & { state: ActiveTaskState }): Binding {
+    const binding = this.bindings.adopt(machine, task);
+    if (!this.term.jobs.has(binding.job)) this.lookup.lookUp(binding);
+    return binding;
   }
 
-  private noteStart(machine: Machine, binding: Binding): void {
-    if (binding.image !== null) this.noteImage(machine, binding.image, binding.imageGb);
-    if (binding.runningSince !== null) return;
-    binding.runningSince = this.runtime.now;
-    if (binding.phase === 'observed' && binding.dispatchedSequenceNumber > 0) {
+  private recordRunning(machine: Machine, binding: Binding): void {
+    if (binding.isDispatchedByThisTerm) {
       this.runtime.stats.record(
         'starts.booked_to_running_ms',
         this.runtime.now - binding.assignedAt,
@@ -190,7 +196,7 @@
   }
 
   private endExited(machine: Machine, binding: Binding, t: TaskStatus): void {
-    const job = binding.orphaned ? undefined : this.term.jobs.get(binding.job);
+    const job = binding.isOrphaned ? undefined : this.term.jobs.get(binding.job);
     if (t.reason === 'done') {
       machine.consecutiveFailures = 0;
       if (job) this.learn(job, binding);
@@ -230,50 +236,4 @@
       this.runtime.now +
       Math.min(MAX_BACKOFF, FIRST_BACKOFF * 2 ** (job.consecutiveFailures - MAX_FAILURES));
   }
-
-  /** A task found on a machine without a binding of this term. */
-  private adopt(machine: Machine, t: TaskStatus): Binding {
-    const at = splitTaskId(t.task) ?? { job: t.task, index: 0 };
-    const job = this.term.jobs.get(at.job);
-    const wanted = job !== undefined && needsTask(job, at.index);
-    const binding: Binding = {
-      ...requirementsOf(job),
-      task: t.task,
-      job: at.job,
-      index: at.index,
-      attempt: t.attempt,
-      machine: machine.id,
-      phase: 'observed',
-      assignedAt: this.runtime.now,
-      dispatchedAgentEpoch: 0,
-      dispatchedSequenceNumber: 0,
-      state: null,
-      runningSince: null,
-      stopRequest: wanted ? null : { gracePeriod: 0, reason: 'not wanted' },
-      protectedFromPreemption: false,
-      orphaned: !wanted,
-      terminationDeadline: null,
-    };
-    this.bindings.bind(machine, binding);
-    if (wanted) {
-      job.bindings.set(binding.index, binding);
-      job.openTasks.delete(binding.index);
-    }
-    if (!job) this.lookup.lookUp(binding);
-    return binding;
-  }
-}
-
-/** The task is one of the job's, and is neither done nor bound to another machine. */
-function needsTask(job: LiveJob, index: number): boolean {
-  return index < job.spec.taskCount && !job.isDone(index) && !job.bindings.has(index);
-}
-
-/** What a task of the job takes; nothing where the job is not known, until it is looked up. */
-function requirementsOf(
-  job: LiveJob | undefined,
-): Pick<Binding, 'team' | 'resources' | 'image' | 'imageGb'> {
-  if (!job) return { team: '', resources: NO_RESOURCES, image: null, imageGb: 0 };
-  const { team, image, imageGb } = job.spec;
-  return { team, resources: resourcesOf(job.spec), image, imageGb };
 }
--- a/packages/controller/src/term/worker-commands.ts
+++ b/packages/controller/src/term/worker-commands.ts
@@ -41,11 +41,7 @@
     const machine = this.term.machines.get(machineId);
     if (!machine) return true;
     for (const binding of machine.bindings.values()) {
-      if (
-        binding.phase === 'assigned'
-          ? this.mayStart(machine)
-          : this.stopCommandFor(binding) !== null
-      )
+      if (binding.isAssigned ? this.mayStart(machine) : this.stopCommandFor(binding) !== null)
         return true;
     }
     return false;
@@ -76,7 +72,7 @@
     }
     let booked = 0;
     for (const binding of machine.bindings.values()) {
-      if (binding.phase === 'assigned') booked++;
+      if (binding.isAssigned) booked++;
       else this.checkEnding(binding);
       const stop = this.stopCommandFor(binding);
       if (stop) orders.push(stop);
@@ -115,16 +111,14 @@
     this.runtime.stats.record('evidence.start_age_ms', decision.evidence.age);
     const orders: WorkerCommand[] = [];
     for (const binding of machine.bindings.values()) {
-      if (binding.phase !== 'assigned' || this.startsEndedJob(binding)) continue;
+      if (!binding.isAssigned || this.startsEndedJob(binding)) continue;
       orders.push(this.dispatchStart(machine, binding, decision));
     }
     return orders;
   }
 
   private dispatchStart(machine: Machine, binding: Binding, decision: Decision): WorkerCommand {
-    binding.phase = 'dispatched';
-    binding.dispatchedAgentEpoch = machine.agentEpoch;
-    binding.dispatchedSequenceNumber = machine.sequenceNumber;
+    binding.dispatch(machine.sequenceNumber);
     machine.recordStartDispatched(binding, this.runtime.now);
     this.runtime.stats.record('starts.booked_to_sent_ms', this.runtime.now - binding.assignedAt);
     this.runtime.env.log(
@@ -141,8 +135,8 @@
   }
 
   stopCommandFor(binding: Binding): WorkerCommand | null {
-    if (!binding.stopRequest || binding.phase !== 'observed') return null;
-    if (binding.state === 'saving' && binding.stopRequest.gracePeriod > 0) return null;
+    if (!binding.stopRequest || !binding.isObserved) return null;
+    if (binding.taskState === 'saving' && binding.stopRequest.gracePeriod > 0) return null;
     return {
       op: 'stop',
       task: binding.task,
@@ -163,7 +157,7 @@
 
   /** A task of a job that is not live is being stopped, and is gone in time. */
   private checkEnding(binding: Binding): void {
-    if (!binding.stopRequest && binding.phase === 'observed' && this.authority.mayStop(binding.job))
+    if (!binding.stopRequest && binding.isObserved && this.authority.mayStop(binding.job))
       this.report('renewed_without_stop', binding);
     this.invariants.checkGone(binding, () => this.violationOf(binding));
   }
