--- a/packages/controller/src/autoscaling/autoscaler.ts
+++ b/packages/controller/src/autoscaling/autoscaler.ts
@@ -114,7 +114,7 @@
   private backlog(): Backlog[] {
     const inside = guaranteedJobs(this.term.jobs.values(), this.runtime.settings);
     const jobs = [...this.term.jobs.values()]
-      .filter((j) => j.unboundTaskCount > 0 && j.backoffUntil <= this.runtime.now)
+      .filter((j) => j.unboundTaskCount > 0 && !j.backoff.isActive(this.runtime.now))
       .map((job) => ({ job, latest: this.latest(job, inside.has(job.id)) }))
       .sort((a, b) => a.latest - b.latest);
     const all = offerings(this.types(), () => false);
@@ -134,7 +134,7 @@
   private latest(job: LiveJob, guaranteed: boolean): Instant {
     const ratio = this.term.runTimeRatios.get(job.spec.jobClass) ?? 1;
     const latest = latestStart(job, ratio, guaranteed, this.runtime.settings);
-    return latest === Infinity ? job.startableAt + AIMLESS_WAIT : latest;
+    return latest === Infinity ? job.dependencies.startableAt + AIMLESS_WAIT : latest;
   }
 
   /** Dear machines are only for work that would otherwise start too late. */
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -149,7 +149,7 @@
     if (!this.term || !this.leadership.validLease()) return;
     const jobs = [...this.term.jobs.values()].slice(0, MOST_COUNTS).map((job) => ({
       id: job.id,
-      done: job.doneCount,
+      done: job.progress.doneTaskCount,
       running: job.countRunning(),
     }));
     this.broadcast({ kind: 'counts', jobs });
--- a/packages/controller/src/jobs/dependency-graph.ts
+++ b/packages/controller/src/jobs/dependency-graph.ts
@@ -45,9 +45,9 @@
   ) {}
 
   add(job: LiveJob): void {
-    if (job.pendingPredecessors.size === 0) return;
+    if (job.dependencies.pendingPredecessors.size === 0) return;
     this.changed = true;
-    for (const p of job.pendingPredecessors) {
+    for (const p of job.dependencies.pendingPredecessors) {
       const waiting = this.dependents.get(p) ?? new Set();
       this.dependents.set(p, waiting.add(job));
     }
@@ -55,12 +55,12 @@
 
   /** Ends of predecessors that are not live; to be called once all live jobs are known. */
   readEnds(job: LiveJob): void {
-    for (const p of job.pendingPredecessors) if (!this.term.jobs.has(p)) this.ask(p);
+    for (const p of job.dependencies.pendingPredecessors) if (!this.term.jobs.has(p)) this.ask(p);
   }
 
   /** A job is no longer live. Without its end that has to be read before it counts. */
   ended(job: LiveJob, end: JobEnd | null): void {
-    for (const p of predecessorsOf(job.accepted)) {
+    for (const p of predecessorsOf(job.acceptedSpec)) {
       if (this.dependents.get(p)?.delete(job)) this.changed = true;
     }
     if (!this.dependents.has(job.id)) return;
@@ -79,7 +79,7 @@
     this.changed = false;
     const all = [...this.term.jobs.values()];
     const demands = dependentDemands(
-      all.filter((j) => !j.predecessorCancelled).map((j) => this.graphJob(j)),
+      all.filter((j) => !j.dependencies.hasCancelledPredecessor).map((j) => this.graphJob(j)),
     );
     for (const job of all) {
       const demand = demands.get(job.id);
@@ -88,10 +88,10 @@
   }
 
   private graphJob(job: LiveJob): GraphJob {
-    const { id, priority, estimate, jobClass } = job.accepted;
+    const { id, priority, estimate, jobClass } = job.acceptedSpec;
     return {
       id,
-      predecessors: predecessorsOf(job.accepted),
+      predecessors: predecessorsOf(job.acceptedSpec),
       priority,
       finishBy: job.ownFinishBy,
       run: estimate * (this.term.runTimeRatios.get(jobClass) ?? 1),
@@ -138,15 +138,15 @@
 
   /** Released when the last of them was done; a take-over finds the same moment again. */
   private noteDone(job: LiveJob, predecessor: string, end: JobEnd): void {
-    job.pendingPredecessors.delete(predecessor);
-    job.lastPredecessorDoneAt = Math.max(
-      job.lastPredecessorDoneAt,
-      this.steady(end.at ?? -Infinity),
-    );
-    job.startableSinceRevision = Math.max(job.startableSinceRevision, end.revision);
-    if (job.pendingPredecessors.size > 0 || job.predecessorCancelled) return;
-    job.releasedAt = Math.max(job.submittedAt, job.lastPredecessorDoneAt);
-    const ageMs = Math.round(this.runtime.now - job.releasedAt);
+    const doneAt = this.steady(end.at ?? -Infinity);
+    const { dependencies } = job;
+    const wasLast = dependencies.recordPredecessorDone({
+      id: predecessor,
+      doneAt,
+      revision: end.revision,
+    });
+    if (!wasLast) return;
+    const ageMs = Math.round(this.runtime.now - dependencies.startableAt);
     this.runtime.env.log('debug', { job: job.id, ageMs }, 'job released');
   }
 
@@ -157,8 +157,8 @@
   private cancelWithDependents(first: LiveJob): void {
     const next = [first];
     for (let job = next.pop(); job; job = next.pop()) {
-      if (job.predecessorCancelled) continue;
-      job.predecessorCancelled = true;
+      if (job.dependencies.hasCancelledPredecessor) continue;
+      job.dependencies.recordPredecessorCancelled();
       next.push(...(this.dependents.get(job.id) ?? []));
     }
   }
--- a/packages/controller/src/placement/capacity-reservation.ts
+++ b/packages/controller/src/placement/capacity-reservation.ts
@@ -80,10 +80,11 @@
 
   private mayPreempt(job: LiveJob, preemption: Preemption | null, cycle: SchedulingCycle): boolean {
     if (preemption) return true;
-    if (!cycle.mayPlanPreemption || job.nextPreemptionPlanAt > this.runtime.now) return false;
+    if (!cycle.mayPlanPreemption || job.placement.nextPreemptionPlanAt > this.runtime.now)
+      return false;
     if (!cycle.hasLowerWork(job) && !(cycle.hasOtherTeams(job) && this.urgency.reclaims(job)))
       return false;
-    const waited = this.runtime.now - (job.starvedSince ?? this.runtime.now);
+    const waited = this.runtime.now - (job.placement.starvedSince ?? this.runtime.now);
     return !this.rentable() || waited >= this.urgency.patience(job);
   }
 
@@ -93,7 +94,7 @@
     cycle: SchedulingCycle,
   ): Preemption {
     cycle.notePlan(machines.length);
-    job.nextPreemptionPlanAt = this.runtime.now + PREEMPTION_PLAN_INTERVAL;
+    job.placement.nextPreemptionPlanAt = this.runtime.now + PREEMPTION_PLAN_INTERVAL;
     const reclaims = this.urgency.reclaims(job);
     const guaranteed = () => reclaims && this.teams.belowGuarantee(job);
     return new Preemption(this.runtime, this.term, job, guaranteed, machines, ranks);
@@ -113,7 +114,7 @@
     const { job, holders } = search;
     if (chosen.machine.images.has(job.spec.image)) return false;
     const fetch = fetchTime(job.spec.imageGb, chosen.type);
-    const left = this.urgency.aimFor(job) - (this.runtime.now - job.startableAt);
+    const left = this.urgency.aimFor(job) - (this.runtime.now - job.dependencies.startableAt);
     if (fetch < left || left < STOP_TIME) return false;
     const wanted = resourcesOf(job.spec);
     const coming = () => holders.machines.find((d) => fits(wanted, d.freeAfterStops));
@@ -136,12 +137,12 @@
     if (images.has(image) || fetching.has(image)) return false;
     // With room to spare, a start that fetches takes nothing from others.
     if (this.runtime.now - this.lastFull > SCARCE_FOR) return false;
-    job.imageHolderWaitSince ??= this.runtime.now;
+    job.placement.imageHolderWaitSince ??= this.runtime.now;
     const fetch = fetchTime(imageGb, chosen.type);
     const window = Math.min(this.runtime.operator.window.lambda, fetch * HOLDER_PART);
-    if (this.runtime.now - job.imageHolderWaitSince >= window) return false;
+    if (this.runtime.now - job.placement.imageHolderWaitSince >= window) return false;
     if (this.urgency.due(job) - this.runtime.now < fetch + window) return false;
-    return holders.slots >= job.openTasks.size;
+    return holders.slots >= job.openTasks.count;
   }
 }
 
--- a/packages/controller/src/placement/job-urgency.ts
+++ b/packages/controller/src/placement/job-urgency.ts
@@ -40,7 +40,7 @@
   rankOf(job: LiveJob): JobRank {
     return {
       spec: job.spec,
-      submitted: job.startableAt,
+      submitted: job.dependencies.startableAt,
       latestStart: this.due(job),
       guaranteed: this.teams.belowGuarantee(job),
       starving: this.starves(job),
@@ -48,8 +48,8 @@
   }
 
   starves(job: LiveJob): boolean {
-    const begun = job.doneCount > 0 || job.bindings.size > 0;
-    return !begun && this.runtime.now - job.startableAt > STARVING;
+    const begun = job.progress.doneTaskCount > 0 || job.bindings.size > 0;
+    return !begun && this.runtime.now - job.dependencies.startableAt > STARVING;
   }
 
   private dueOf(job: LiveJob, guaranteed: boolean): Instant {
@@ -71,7 +71,7 @@
    */
   reclaims(job: LiveJob): boolean {
     const due = this.dueOf(job, true);
-    const starved = this.runtime.now - (job.starvedSince ?? this.runtime.now);
+    const starved = this.runtime.now - (job.placement.starvedSince ?? this.runtime.now);
     return due - this.runtime.now < RECLAIM_AHEAD || starved > RECLAIM_PATIENCE;
   }
 
--- a/packages/controller/src/placement/machine-capacity.ts
+++ b/packages/controller/src/placement/machine-capacity.ts
@@ -45,7 +45,7 @@
   machines: MachineCapacity[],
   zones: ZoneCounts,
 ): MachineCapacity[] {
-  const gangZone = job.bindings.size > 0 ? null : job.gangZone;
+  const gangZone = job.bindings.size > 0 ? null : job.placement.gangZone;
   return machines.filter(
     (d) =>
       placeAllowed(job.spec, d.machine, zones) &&
--- a/packages/controller/src/placement/scheduler.ts
+++ b/packages/controller/src/placement/scheduler.ts
@@ -1,7 +1,8 @@
 /** The scheduling cycle: which released task goes to which machine. */
 import type { Instant, MachineType } from '@tealdock/wire';
 import { compareJobs, resourcesOf, taskSlots, withinTeamQuota } from '@tealdock/scheduler';
-import type { LiveJob, OpenTask } from '../jobs/live-job.js';
+import type { LiveJob } from '../jobs/live-job.js';
+import type { OpenTask } from '../jobs/open-tasks.js';
 import { machineTypeOf, type Machine } from '../machines/machine.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { Term } from '../term/term.js';
@@ -94,8 +95,8 @@
     const ready = this.term.allMachinesReconciled;
     const waiting = [...this.term.jobs.values()].filter(
       (job) =>
-        job.openTasks.size > 0 &&
-        job.backoffUntil <= this.runtime.now &&
+        job.openTasks.count > 0 &&
+        !job.backoff.isActive(this.runtime.now) &&
         this.term.mayPlace(job, ready),
     );
     if (waiting.length === 0) return waiting;
@@ -125,12 +126,12 @@
   }
 
   private placeJob(job: LiveJob, cycle: SchedulingCycle): void {
-    const closed = [...job.openTasks.values()].filter((task) => this.windowCloses(task));
+    const closed = job.openTasks.list().filter((task) => this.windowCloses(task));
     const waiting = this.urgency.starves(job) ? closed.slice(0, FIRST_TASKS) : closed;
     const search = this.searchFor(job, cycle);
     if (cycle.full.has(search.demand)) return this.noFit(search, waiting, cycle);
     // The zone of an earlier window says nothing about this one.
-    job.gangZone = null;
+    job.placement.gangZone = null;
     if (job.spec.kind === 'gang' && !this.gangFits(job, cycle.candidatesNow(job))) return;
     this.placeTasks(search, waiting, cycle);
   }
@@ -151,10 +152,11 @@
       }
       if (this.reservation.waitsForHolder(search, chosen, cycle)) continue;
       if (this.reservation.holderMayCome(search, chosen)) return;
-      if (chosen.machine.images.has(job.spec.image)) job.imageHolderWaitSince = this.runtime.now;
+      if (chosen.machine.images.has(job.spec.image))
+        job.placement.imageHolderWaitSince = this.runtime.now;
       this.term.bindings.assign(job, task.index, chosen.machine, sheltered);
       cycle.bookings++;
-      job.starvedSince = null;
+      job.placement.starvedSince = null;
       volunteers.booked(chosen);
       if (!job.spec.oneZone && !job.spec.spread) continue;
       // Where the next task may go depends on where this one went.
@@ -180,8 +182,8 @@
     const zones = job.spec.oneZone ? [...new Set(allowed.map((d) => d.machine.zone))] : [null];
     const team = this.runtime.settings.teams.find((t) => t.name === job.spec.team);
     const rest = {
-      cpus: job.spec.cpus * job.openTasks.size,
-      gpus: job.spec.gpus * job.openTasks.size,
+      cpus: job.spec.cpus * job.openTasks.count,
+      gpus: job.spec.gpus * job.openTasks.count,
     };
     if (!team || !withinTeamQuota(team, this.teams.limitUse(team.name), { ...rest, memoryGb: 0 })) {
       return false;
@@ -189,8 +191,8 @@
     return zones.some((zone) => {
       const inZone = allowed.filter((d) => zone === null || d.machine.zone === zone);
       const room = inZone.reduce((sum, d) => sum + taskSlots(resourcesOf(job.spec), d.free), 0);
-      if (room < job.openTasks.size) return false;
-      if (zone !== null) job.gangZone = zone;
+      if (room < job.openTasks.count) return false;
+      if (zone !== null) job.placement.gangZone = zone;
       return true;
     });
   }
@@ -207,7 +209,7 @@
   private noFit(search: Search, waiting: OpenTask[], cycle: SchedulingCycle): void {
     if (waiting.length === 0) return;
     const { job } = search;
-    job.starvedSince ??= this.runtime.now;
+    job.placement.starvedSince ??= this.runtime.now;
     for (const task of waiting) {
       if (this.runtime.now - task.windowOpenedAt >= this.runtime.operator.window.lambda)
         task.windowOpenedAt = this.runtime.now;
--- a/packages/controller/src/placement/start-deadlines.ts
+++ b/packages/controller/src/placement/start-deadlines.ts
@@ -9,12 +9,14 @@
 export function guaranteedJobs(jobs: Iterable<LiveJob>, settings: Settings): Set<string> {
   const inside = new Set<string>();
   const used = new Map<string, { cpus: number; gpus: number }>();
-  const released = [...jobs].filter((job) => job.releasedAt !== null);
-  for (const job of released.sort((a, b) => a.startableAt - b.startableAt)) {
+  const released = [...jobs].filter((job) => job.dependencies.isReleased);
+  for (const job of released.sort(
+    (a, b) => a.dependencies.startableAt - b.dependencies.startableAt,
+  )) {
     const team = settings.teams.find((t) => t.name === job.spec.team);
     if (!team) continue;
     const sum = used.get(team.name) ?? { cpus: 0, gpus: 0 };
-    const left = job.spec.taskCount - job.doneCount;
+    const left = job.spec.taskCount - job.progress.doneTaskCount;
     sum.cpus += job.spec.cpus * left;
     sum.gpus += job.spec.gpus * left;
     used.set(team.name, sum);
@@ -38,7 +40,7 @@
     if (o.jobClass !== jobClass) return [];
     return o.kind === 'wait' ? [o.within] : o.kind === 'finished' ? [o.within - run] : [];
   });
-  return [...aims.map((within) => job.startableAt + within), job.finishBy - run];
+  return [...aims.map((within) => job.dependencies.startableAt + within), job.finishBy - run];
 }
 
 /** When the job's tasks should have started, by its deadline and the aims for its class. */
--- a/packages/controller/src/term/bindings.ts
+++ b/packages/controller/src/term/bindings.ts
@@ -67,7 +67,7 @@
   adopt(machine: Machine, { task, attempt, state }: ActiveTask): Binding {
     const { job: jobId, index } = splitTaskId(task) ?? { job: task, index: 0 };
     const job = this.term.jobs.get(jobId);
-    const isWanted = job !== undefined && needsTask(job, index);
+    const isWanted = job !== undefined && job.needsTask(index);
     const initial = {
       identity: { task, job: jobId, index, attempt, machine: machine.id },
       requirements: job ? requirementsOf(job.spec) : UNKNOWN_REQUIREMENTS,
@@ -162,8 +162,3 @@
     this.term.jobs.get(binding.job)?.unbind(binding);
   }
 }
-
-/** The task is one of the job's, and is neither done nor bound to another machine. */
-function needsTask(job: LiveJob, index: number): boolean {
-  return index < job.spec.taskCount && !job.isDone(index) && !job.bindings.has(index);
-}
--- a/packages/controller/src/term/heartbeat-processor.ts
+++ b/packages/controller/src/term/heartbeat-processor.ts
@@ -15,15 +15,12 @@
 import type { WorkerCommands } from './worker-commands.js';
 import type { TermState } from './term-state.js';
 
-/** A machine on which so many tasks in a row failed is quarantined; so is a job. */
+/** A machine on which so many tasks in a row failed is quarantined. */
 const MAX_FAILURES = 3;
 const QUARANTINE = 120_000;
 /** How long a machine is quarantined whose start never showed up; fourfold each time. */
 const LOST_START_QUARANTINE = 3000;
 const LOST_START_FACTOR = 4;
-/** A job that fails everywhere is tried again after a second, then twice as late each time. */
-const FIRST_BACKOFF = 1000;
-const MAX_BACKOFF = 60_000;
 /** A worker learns the token from the first answer that it hears. */
 const MISSED_ANSWERS_PATIENCE = 8000;
 /** Weight of the newest task in the learnt ratio of run times, and what it may tell at most. */
@@ -208,7 +205,7 @@
   }
 
   private learn(job: LiveJob, binding: Binding): void {
-    job.consecutiveFailures = 0;
+    job.backoff.recordSuccess();
     if (binding.runningSince === null || job.spec.estimate <= 0) return;
     const ratio = (this.runtime.now - binding.runningSince) / job.spec.estimate;
     const known = this.term.runTimeRatios.get(job.spec.jobClass) ?? 1;
@@ -225,15 +222,9 @@
       { machine: machine.id, task: t.task, reason: t.reason },
       'task failed',
     );
-    if (t.reason === 'error' && (job?.consecutiveFailures ?? 0) < MAX_FAILURES)
-      machine.consecutiveFailures++;
+    if (t.reason === 'error' && !job?.backoff.isJobAtFault) machine.consecutiveFailures++;
     if (machine.consecutiveFailures >= MAX_FAILURES)
       machine.quarantinedUntil = this.runtime.now + QUARANTINE;
-    if (!job) return;
-    job.consecutiveFailures++;
-    if (job.consecutiveFailures < MAX_FAILURES) return;
-    job.backoffUntil =
-      this.runtime.now +
-      Math.min(MAX_BACKOFF, FIRST_BACKOFF * 2 ** (job.consecutiveFailures - MAX_FAILURES));
+    job?.backoff.recordFailure(this.runtime.now);
   }
 }
--- a/packages/controller/src/term/job-completion.ts
+++ b/packages/controller/src/term/job-completion.ts
@@ -90,8 +90,8 @@
   private jobsToEnd(): LiveJob[] {
     const cancelled: LiveJob[] = [];
     for (const job of this.term.jobs.values()) {
-      if (job.predecessorCancelled) cancelled.push(job);
-      else if (job.complete) this.completed.add(job);
+      if (job.dependencies.hasCancelledPredecessor) cancelled.push(job);
+      else if (job.progress.isComplete) this.completed.add(job);
     }
     const awaited: LiveJob[] = [];
     const others: LiveJob[] = [];
@@ -104,16 +104,19 @@
   }
 
   private ended(job: LiveJob, end: JobEnd): void {
-    for (const chunk of job.chunks())
+    for (const chunk of job.progress.chunks())
       this.term.liveJobs.progress.delete(progressEntry(job.id, chunk));
     this.term.liveJobs.endJob(job.id, end);
   }
 
   private noteProgress(): void {
     for (const job of this.term.jobs.values()) {
-      if (job.complete) continue;
-      for (const chunk of job.dirtyChunks()) {
-        this.term.liveJobs.progress.set(progressEntry(job.id, chunk), job.chunkBits(chunk));
+      if (job.progress.isComplete) continue;
+      for (const chunk of job.progress.uncommittedChunks()) {
+        this.term.liveJobs.progress.set(
+          progressEntry(job.id, chunk),
+          job.progress.encodeChunk(chunk),
+        );
       }
     }
   }
@@ -150,8 +153,8 @@
   /** A job whose tasks are all done, or one that needs a cancelled job and never started. */
   private ending(job: LiveJob): Ending {
     const { maxValueBytes } = this.runtime.settings.state;
-    const state = job.predecessorCancelled ? 'cancelled' : 'done';
-    const value = endedValue(state, job.accepted, this.runtime.wallClock, maxValueBytes);
+    const state = job.dependencies.hasCancelledPredecessor ? 'cancelled' : 'done';
+    const value = endedValue(state, job.acceptedSpec, this.runtime.wallClock, maxValueBytes);
     return {
       job,
       value,
--- a/packages/controller/src/term/job-watch.ts
+++ b/packages/controller/src/term/job-watch.ts
@@ -81,7 +81,9 @@
     if (at?.rest !== 'spec') return;
     const known = this.term.jobs.get(at.job);
     // A job that this leader ends is removed by its own commit.
-    const byOthers = !event.removed || (known && !known.complete && !known.predecessorCancelled);
+    const byOthers =
+      !event.removed ||
+      (known && !known.progress.isComplete && !known.dependencies.hasCancelledPredecessor);
     if (byOthers) this.writeShare.note(event);
     if (event.removed) this.liveJobs.endJob(at.job);
     else this.liveJobs.addJob(at.job, event.value, event.version);
--- a/packages/controller/src/term/live-jobs.ts
+++ b/packages/controller/src/term/live-jobs.ts
@@ -73,7 +73,7 @@
     if (!job) return;
     this.term.jobs.delete(id);
     this.endedJobs.add(id);
-    this.runtime.env.log('info', { job: id, done: job.doneCount }, 'job ended');
+    this.runtime.env.log('info', { job: id, done: job.progress.doneTaskCount }, 'job ended');
     for (const binding of job.bindings.values()) {
       this.bindings.discard(binding, 'job ended');
       this.bindings.setTerminationDeadline(binding, this.runtime.now);
--- a/packages/controller/src/term/term.ts
+++ b/packages/controller/src/term/term.ts
@@ -98,7 +98,10 @@
    * started any of it (docs/safety.md, Rebuild).
    */
   mayPlace(job: LiveJob, ready: boolean): boolean {
-    return ready || (this.observedJobsLoaded && job.startableSinceRevision > this.fencingToken);
+    return (
+      ready ||
+      (this.observedJobsLoaded && job.dependencies.startableSinceRevision > this.fencingToken)
+    );
   }
 
   start(): void {
--- a/packages/controller/src/term/worker-commands.ts
+++ b/packages/controller/src/term/worker-commands.ts
@@ -150,7 +150,8 @@
   /** Bookings of a job go with it, so none can be left for a job that has ended. */
   private startsEndedJob(binding: Binding): boolean {
     const job = this.term.jobs.get(binding.job);
-    if (job && !job.predecessorCancelled && job.releasedAt !== null) return false;
+    if (job && !job.dependencies.hasCancelledPredecessor && job.dependencies.isReleased)
+      return false;
     this.report('started_ended_job', binding);
     return true;
   }
@@ -176,7 +177,7 @@
     const at = splitTaskId(t.task);
     const job = at ? this.term.jobs.get(at.job) : undefined;
     if (!job || !at || t.reason !== 'done') return true;
-    return job.isDone(at.index) && !job.uncommittedTasks.has(at.index);
+    return job.progress.isCommitted(at.index);
   }
 
   private mayStart(machine: Machine): boolean {
