--- a/packages/controller/src/authority/authority.ts
+++ b/packages/controller/src/authority/authority.ts
@@ -22,9 +22,9 @@
 
 /** What of a machine a start depends on. */
 export interface StartTarget {
-  readonly registered: boolean;
-  readonly reconciled: boolean;
-  readonly returning: boolean;
+  readonly isRegistered: boolean;
+  readonly isReconciled: boolean;
+  readonly isReturning: boolean;
 }
 
 /** The leader's lease. */
@@ -54,9 +54,9 @@
   start(machine: StartTarget): Decision {
     const decision = this.decide(MAX_STALENESS_OF_STARTS);
     if (!decision.granted) return decision;
-    if (!machine.registered) return refused('machine_not_registered', decision.evidence);
-    if (!machine.reconciled) return refused('machine_unaccounted', decision.evidence);
-    if (machine.returning) return refused('machine_returning', decision.evidence);
+    if (!machine.isRegistered) return refused('machine_not_registered', decision.evidence);
+    if (!machine.isReconciled) return refused('machine_unaccounted', decision.evidence);
+    if (machine.isReturning) return refused('machine_returning', decision.evidence);
     if (!this.knowledge.observedJobsLoaded) return refused('sizes_unknown', decision.evidence);
     return decision;
   }
--- a/packages/controller/src/autoscaling/autoscaler.ts
+++ b/packages/controller/src/autoscaling/autoscaler.ts
@@ -180,14 +180,14 @@
 
   private usable(machine: Machine): boolean {
     if (
-      machine.returning ||
-      machine.preemptionDeadline !== null ||
-      machine.quarantinedUntil > this.runtime.now
+      machine.registration.isReturning ||
+      machine.heartbeats.preemptionDeadline !== null ||
+      machine.health.isQuarantined(this.runtime.now)
     )
       return false;
     return (
-      !machine.reconciled ||
-      (machine.lastHeartbeatAt !== null && !this.returns.countsNoMore(machine))
+      !machine.registration.isReconciled ||
+      (machine.heartbeats.lastCountedAt !== null && !this.returns.countsNoMore(machine))
     );
   }
 
--- a/packages/controller/src/autoscaling/machine-returns.ts
+++ b/packages/controller/src/autoscaling/machine-returns.ts
@@ -41,8 +41,8 @@
   /** Its reports arrive, or did, but none has counted for a whole lease. */
   countsNoMore(machine: Machine): boolean {
     const since =
-      machine.lastHeartbeatAt ??
-      Math.max(this.term.electedAt, Math.min(machine.firstSeenAt, this.runtime.now));
+      machine.heartbeats.lastCountedAt ??
+      Math.max(this.term.electedAt, Math.min(machine.registration.firstSeenAt, this.runtime.now));
     return machine.bindings.size === 0 && this.runtime.now > this.term.leaseExpiry.leaseEnd(since);
   }
 
@@ -54,7 +54,7 @@
     if (!this.term.stateLoaded) return;
     const heldUp = this.termHeldUp();
     for (const machine of this.term.machines.values()) {
-      if (machine.returning || !this.shouldReturn(machine, heldUp)) continue;
+      if (machine.registration.isReturning || !this.shouldReturn(machine, heldUp)) continue;
       this.runtime.env.log(
         'info',
         { machine: machine.id, type: machine.type, spot: machine.spot },
@@ -69,7 +69,7 @@
 
   private marked(): string[] {
     return [...this.term.machines.values()]
-      .filter((m) => m.returning && m.returnCommitted)
+      .filter((m) => m.registration.isReturning && m.registration.isReturnCommitted)
       .map((m) => m.id);
   }
 
@@ -112,11 +112,11 @@
       return true;
     if (this.inventory.isOwned(machine.id) || this.inventory.owned === null) return false;
     if (
-      machine.consecutiveLostStarts >= MAX_LOST_STARTS ||
-      (machine.reconciled && this.countsNoMore(machine))
+      machine.health.consecutiveLostStartCount >= MAX_LOST_STARTS ||
+      (machine.registration.isReconciled && this.countsNoMore(machine))
     )
       return true;
-    if (!machine.reconciled) return heldUp;
+    if (!machine.registration.isReconciled) return heldUp;
     return this.idleLongEnough(machine);
   }
 
@@ -128,14 +128,17 @@
   private vanished(machine: Machine): boolean {
     if (this.inventory.listAsked === null || this.inventory.listed.has(machine.id)) return false;
     // A new term's machines are not heard until they have found it.
-    const { lastLeaseRenewalAt: lastHeard } = machine;
+    const { lastLeaseRenewalAt: lastHeard } = machine.heartbeats;
     const silence = this.runtime.now - (lastHeard ?? this.term.electedAt);
     const patience =
       lastHeard === null
         ? NEW_TERM_PATIENCE
         : this.runtime.settings.heartbeatInterval * MISSED_REPORTS;
     if (silence < patience) return false;
-    return this.inventory.listAsked - this.runtime.settings.cloud.listLag * 2 > machine.firstSeenAt;
+    return (
+      this.inventory.listAsked - this.runtime.settings.cloud.listLag * 2 >
+      machine.registration.firstSeenAt
+    );
   }
 
   /**
@@ -153,10 +156,11 @@
   }
 
   private idleLongEnough(machine: Machine): boolean {
-    if (machine.idleSince === null || machine.preemptionDeadline !== null) return false;
+    const { idleSince } = machine.usage;
+    if (idleSince === null || machine.heartbeats.preemptionDeadline !== null) return false;
     const fast = this.inventory.policy() === 'fast';
     const least = fast ? FAST_IDLE : this.runtime.operator.fleet.idleTimeout;
     const age = this.inventory.listed.get(machine.id)?.age ?? Infinity;
-    return this.runtime.now - machine.idleSince >= least && age >= LEAST_CHARGE;
+    return this.runtime.now - idleSince >= least && age >= LEAST_CHARGE;
   }
 }
--- a/packages/controller/src/machines/lease-expiry.ts
+++ b/packages/controller/src/machines/lease-expiry.ts
@@ -72,10 +72,10 @@
   private missesReports(): boolean {
     const late = this.runtime.settings.heartbeatInterval * MISSED_REPORTS;
     for (const machine of this.registry.machines.values()) {
-      if (!machine.reconciled) return true;
+      if (!machine.registration.isReconciled) return true;
       if (
         machine.bindings.size > 0 &&
-        this.runtime.now - (machine.lastLeaseRenewalAt ?? this.runtime.now) > late
+        this.runtime.now - (machine.heartbeats.lastLeaseRenewalAt ?? this.runtime.now) > late
       )
         return true;
     }
@@ -104,9 +104,12 @@
   private expiredAt(instant: Instant): Machine[] {
     const expired: Machine[] = [];
     for (const machine of this.registry.machines.values()) {
-      const matters = !machine.reconciled || machine.bindings.size > 0 || !machine.registered;
+      const matters =
+        !machine.registration.isReconciled ||
+        machine.bindings.size > 0 ||
+        !machine.registration.isRegistered;
       const answered = Math.max(
-        machine.lastLeaseRenewalAt ?? this.registry.electedAt,
+        machine.heartbeats.lastLeaseRenewalAt ?? this.registry.electedAt,
         this.delegatedUntil,
       );
       if (matters && instant >= this.leaseEnd(answered)) expired.push(machine);
--- /dev/null
+++ b/packages/controller/src/machines/machine-heartbeats.ts
@@ -0,0 +1,77 @@
+/** What the heartbeats of one machine's worker have shown in this term. */
+import type { Duration, Instant, TaskStatus, WorkerHeartbeat } from '@tealdock/wire';
+
+/** Heartbeats of one machine. Only the newest counts; a late one changes nothing. */
+export class MachineHeartbeats {
+  private newestAgentEpoch = 0;
+  private newestSequenceNumber = -1;
+  private newestAddress = '';
+  private newestExitedTasks: readonly TaskStatus[] = [];
+  private newestPreemptionDeadline: Instant | null = null;
+  private countedAt: Instant | null = null;
+  private leaseRenewedAt: Instant | null = null;
+  private olderTokenSince: Instant | null = null;
+
+  /** Agent epoch of the newest counted heartbeat; 0 before it. */
+  get agentEpoch(): number {
+    return this.newestAgentEpoch;
+  }
+
+  /** Number of the newest counted heartbeat within its agent epoch; -1 before it. */
+  get sequenceNumber(): number {
+    return this.newestSequenceNumber;
+  }
+
+  /** Where the worker takes direct commands; empty before the first counted heartbeat. */
+  get address(): string {
+    return this.newestAddress;
+  }
+
+  /** Exited tasks in the newest counted heartbeat. */
+  get exitedTasks(): readonly TaskStatus[] {
+    return this.newestExitedTasks;
+  }
+
+  /** When the cloud takes the machine away; null without such a notice. */
+  get preemptionDeadline(): Instant | null {
+    return this.newestPreemptionDeadline;
+  }
+
+  /** Arrival of the newest counted heartbeat; null before it. */
+  get lastCountedAt(): Instant | null {
+    return this.countedAt;
+  }
+
+  /** Arrival of the newest heartbeat that was answered with 200 in this term; null before it. */
+  get lastLeaseRenewalAt(): Instant | null {
+    return this.leaseRenewedAt;
+  }
+
+  /** True for a heartbeat newer than any counted one. */
+  isNewer({ agentEpoch, sequenceNumber }: WorkerHeartbeat): boolean {
+    if (agentEpoch !== this.newestAgentEpoch) return agentEpoch > this.newestAgentEpoch;
+    return sequenceNumber > this.newestSequenceNumber;
+  }
+
+  /** Counts a heartbeat. */
+  record(heartbeat: WorkerHeartbeat, now: Instant): void {
+    const { preemptionNotice, tasks } = heartbeat;
+    this.newestAgentEpoch = heartbeat.agentEpoch;
+    this.newestSequenceNumber = heartbeat.sequenceNumber;
+    this.newestAddress = heartbeat.address;
+    this.countedAt = now;
+    this.newestPreemptionDeadline = preemptionNotice === null ? null : now + preemptionNotice;
+    this.newestExitedTasks = tasks.filter((task) => task.state === 'exited');
+  }
+
+  /** A heartbeat is answered with 200, which renews the worker's lease. */
+  recordLeaseRenewal(now: Instant): void {
+    this.leaseRenewedAt = now;
+  }
+
+  /** A heartbeat carries an older term's token. Returns how long ago the first one came. */
+  recordOlderToken(now: Instant): Duration {
+    this.olderTokenSince ??= now;
+    return now - this.olderTokenSince;
+  }
+}
--- a/packages/controller/src/machines/machine.ts
+++ b/packages/controller/src/machines/machine.ts
@@ -1,156 +1,112 @@
-/** A machine as the leader knows it. */
-import type { Duration, Instant, MachineType, TaskStatus, WorkerHeartbeat } from '@tealdock/wire';
+/** A machine as the leader knows it in one term. */
+import type { Duration, Instant, MachineType } from '@tealdock/wire';
+import type { Place, Resources } from '@tealdock/scheduler';
 import type { Binding } from '../jobs/binding.js';
-import { Fetches } from './image-fetches.js';
-import {
-  NO_RESOURCES,
-  subtractResources,
-  addResources,
-  type Place,
-  type Resources,
-} from '@tealdock/scheduler';
-
-const RECENT_WINDOW = 300_000;
-
-/** What the bindings of a machine come to; made anew after a change. */
-interface Summary {
-  used: Resources;
-  /** The part of it that is being stopped. */
-  stopping: Resources;
-  /** Images that tasks on the machine, or on their way there, still wait for, by size. */
-  fetching: Map<string, number>;
-}
-
-/** One machine as the leader knows it in this term. */
+import { ImageCache } from './image-cache.js';
+import { ImageFetches, type ImageFetch } from './image-fetches.js';
+import { MachineHealth } from './machine-health.js';
+import { MachineHeartbeats } from './machine-heartbeats.js';
+import { MachineRegistration } from './machine-registration.js';
+import { MachineUsage } from './machine-usage.js';
+
+/** One machine; each concern has an object of its own, images and their fetches are here. */
 export class Machine implements Place {
-  readonly bindings = new Map<string, Binding>();
-  /** Exited tasks in the newest counted report. */
-  exitedTasks: TaskStatus[] = [];
-  address = '';
-  agentEpoch = 0;
-  sequenceNumber = -1;
-  /** Arrival of the newest report that was answered with 200 in this term. */
-  lastLeaseRenewalAt: Instant | null = null;
-  lastHeartbeatAt: Instant | null = null;
-  /** First answered in this term, while its reports still carried an older token. */
-  firstLeaseRenewalAt: Instant | null = null;
-  /** Its tasks are known in this term, or it is proven to have none of older terms. */
-  reconciled = false;
-  /** The machine registry has it; no start goes out before. */
-  registered = false;
-  returning = false;
-  returnCommitted = false;
-  preemptionDeadline: Instant | null = null;
-  idleSince: Instant | null = null;
-  consecutiveFailures = 0;
-  /** Starts in a row that never showed up: answers seem not to reach it. */
-  consecutiveLostStarts = 0;
-  quarantinedUntil: Instant = 0;
-  recentComputeTime = 0;
-  /** First known to be there, on this process's steady clock. */
-  firstSeenAt: Instant = Infinity;
-  /** Images it should hold and their size, the least recently used first. */
-  readonly images = new Map<string, number>();
-  /** What its cache takes; known once its type is. */
-  cacheGb = Infinity;
-  readonly fetches = new Fetches();
-  private summary: Summary | null = null;
+  readonly heartbeats = new MachineHeartbeats();
+  readonly registration = new MachineRegistration();
+  readonly health = new MachineHealth();
+  readonly usage: MachineUsage;
+  private readonly images = new ImageCache();
+  private readonly fetches = new ImageFetches();
 
   constructor(
     readonly id: string,
     readonly type: string,
     readonly zone: string,
+    /** The cloud may take it away after a short notice. */
     readonly spot: boolean,
-  ) {}
-
-  /** True for a report newer than any counted one. */
-  isNewer(report: WorkerHeartbeat): boolean {
-    if (report.agentEpoch !== this.agentEpoch) return report.agentEpoch > this.agentEpoch;
-    return report.sequenceNumber > this.sequenceNumber;
+  ) {
+    this.usage = new MachineUsage((image) => this.images.has(image));
   }
 
-  /** To be called by the owner of the bindings after any change of them. */
-  invalidateSums(): void {
-    this.summary = null;
+  /** By `bindingKey`, in the order in which they were bound. */
+  get bindings(): ReadonlyMap<string, Binding> {
+    return this.usage.bindings;
   }
 
-  get used(): Resources {
-    return this.sums.used;
+  /** To be called by the term's bindings only. */
+  bind(binding: Binding): void {
+    this.usage.add(binding);
   }
 
-  get stopping(): Resources {
-    return this.sums.stopping;
+  /** To be called by the term's bindings only. False if it was not bound here. */
+  unbind(binding: Binding, now: Instant): boolean {
+    if (!this.usage.remove(binding)) return false;
+    this.fetches.retain(this.usage.awaitedImages, now);
+    return true;
   }
 
-  get fetching(): ReadonlyMap<string, number> {
-    return this.sums.fetching;
+  /** Takes over the size of its image cache and its fetch rate. */
+  applyType(type: MachineType): void {
+    this.images.setCapacity(type.cacheGb);
+    this.fetches.setRate(type.fetchGbPerS);
   }
 
-  free(type: MachineType): Resources {
-    return subtractResources(type, this.used);
+  /** True if the machine should have the image. */
+  hasImage(image: string): boolean {
+    return this.images.has(image);
   }
 
-  private get sums(): Summary {
-    this.summary ??= this.sumUp();
-    return this.summary;
+  /** Images that it should have, with their sizes in GB, the least recently used first. */
+  imageEntries(): Iterable<[image: string, sizeGb: number]> {
+    return this.images.entries();
   }
 
-  private sumUp(): Summary {
-    let [used, stopping] = [NO_RESOURCES, NO_RESOURCES];
-    const fetching = new Map<string, number>();
-    for (const binding of this.bindings.values()) {
-      used = addResources(used, binding.resources);
-      if (binding.stopRequest) stopping = addResources(stopping, binding.resources);
-      const { image } = binding;
-      if (binding.mayNeedImageFetch && image !== null && !this.images.has(image)) {
-        fetching.set(image, binding.imageGb);
-      }
-    }
-    return { used, stopping, fetching };
+  /** The image was used there just now. */
+  recordImageUse(image: string, sizeGb: number): void {
+    this.images.recordUse(image, sizeGb);
+    this.usage.invalidate();
   }
 
-  /** Used there just now; what was used the longest ago makes room for it. */
-  recordImage(image: string, gb: number): void {
-    this.images.delete(image);
-    this.images.set(image, gb);
-    let held = 0;
-    for (const size of this.images.values()) held += size;
-    for (const [oldest, size] of this.images) {
-      if (held <= this.cacheGb || oldest === image) break;
-      this.images.delete(oldest);
-      held -= size;
-    }
-    this.invalidateSums();
+  /**
+   * A task runs with the image. Returns its fetch as it ended; undefined if that was not seen
+   * from its beginning.
+   */
+  recordImageFetched(
+    image: string,
+    sizeGb: number,
+    now: Instant,
+  ): Readonly<ImageFetch> | undefined {
+    const fetch = this.fetches.complete(image, now);
+    this.recordImageUse(image, sizeGb);
+    return fetch;
   }
 
-  /** A start left for it: unless it has the image, it fetches it now. */
-  recordStartDispatched(binding: Binding, now: Instant): void {
-    const { image, imageGb } = binding;
-    if (image !== null && !this.images.has(image)) this.fetches.begin(image, imageGb, now);
+  /** A start was dispatched to it: a fetch begins, unless it has the image. */
+  recordStartDispatched({ image, imageGb }: Binding, now: Instant): void {
+    if (image !== null && !this.hasImage(image)) this.fetches.begin(image, imageGb, now);
   }
 
-  /** It says that it fetches what it was taken to hold. */
-  recordImageMissing(binding: Binding, now: Instant): void {
-    if (binding.image === null || !this.images.delete(binding.image)) return;
-    this.fetches.begin(binding.image, binding.imageGb, now);
-    this.invalidateSums();
+  /** A heartbeat shows that it fetches the image; it may have been thought to have it. */
+  recordImageMissing({ image, imageGb }: Binding, now: Instant): void {
+    if (image === null || !this.images.remove(image)) return;
+    this.fetches.begin(image, imageGb, now);
+    this.usage.invalidate();
   }
 
   /** How long one more task would wait for its image. */
-  imageDelay(image: string, gb: number, shared: boolean, now: Instant): Duration {
-    if (this.images.has(image)) return 0;
-    return this.fetches.delay(image, gb, this.fetching, shared, now);
+  imageDelay(image: string, sizeGb: number, isRateShared: boolean, now: Instant): Duration {
+    if (this.hasImage(image)) return 0;
+    const awaited = this.usage.awaitedImages;
+    return this.fetches.delayOf({ image, sizeGb, awaited, isRateShared, now });
   }
 
-  /** Recent accumulated computing time, fading over some minutes. */
-  accumulateComputeTime(elapsed: number): void {
-    this.recentComputeTime =
-      this.recentComputeTime * Math.exp(-elapsed / RECENT_WINDOW) + this.used.cpus * elapsed;
+  /** Resources that no task takes. */
+  free(type: MachineType): Resources {
+    return this.usage.free(type);
   }
 }
 
-/** Capacity of a machine by the catalog; nothing is placed on an unknown type. */
+/** The machine's type in the catalog. Undefined if it is unknown: nothing is placed on it. */
 export function machineTypeOf(types: MachineType[], machine: Machine): MachineType | undefined {
-  for (const t of types) if (t.name === machine.type) return t;
-  return undefined;
+  return types.find((type) => type.name === machine.type);
 }
--- a/packages/controller/src/placement/capacity-reservation.ts
+++ b/packages/controller/src/placement/capacity-reservation.ts
@@ -112,7 +112,7 @@
    */
   waitsForHolder(search: Search, chosen: MachineCapacity, cycle: SchedulingCycle): boolean {
     const { job, holders } = search;
-    if (chosen.machine.images.has(job.spec.image)) return false;
+    if (chosen.machine.hasImage(job.spec.image)) return false;
     const fetch = fetchTime(job.spec.imageGb, chosen.type);
     const left = this.urgency.aimFor(job) - (this.runtime.now - job.dependencies.startableAt);
     if (fetch < left || left < STOP_TIME) return false;
@@ -132,9 +132,9 @@
    * waiting for. Work whose image the other machines hold gets their room meanwhile.
    */
   holderMayCome({ job, holders }: Search, chosen: MachineCapacity): boolean {
-    const { images, fetching } = chosen.machine;
+    const { machine } = chosen;
     const { image, imageGb } = job.spec;
-    if (images.has(image) || fetching.has(image)) return false;
+    if (machine.hasImage(image) || machine.usage.awaitedImages.has(image)) return false;
     // With room to spare, a start that fetches takes nothing from others.
     if (this.runtime.now - this.lastFull > SCARCE_FOR) return false;
     job.placement.imageHolderWaitSince ??= this.runtime.now;
--- a/packages/controller/src/placement/drain.ts
+++ b/packages/controller/src/placement/drain.ts
@@ -13,7 +13,7 @@
 
   run(): void {
     for (const machine of this.term.machines.values()) {
-      if (machine.preemptionDeadline === null) continue;
+      if (machine.heartbeats.preemptionDeadline === null) continue;
       for (const b of machine.bindings.values()) this.stopInTime(machine, b);
     }
   }
@@ -25,7 +25,7 @@
     const ran = this.runtime.now - (b.runningSince ?? this.runtime.now);
     const ratio = this.term.runTimeRatios.get(job.spec.jobClass) ?? 1;
     const left = job.spec.estimate * ratio - ran;
-    const notice = (machine.preemptionDeadline ?? Infinity) - this.runtime.now;
+    const notice = (machine.heartbeats.preemptionDeadline ?? Infinity) - this.runtime.now;
     if (b.taskState === 'running' && left < notice) return;
     this.term.bindings.requestStop(b, { gracePeriod: job.spec.save, reason: 'notice' });
   }
--- a/packages/controller/src/placement/machine-capacity.ts
+++ b/packages/controller/src/placement/machine-capacity.ts
@@ -27,9 +27,8 @@
 
 export const capacityOf = (machine: Machine, type: MachineType): MachineCapacity => {
   const free = machine.free(type);
-  machine.cacheGb = type.cacheGb;
-  machine.fetches.rate = type.fetchGbPerS;
-  return { machine, type, free, freeAfterStops: addResources(free, machine.stopping) };
+  machine.applyType(type);
+  return { machine, type, free, freeAfterStops: addResources(free, machine.usage.stopping) };
 };
 
 /** What a job's tasks ask of a machine; jobs that ask the same fit on the same machines. */
@@ -65,7 +64,7 @@
 
   get machines(): MachineCapacity[] {
     const { image } = this.job.spec;
-    this.found ??= this.cycle.everywhere(this.job).filter((d) => d.machine.images.has(image));
+    this.found ??= this.cycle.everywhere(this.job).filter((d) => d.machine.hasImage(image));
     return this.found;
   }
 
@@ -103,11 +102,11 @@
   /** Null if the image would come too late for the machine to be a volunteer. */
   of({ machine, type }: MachineCapacity): number | null {
     const { image, imageGb } = this.spec;
-    if (machine.images.has(image)) return 0;
-    if (machine.fetching.size === 0) return 2;
+    if (machine.hasImage(image)) return 0;
+    if (machine.usage.awaitedImages.size === 0) return 2;
     const delay = this.delay(machine);
     const slowdown = delay / soloFetch(imageGb, type);
-    const fetchingIt = machine.fetching.has(image);
+    const fetchingIt = machine.usage.awaitedImages.has(image);
     if (fetchingIt && slowdown <= 1) return 1;
     const soonEnough = delay <= this.limits.patience || slowdown <= this.limits.slowdown;
     return soonEnough ? 2 + Math.floor(slowdown) : null;
@@ -188,7 +187,7 @@
       capacity,
       bookedShare: bookedShare(type, free),
       price: this.rules.priceOf(machine, type),
-      recentComputeTime: machine.recentComputeTime / Math.max(1, type.cpus),
+      recentComputeTime: machine.usage.recentComputeTime / Math.max(1, type.cpus),
       imageRank,
     };
   }
--- a/packages/controller/src/placement/scheduler.ts
+++ b/packages/controller/src/placement/scheduler.ts
@@ -114,10 +114,11 @@
     const types = this.types();
     const machines: MachineCapacity[] = [];
     for (const machine of this.term.machines.values()) {
-      const heard =
-        machine.lastHeartbeatAt !== null && this.runtime.now - machine.lastHeartbeatAt <= recent;
-      if (!heard || !machine.registered || machine.returning) continue;
-      if (machine.preemptionDeadline !== null || machine.quarantinedUntil > this.runtime.now)
+      const { heartbeats, registration, health } = machine;
+      const { lastCountedAt } = heartbeats;
+      if (lastCountedAt === null || this.runtime.now - lastCountedAt > recent) continue;
+      if (!registration.isRegistered || registration.isReturning) continue;
+      if (heartbeats.preemptionDeadline !== null || health.isQuarantined(this.runtime.now))
         continue;
       const type = machineTypeOf(types, machine);
       if (type) machines.push(capacityOf(machine, type));
@@ -152,7 +153,7 @@
       }
       if (this.reservation.waitsForHolder(search, chosen, cycle)) continue;
       if (this.reservation.holderMayCome(search, chosen)) return;
-      if (chosen.machine.images.has(job.spec.image))
+      if (chosen.machine.hasImage(job.spec.image))
         job.placement.imageHolderWaitSince = this.runtime.now;
       this.term.bindings.assign(job, task.index, chosen.machine, sheltered);
       cycle.bookings++;
@@ -168,7 +169,7 @@
   private searchFor(job: LiveJob, cycle: SchedulingCycle): Search {
     // A gang is booked as a whole, and a job that nothing has begun of takes what there is.
     const any = job.spec.kind === 'gang' || this.urgency.starves(job);
-    const shared = this.term.fetchSharing.shared;
+    const shared = this.term.fetchSharing.isShared;
     const limits = {
       slowdown: any ? Infinity : MAX_SLOWDOWN,
       patience: this.runtime.operator.window.lambda,
--- a/packages/controller/src/term/bindings.ts
+++ b/packages/controller/src/term/bindings.ts
@@ -138,27 +138,22 @@
   /** For bindings only: their transitions call it. */
   applyUsageChange(binding: Binding, apply: () => void): void {
     this.term.ledger.change(binding, apply);
-    this.term.machines.get(binding.machine)?.invalidateSums();
+    this.term.machines.get(binding.machine)?.usage.invalidate();
   }
 
   /** For bindings only: their transitions call it. */
   onTaskStateChanged(binding: Binding): void {
-    this.term.machines.get(binding.machine)?.invalidateSums();
+    this.term.machines.get(binding.machine)?.usage.invalidate();
   }
 
   private bindToMachine(machine: Machine, binding: Binding): void {
-    machine.bindings.set(bindingKey(binding.task, binding.attempt), binding);
-    machine.invalidateSums();
+    machine.bind(binding);
     this.term.ledger.add(binding, machine.zone);
   }
 
   private unbind(binding: Binding): void {
     const machine = this.term.machines.get(binding.machine);
-    if (machine?.bindings.delete(bindingKey(binding.task, binding.attempt))) {
-      machine.invalidateSums();
-      machine.fetches.keepOnly(machine.fetching, this.runtime.now);
-      this.term.ledger.remove(binding, machine.zone);
-    }
+    if (machine?.unbind(binding, this.runtime.now)) this.term.ledger.remove(binding, machine.zone);
     this.term.jobs.get(binding.job)?.unbind(binding);
   }
 }
--- a/packages/controller/src/term/direct-stops.ts
+++ b/packages/controller/src/term/direct-stops.ts
@@ -45,7 +45,7 @@
     const answers = this.answers();
     for (const machine of this.term.machines.values()) {
       if (this.underWay >= MOST_UNDER_WAY) return;
-      if (machine.address === '' || machine.bindings.size === 0) continue;
+      if (machine.heartbeats.address === '' || machine.bindings.size === 0) continue;
       if (answers && !this.misses(machine)) continue;
       if (this.runtime.now - (this.told.get(machine.id) ?? -Infinity) < AGAIN) continue;
       const orders = this.stopsFor(machine);
@@ -54,7 +54,7 @@
   }
 
   private misses(machine: Machine): boolean {
-    const heard = machine.lastHeartbeatAt ?? this.term.electedAt;
+    const heard = machine.heartbeats.lastCountedAt ?? this.term.electedAt;
     return this.runtime.now - heard > this.runtime.settings.heartbeatInterval * MISSED_REPORTS;
   }
 
@@ -73,10 +73,10 @@
     this.runtime.stats.count('stops.direct', orders.length);
     const call = {
       target: 'worker' as const,
-      to: machine.address,
+      to: machine.heartbeats.address,
       method: 'POST',
       path: COMMANDS_PATH,
-      body: renderDirectCommands(this.term.fencingToken, machine.agentEpoch, orders),
+      body: renderDirectCommands(this.term.fencingToken, machine.heartbeats.agentEpoch, orders),
       priority: PRIORITY.leader,
       writes: 0,
       timeout: TIMEOUT,
--- a/packages/controller/src/term/heartbeat-processor.ts
+++ b/packages/controller/src/term/heartbeat-processor.ts
@@ -15,12 +15,6 @@
 import type { WorkerCommands } from './worker-commands.js';
 import type { TermState } from './term-state.js';
 
-/** A machine on which so many tasks in a row failed is quarantined. */
-const MAX_FAILURES = 3;
-const QUARANTINE = 120_000;
-/** How long a machine is quarantined whose start never showed up; fourfold each time. */
-const LOST_START_QUARANTINE = 3000;
-const LOST_START_FACTOR = 4;
 /** A worker learns the token from the first answer that it hears. */
 const MISSED_ANSWERS_PATIENCE = 8000;
 /** Weight of the newest task in the learnt ratio of run times, and what it may tell at most. */
@@ -54,10 +48,10 @@
     const machine = this.machineOf(report);
     if (this.missesAnswers(machine, report)) return UNANSWERED;
     // Its lease is renewed by the answer, whatever the report is worth otherwise.
-    machine.lastLeaseRenewalAt = this.runtime.now;
+    machine.heartbeats.recordLeaseRenewal(this.runtime.now);
     // Tasks of a report sent before the worker saw this token may be outdated by
     // a start of the term before; a late report is outdated by a newer one.
-    if (report.fencingToken !== this.term.fencingToken || !machine.isNewer(report))
+    if (report.fencingToken !== this.term.fencingToken || !machine.heartbeats.isNewer(report))
       return this.uncounted(report);
     this.apply(report);
     return { counted: true, answered: true, commands: this.orders.collectCommands(machine) };
@@ -78,9 +72,9 @@
    * would wait for it for as long as that lasts. Without answers its lease surely ends.
    */
   private missesAnswers(machine: Machine, report: WorkerHeartbeat): boolean {
-    if (machine.reconciled || report.fencingToken === this.term.fencingToken) return false;
-    machine.firstLeaseRenewalAt ??= this.runtime.now;
-    return this.runtime.now - machine.firstLeaseRenewalAt > MISSED_ANSWERS_PATIENCE;
+    if (machine.registration.isReconciled || report.fencingToken === this.term.fencingToken)
+      return false;
+    return machine.heartbeats.recordOlderToken(this.runtime.now) > MISSED_ANSWERS_PATIENCE;
   }
 
   private machineOf(report: WorkerHeartbeat): Machine {
@@ -88,26 +82,19 @@
     if (!machine) {
       machine = this.membership.newMachine(report.machine, report);
       // Not in the machine registry, so no term has ever sent a start to it.
-      machine.reconciled = true;
+      machine.registration.markReconciled();
       this.term.machines.set(machine.id, machine);
     }
-    machine.firstSeenAt = Math.min(machine.firstSeenAt, this.runtime.now);
+    machine.registration.recordSeen(this.runtime.now);
     return machine;
   }
 
   private apply(report: WorkerHeartbeat): void {
     const machine = this.machineOf(report);
-    if (report.agentEpoch > machine.agentEpoch)
+    if (report.agentEpoch > machine.heartbeats.agentEpoch)
       this.bindings.endDispatched(machine, 'session ended');
-    machine.agentEpoch = report.agentEpoch;
-    machine.sequenceNumber = report.sequenceNumber;
-    machine.address = report.address;
-    machine.lastLeaseRenewalAt ??= this.runtime.now;
-    machine.lastHeartbeatAt = this.runtime.now;
-    machine.preemptionDeadline =
-      report.preemptionNotice === null ? null : this.runtime.now + report.preemptionNotice;
-    machine.reconciled = true;
-    machine.exitedTasks = report.tasks.filter((t) => t.state === 'exited');
+    machine.heartbeats.record(report, this.runtime.now);
+    machine.registration.markReconciled();
     for (const t of report.tasks) this.absorbTask(machine, t);
     this.endMissing(machine, report);
     this.membership.registerIfNew(machine);
@@ -129,16 +116,9 @@
    * the best of volunteers, and would eat start after start.
    */
   private noteLostStart(machine: Machine): void {
-    const quarantine = Math.min(
-      QUARANTINE,
-      LOST_START_QUARANTINE * LOST_START_FACTOR ** machine.consecutiveLostStarts++,
-    );
-    machine.quarantinedUntil = Math.max(machine.quarantinedUntil, this.runtime.now + quarantine);
-    this.runtime.env.log(
-      'info',
-      { machine: machine.id, lostStarts: machine.consecutiveLostStarts, quarantineMs: quarantine },
-      'start lost',
-    );
+    const quarantineMs = machine.health.recordLostStart(this.runtime.now);
+    const lostStarts = machine.health.consecutiveLostStartCount;
+    this.runtime.env.log('info', { machine: machine.id, lostStarts, quarantineMs }, 'start lost');
     this.bindings.releaseUndispatched(machine);
   }
 
@@ -149,7 +129,7 @@
     if (bound?.taskState === state) return;
     const wasRunning = bound !== undefined && bound.runningSince !== null;
     const binding = bound ?? this.adopt(machine, { ...task, state });
-    machine.consecutiveLostStarts = 0;
+    machine.health.recordTaskObserved();
     bound?.observe(state, this.runtime.now);
     if (state !== 'fetching') {
       if (binding.image !== null) this.noteImage(machine, binding.image, binding.imageGb);
@@ -177,9 +157,8 @@
   }
 
   private noteImage(machine: Machine, image: string, gb: number): void {
-    const fetch = machine.fetches.end(image, this.runtime.now);
-    if (fetch) this.term.fetchSharing.note(fetch);
-    machine.recordImage(image, gb);
+    const fetch = machine.recordImageFetched(image, gb, this.runtime.now);
+    if (fetch) this.term.fetchSharing.record(fetch);
   }
 
   private absorbExit(machine: Machine, t: TaskStatus, bound: Binding | undefined): void {
@@ -195,7 +174,7 @@
   private endExited(machine: Machine, binding: Binding, t: TaskStatus): void {
     const job = binding.isOrphaned ? undefined : this.term.jobs.get(binding.job);
     if (t.reason === 'done') {
-      machine.consecutiveFailures = 0;
+      machine.health.recordTaskSuccess();
       if (job) this.learn(job, binding);
     } else if (t.reason === 'error' || t.reason === 'unknown') {
       this.noteFailure(machine, job, t);
@@ -222,9 +201,8 @@
       { machine: machine.id, task: t.task, reason: t.reason },
       'task failed',
     );
-    if (t.reason === 'error' && !job?.backoff.isJobAtFault) machine.consecutiveFailures++;
-    if (machine.consecutiveFailures >= MAX_FAILURES)
-      machine.quarantinedUntil = this.runtime.now + QUARANTINE;
+    const isMachineAtFault = t.reason === 'error' && !job?.backoff.isJobAtFault;
+    machine.health.recordTaskFailure(isMachineAtFault, this.runtime.now);
     job?.backoff.recordFailure(this.runtime.now);
   }
 }
--- a/packages/controller/src/term/membership.ts
+++ b/packages/controller/src/term/membership.ts
@@ -40,23 +40,24 @@
   newMachine(id: string, place: Place): Machine {
     const machine = new Machine(id, place.type, place.zone, place.spot);
     for (const { image, gb } of this.term.hintedImages.get(id) ?? [])
-      machine.recordImage(image, gb);
+      machine.recordImageUse(image, gb);
     return machine;
   }
 
   /** The registry gets a machine before the machine gets its first start. */
   registerIfNew(machine: Machine): void {
-    if (!machine.registered && this.registry.get(machine.id) === undefined) this.enroll(machine);
+    if (!machine.registration.isRegistered && this.registry.get(machine.id) === undefined)
+      this.enroll(machine);
   }
 
   private enroll(machine: Machine): void {
-    const age = this.runtime.now - Math.min(machine.firstSeenAt, this.runtime.now);
+    const age = this.runtime.now - Math.min(machine.registration.firstSeenAt, this.runtime.now);
     const since = Math.round((this.runtime.wallClock.getTime() - age) / 1000);
     this.registry.set(machine.id, [
       machine.type,
       machine.zone,
       machine.spot ? 1 : 0,
-      machine.returning ? 1 : 0,
+      machine.registration.isReturning ? 1 : 0,
       since,
     ]);
   }
@@ -65,16 +66,15 @@
     for (const [id, entry] of entries) {
       const machine = this.term.machines.get(id);
       if (!machine) continue;
-      machine.registered = true;
-      if (entry[3] === 1) machine.returnCommitted = true;
+      machine.registration.recordRegistered(entry[3] === 1);
       if (this.bindings.hasUndispatched(id)) this.term.dirtyMachines.add(id);
     }
   }
 
   /** Gets no more work; kept in the machine registry too, so that no later term gives it any. */
   markReturning(machine: Machine): void {
-    if (machine.returning) return;
-    machine.returning = true;
+    if (machine.registration.isReturning) return;
+    machine.registration.markReturning();
     this.bindings.releaseUndispatched(machine);
     this.enroll(machine);
   }
--- a/packages/controller/src/term/rebuild.ts
+++ b/packages/controller/src/term/rebuild.ts
@@ -78,11 +78,12 @@
     const machine =
       this.term.machines.get(id) ??
       this.membership.newMachine(id, { type, zone, spot: spot === 1 });
-    machine.registered = true;
-    machine.returning = machine.returnCommitted = returning === 1;
-    machine.firstSeenAt =
-      this.runtime.now - Math.max(0, this.runtime.wallClock.getTime() - since * 1000);
-    machine.reconciled = machine.lastHeartbeatAt !== null;
+    const age = Math.max(0, this.runtime.wallClock.getTime() - since * 1000);
+    machine.registration.restore({
+      isReturning: returning === 1,
+      firstSeenAt: this.runtime.now - age,
+      isReconciled: machine.heartbeats.lastCountedAt !== null,
+    });
     this.term.machines.set(id, machine);
   }
 
--- a/packages/controller/src/term/term-state.ts
+++ b/packages/controller/src/term/term-state.ts
@@ -1,6 +1,6 @@
 /** What all parts of a term of leadership share. */
 import type { Instant } from '@tealdock/wire';
-import { FetchSharing } from '../machines/image-fetches.js';
+import { FetchSharing } from '../machines/fetch-sharing.js';
 import type { LiveJob } from '../jobs/live-job.js';
 import type { Machine } from '../machines/machine.js';
 import { UsageLedger } from '../machines/usage-ledger.js';
@@ -35,7 +35,8 @@
   /** Machines of which it is not known yet what runs on them. */
   unreconciledMachines(): Machine[] {
     const open: Machine[] = [];
-    for (const machine of this.machines.values()) if (!machine.reconciled) open.push(machine);
+    for (const machine of this.machines.values())
+      if (!machine.registration.isReconciled) open.push(machine);
     return open;
   }
 }
--- a/packages/controller/src/term/term.ts
+++ b/packages/controller/src/term/term.ts
@@ -139,13 +139,17 @@
     this.workerCommands.updateSmallestTask();
     if (this.stateLoaded) this.leaseExpiry.check();
     for (const machine of this.machines.values()) {
-      machine.accumulateComputeTime(SWEEP_EVERY);
+      machine.usage.accumulateComputeTime(SWEEP_EVERY);
       const patience = this.runtime.settings.heartbeatInterval * BOOKING_PATIENCE;
-      const late = this.runtime.now - (machine.lastHeartbeatAt ?? this.electedAt) > patience;
-      if (late || machine.returning || machine.preemptionDeadline !== null)
+      const late =
+        this.runtime.now - (machine.heartbeats.lastCountedAt ?? this.electedAt) > patience;
+      if (
+        late ||
+        machine.registration.isReturning ||
+        machine.heartbeats.preemptionDeadline !== null
+      )
         this.bindings.releaseUndispatched(machine);
-      const idle = machine.bindings.size === 0;
-      machine.idleSince = idle ? (machine.idleSince ?? this.runtime.now) : null;
+      machine.usage.updateIdle(this.runtime.now);
     }
   }
 
@@ -155,9 +159,10 @@
     this.runtime.env.log('info', { machines }, 'worker leases expired');
     for (const machine of expired) {
       this.bindings.endDispatched(machine, 'lease ran out');
-      machine.reconciled = true;
+      machine.registration.markReconciled();
       // Never enrolled, so without tasks: what a late copy of a report told of.
-      if (!machine.registered && machine.bindings.size === 0) this.machines.delete(machine.id);
+      if (!machine.registration.isRegistered && machine.bindings.size === 0)
+        this.machines.delete(machine.id);
     }
   }
 }
--- a/packages/controller/src/term/worker-commands.ts
+++ b/packages/controller/src/term/worker-commands.ts
@@ -58,7 +58,12 @@
    */
   longPollTimeoutOf(machineId: string, type: MachineType): Duration {
     const machine = this.term.machines.get(machineId);
-    if (!machine || machine.returning || machine.preemptionDeadline !== null) return 0;
+    if (
+      !machine ||
+      machine.registration.isReturning ||
+      machine.heartbeats.preemptionDeadline !== null
+    )
+      return 0;
     return fits(this.smallest, machine.free(type))
       ? this.runtime.operator.window.longPollTimeout
       : 0;
@@ -67,7 +72,7 @@
   /** Orders that the worker's newest report calls for; starts leave only here. */
   collectCommands(machine: Machine): WorkerCommand[] {
     const orders: WorkerCommand[] = [];
-    for (const t of machine.exitedTasks) {
+    for (const t of machine.heartbeats.exitedTasks) {
       if (this.forgettable(t)) orders.push({ op: 'forget', task: t.task, attempt: t.attempt });
     }
     let booked = 0;
@@ -100,7 +105,7 @@
   }
 
   private startsFor(machine: Machine): WorkerCommand[] {
-    const decision = this.authority.start(machine);
+    const decision = this.authority.start(machine.registration);
     if (!decision.granted) {
       this.runtime.stats.count(`starts.refused.${decision.reason}`);
       const fields = { machine: machine.id, reason: decision.reason };
@@ -118,7 +123,7 @@
   }
 
   private dispatchStart(machine: Machine, binding: Binding, decision: Decision): WorkerCommand {
-    binding.dispatch(machine.sequenceNumber);
+    binding.dispatch(machine.heartbeats.sequenceNumber);
     machine.recordStartDispatched(binding, this.runtime.now);
     this.runtime.stats.record('starts.booked_to_sent_ms', this.runtime.now - binding.assignedAt);
     this.runtime.env.log(
@@ -181,7 +186,7 @@
   }
 
   private mayStart(machine: Machine): boolean {
-    return this.authority.start(machine).granted;
+    return this.authority.start(machine.registration).granted;
   }
 }
 
--- a/packages/testing/src/authority.test.ts
+++ b/packages/testing/src/authority.test.ts
@@ -14,7 +14,7 @@
 import { A, cancelled, settled, violations } from './scenario.js';
 
 const NOW = 100_000;
-const READY: StartTarget = { registered: true, reconciled: true, returning: false };
+const READY: StartTarget = { isRegistered: true, isReconciled: true, isReturning: false };
 
 interface Given {
   knowledge?: Partial<Knowledge>;
@@ -74,9 +74,9 @@
   assert.equal(start({ cancellationsKnownUntil: NOW - 2000 }), 'granted');
   assert.equal(start({ cancellationsKnownUntil: NOW - 2001 }), 'knowledge_stale');
   assert.equal(start({ observedJobsLoaded: false }), 'sizes_unknown');
-  assert.equal(start({}, { registered: false }), 'machine_not_registered');
-  assert.equal(start({}, { reconciled: false }), 'machine_unaccounted');
-  assert.equal(start({}, { returning: true }), 'machine_returning');
+  assert.equal(start({}, { isRegistered: false }), 'machine_not_registered');
+  assert.equal(start({}, { isReconciled: false }), 'machine_unaccounted');
+  assert.equal(start({}, { isReturning: true }), 'machine_returning');
 });
 
 test('a refusal for stale knowledge names its age and limit', () => {
