--- a/packages/controller/src/jobs/ancestor-check.ts
+++ b/packages/controller/src/jobs/ancestor-check.ts
@@ -1,95 +1,109 @@
-/** Whether something that a job needs was cancelled. */
+/** Whether a job that another needs, directly or through others, was cancelled. */
 import type { Duration, Instant } from '@tealdock/wire';
-import type { JobLookup } from './job-lookup.js';
-import type { Runtime } from '../runtime/runtime.js';
 import { BoundedMap } from '../runtime/bounded.js';
+import type { Runtime } from '../runtime/runtime.js';
+import type { JobLookup } from './job-lookup.js';
 
-/** `unsure`: it can't be told yet; what was learnt is kept, so that asking again helps. */
-export type Verdict = 'clear' | 'cancelled' | 'unsure';
+/**
+ * `unknown`: the state service could not be asked, or not about all ancestors at once. What
+ * was found is kept, so that a later check gets further.
+ */
+export type AncestorVerdict = 'none_cancelled' | 'cancelled' | 'unknown';
 
-/** Jobs before one that a question may cost: read anew, and compared with known versions. */
-const MOST_READS = 40;
-const MOST_PROOFS = 400;
-/** A job that was live this long ago needs no new proof, and never for a third of the limit. */
-const USUAL_LIFE = 15_000;
-const LIFE_PART = 3;
-const MOST_KEPT = 5000;
+/** What one check may cost at most. */
+const MAX_READ_COUNT = 40;
+const MAX_PROOF_COUNT = 400;
+/** A job that was proven live is not asked about again for this long. */
+const MAX_LIVE_PROOF_TTL_MS: Duration = 15_000;
+/** It is asked about this many times within the cancellation limit at least. */
+const MIN_PROOFS_PER_LIMIT_COUNT = 3;
+const MAX_REMEMBERED_PROOF_COUNT = 5000;
 
-/** Jobs before one that have to be asked about. */
-interface Unproven {
-  known: string[];
-  unread: string[];
-  cancelled: boolean;
+/** What has to be found out about the ancestors of a job. */
+interface OpenAncestors {
+  /** Their keys were read; it has to be proven that they are still live. */
+  readonly unproven: string[];
+  /** Their keys have to be read, which shows further ancestors. */
+  readonly unread: string[];
+  readonly isOneCancelled: boolean;
 }
 
+/** What lookups of some jobs have found: how a job ended, or the kind of result otherwise. */
+type LookupOutcomes = ReadonlySet<string>;
+
 /**
- * Whether any job that a live one needs, directly or through others, was cancelled. Answers
- * come from their keys, on whichever node is asked. Questions share what they find: a job
- * that was proven live counts as not cancelled for a part of the time in which the end of
- * its dependents has to show.
+ * Whether any ancestor of a live job was cancelled. Answers come from the ancestors' keys,
+ * on whichever node is asked. Checks share what they find: a job that was proven live counts
+ * as not cancelled for a part of the time in which the end of its dependents has to show.
  */
 export class AncestorCheck {
   /** When jobs were last proven live. */
-  private readonly liveAt = new BoundedMap<string, Instant>(MOST_KEPT);
+  private readonly provenLiveAt = new BoundedMap<string, Instant>(MAX_REMEMBERED_PROOF_COUNT);
 
   constructor(
     private readonly runtime: Runtime,
     private readonly jobs: Pick<JobLookup, 'finalState' | 'predecessorsOf' | 'locate'>,
   ) {}
 
-  check(id: string, done: (verdict: Verdict) => void, reads = MOST_READS): void {
-    const before = this.jobs.predecessorsOf(id);
-    if (!before) return done('unsure');
-    const { known, unread, cancelled } = this.unproven(before);
-    if (cancelled) return done('cancelled');
-    const asked = [...known.slice(0, MOST_PROOFS), ...unread.slice(0, reads)];
-    const whole = asked.length === known.length + unread.length;
-    if (asked.length === 0) return done('clear');
-    this.locateAll(asked, (kinds) => {
-      if (kinds.has('cancelled')) done('cancelled');
-      else if (!whole || kinds.has('unsure') || kinds.has('none')) done('unsure');
-      // What was read shows further jobs before those.
-      else this.check(id, done, reads - unread.length);
+  /** Calls back once; at once if nothing has to be asked. */
+  check(
+    id: string,
+    onResult: (verdict: AncestorVerdict) => void,
+    readsLeft = MAX_READ_COUNT,
+  ): void {
+    const predecessors = this.jobs.predecessorsOf(id);
+    if (!predecessors) return onResult('unknown');
+    const { unproven, unread, isOneCancelled } = this.openAncestors(predecessors);
+    if (isOneCancelled) return onResult('cancelled');
+    const asked = [...unproven.slice(0, MAX_PROOF_COUNT), ...unread.slice(0, readsLeft)];
+    if (asked.length === 0) return onResult('none_cancelled');
+    const areAllAsked = asked.length === unproven.length + unread.length;
+    this.locateAll(asked, (outcomes) => {
+      if (outcomes.has('cancelled')) onResult('cancelled');
+      else if (!areAllAsked || outcomes.has('unsure') || outcomes.has('none')) onResult('unknown');
+      // The keys that were read may show further ancestors.
+      else this.check(id, onResult, readsLeft - unread.length);
     });
   }
 
-  private locateAll(ids: string[], done: (kinds: Set<string>) => void): void {
-    const kinds = new Set<string>();
-    const asked = this.runtime.now;
-    let left = ids.length;
+  private locateAll(ids: string[], onResult: (outcomes: LookupOutcomes) => void): void {
+    const outcomes = new Set<string>();
+    const askedAt = this.runtime.now;
+    let pendingCount = ids.length;
     for (const id of ids) {
-      this.jobs.locate(id, (known) => {
-        kinds.add(known.kind === 'ended' ? known.view.state : known.kind);
-        if (known.kind === 'live') this.liveAt.set(id, asked);
-        if (--left === 0) done(kinds);
+      this.jobs.locate(id, (result) => {
+        outcomes.add(result.kind === 'ended' ? result.view.state : result.kind);
+        if (result.kind === 'live') this.provenLiveAt.set(id, askedAt);
+        pendingCount--;
+        if (pendingCount === 0) onResult(outcomes);
       });
     }
   }
 
-  /** All that is known to come before a job, as far as it needs to be asked about. */
-  private unproven(before: string[]): Unproven {
-    const found: Unproven = { known: [], unread: [], cancelled: false };
+  /** Goes through all known ancestors; those that are known to be done have no need of it. */
+  private openAncestors(predecessors: string[]): OpenAncestors {
+    const unproven: string[] = [];
+    const unread: string[] = [];
+    let isOneCancelled = false;
     const seen = new Set<string>();
-    const next = [...before];
-    for (let p = next.pop(); p !== undefined; p = next.pop()) {
-      if (seen.has(p)) continue;
-      seen.add(p);
-      const state = this.jobs.finalState(p);
-      if (state === 'cancelled') found.cancelled = true;
-      if (state !== undefined) continue;
-      const further = this.jobs.predecessorsOf(p);
+    const next = [...predecessors];
+    for (let id = next.pop(); id !== undefined; id = next.pop()) {
+      if (seen.has(id)) continue;
+      seen.add(id);
+      const finalState = this.jobs.finalState(id);
+      if (finalState === 'cancelled') isOneCancelled = true;
+      if (finalState !== undefined) continue;
+      const further = this.jobs.predecessorsOf(id);
       if (further) next.push(...further);
-      if (!further) found.unread.push(p);
-      else if (!this.liveLately(p)) found.known.push(p);
+      if (!further) unread.push(id);
+      else if (!this.wasProvenLiveRecently(id)) unproven.push(id);
     }
-    return found;
+    return { unproven, unread, isOneCancelled };
   }
 
-  private liveLately(id: string): boolean {
-    const life: Duration = Math.min(
-      USUAL_LIFE,
-      this.runtime.settings.cancellationLimit / LIFE_PART,
-    );
-    return this.runtime.now - (this.liveAt.get(id) ?? -Infinity) <= life;
+  private wasProvenLiveRecently(id: string): boolean {
+    const { cancellationLimit } = this.runtime.settings;
+    const ttl = Math.min(MAX_LIVE_PROOF_TTL_MS, cancellationLimit / MIN_PROOFS_PER_LIMIT_COUNT);
+    return this.runtime.now - (this.provenLiveAt.get(id) ?? -Infinity) <= ttl;
   }
 }
--- a/packages/controller/src/jobs/dependency-graph.ts
+++ b/packages/controller/src/jobs/dependency-graph.ts
@@ -1,26 +1,15 @@
-/** Which jobs wait for which others, and what releases them. */
+/** Which live jobs wait for which others, and what releases them. */
 import { predecessorsOf, type Instant } from '@tealdock/wire';
 import { dependentDemands, type GraphJob } from '@tealdock/scheduler';
-import { endedKey, type EndedValue } from '../state/keys.js';
-import { readEnded } from '../state/stored-values.js';
-import type { LiveJob } from './live-job.js';
-import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { StateStore } from '../state/state-store.js';
+import { JobEndReader, type JobEnd } from './job-end-reader.js';
+import type { LiveJob } from './live-job.js';
 
-const RETRY = 400;
-/** Reads of ends at a time: a new term may need hundreds, and has other things to read. */
-const MOST_READS = 12;
-
-/** The end of a job as its key says, or as this leader has committed it. */
-export interface JobEnd extends Pick<EndedValue, 'state' | 'at'> {
-  /** Revision of the commit that wrote the ended key. */
-  revision: number;
-}
-
-/** What it has to know of a term. */
-interface Jobs {
+/** The part of a term that the graph reads. */
+interface LiveJobsView {
   readonly jobs: ReadonlyMap<string, LiveJob>;
+  /** Ratio of actual to estimated run time by class. */
   readonly runTimeRatios: ReadonlyMap<string, number>;
   readonly closed: boolean;
 }
@@ -31,41 +20,51 @@
  * (docs/safety.md). One that says `cancelled` cancels all that need that job.
  */
 export class DependencyGraph {
-  /** Jobs that wait for a job, by that job. */
+  /** Jobs that wait for a job, by that job's id. */
   private readonly dependents = new Map<string, Set<LiveJob>>();
-  /** Ends that are to be read, in that order. */
-  private readonly unread = new Set<string>();
-  private reading = 0;
-  private changed = false;
+  private readonly endReader: JobEndReader;
+  private areDemandsOutdated = false;
 
   constructor(
     private readonly runtime: Runtime,
-    private readonly state: StateStore,
-    private readonly term: Jobs,
-  ) {}
+    state: StateStore,
+    private readonly term: LiveJobsView,
+  ) {
+    this.endReader = new JobEndReader(runtime, state, {
+      get isClosed() {
+        return term.closed;
+      },
+      isLive: (id) => term.jobs.has(id),
+      needsEnd: (id) => this.dependents.has(id),
+      onEndRead: (id, end) => this.applyEnd(id, end),
+    });
+  }
 
+  /** A job has become live. */
   add(job: LiveJob): void {
-    if (job.dependencies.pendingPredecessors.size === 0) return;
-    this.changed = true;
-    for (const p of job.dependencies.pendingPredecessors) {
-      const waiting = this.dependents.get(p) ?? new Set();
-      this.dependents.set(p, waiting.add(job));
+    const { pendingPredecessors } = job.dependencies;
+    if (pendingPredecessors.size === 0) return;
+    this.areDemandsOutdated = true;
+    for (const predecessor of pendingPredecessors) {
+      const waiting = this.dependents.get(predecessor) ?? new Set();
+      this.dependents.set(predecessor, waiting.add(job));
     }
   }
 
-  /** Ends of predecessors that are not live; to be called once all live jobs are known. */
-  readEnds(job: LiveJob): void {
-    for (const p of job.dependencies.pendingPredecessors) if (!this.term.jobs.has(p)) this.ask(p);
+  /** Reads the ends of predecessors that are not live; only once all live jobs are known. */
+  readPredecessorEnds(job: LiveJob): void {
+    for (const predecessor of job.dependencies.pendingPredecessors)
+      if (!this.term.jobs.has(predecessor)) this.endReader.request(predecessor);
   }
 
-  /** A job is no longer live. Without its end that has to be read before it counts. */
-  ended(job: LiveJob, end: JobEnd | null): void {
-    for (const p of predecessorsOf(job.acceptedSpec)) {
-      if (this.dependents.get(p)?.delete(job)) this.changed = true;
+  /** A job is no longer live. If `end` is null, its end is read before dependents change. */
+  remove(job: LiveJob, end: JobEnd | null): void {
+    for (const predecessor of predecessorsOf(job.acceptedSpec)) {
+      if (this.dependents.get(predecessor)?.delete(job)) this.areDemandsOutdated = true;
     }
     if (!this.dependents.has(job.id)) return;
-    if (end) this.settle(job.id, end);
-    else this.ask(job.id);
+    if (end) this.applyEnd(job.id, end);
+    else this.endReader.request(job.id);
   }
 
   /** True while some live job waits for the end of this one. */
@@ -73,21 +72,23 @@
     return (this.dependents.get(id)?.size ?? 0) > 0;
   }
 
-  /** Priorities and deadlines along the chains, made anew where a chain has changed. */
+  /** Computes priorities and due times along the chains again, if a chain has changed. */
   updateDemands(): void {
-    if (!this.changed) return;
-    this.changed = false;
-    const all = [...this.term.jobs.values()];
+    if (!this.areDemandsOutdated) return;
+    this.areDemandsOutdated = false;
+    const jobs = [...this.term.jobs.values()];
     const demands = dependentDemands(
-      all.filter((j) => !j.dependencies.hasCancelledPredecessor).map((j) => this.graphJob(j)),
+      jobs
+        .filter((job) => !job.dependencies.hasCancelledPredecessor)
+        .map((job) => this.graphJobOf(job)),
     );
-    for (const job of all) {
+    for (const job of jobs) {
       const demand = demands.get(job.id);
       if (demand) job.applyDependentDemand(demand);
     }
   }
 
-  private graphJob(job: LiveJob): GraphJob {
+  private graphJobOf(job: LiveJob): GraphJob {
     const { id, priority, estimate, jobClass } = job.acceptedSpec;
     return {
       id,
@@ -98,60 +99,27 @@
     };
   }
 
-  // --- ends ------------------------------------------------------------------
-
-  private ask(id: string): void {
-    this.unread.add(id);
-    this.read();
-  }
-
-  private read(): void {
-    for (const id of this.unread) {
-      if (this.reading >= MOST_READS || this.term.closed) return;
-      this.unread.delete(id);
-      this.reading++;
-      this.state.getValue(endedKey(id), readEnded, PRIORITY.leader, (got) => {
-        this.reading--;
-        if (got.kind === 'found') this.settle(id, endOf(got));
-        // It was accepted, so it is live: the event may still be on its way.
-        else if (got.kind === 'failed' || !this.term.jobs.has(id)) this.askLater(id);
-        this.read();
-      });
-    }
-  }
-
-  private askLater(id: string): void {
-    this.runtime.after(RETRY, () => {
-      if (!this.term.closed && this.dependents.has(id)) this.ask(id);
-    });
-  }
-
-  private settle(id: string, end: JobEnd): void {
+  private applyEnd(id: string, end: JobEnd): void {
     const waiting = this.dependents.get(id);
     this.dependents.delete(id);
-    this.changed = true;
+    this.areDemandsOutdated = true;
     for (const job of waiting ?? []) {
       if (end.state === 'cancelled') this.cancelWithDependents(job);
-      else this.noteDone(job, id, end);
+      else this.recordPredecessorDone(job, id, end);
     }
   }
 
-  /** Released when the last of them was done; a take-over finds the same moment again. */
-  private noteDone(job: LiveJob, predecessor: string, end: JobEnd): void {
-    const doneAt = this.steady(end.at ?? -Infinity);
-    const { dependencies } = job;
-    const wasLast = dependencies.recordPredecessorDone({
-      id: predecessor,
-      doneAt,
-      revision: end.revision,
-    });
-    if (!wasLast) return;
-    const ageMs = Math.round(this.runtime.now - dependencies.startableAt);
+  private recordPredecessorDone(job: LiveJob, id: string, { at, revision }: JobEnd): void {
+    const doneAt = this.steadyInstant(at ?? -Infinity);
+    const isReleased = job.dependencies.recordPredecessorDone({ id, doneAt, revision });
+    if (!isReleased) return;
+    const ageMs = Math.round(this.runtime.now - job.dependencies.startableAt);
     this.runtime.env.log('debug', { job: job.id, ageMs }, 'job released');
   }
 
-  private steady(at: number): Instant {
-    return this.runtime.now - Math.max(0, this.runtime.wallClock.getTime() - at);
+  /** A time of day on this process's steady clock; at the latest, now. */
+  private steadyInstant(timeOfDayMs: number): Instant {
+    return this.runtime.now - Math.max(0, this.runtime.wallClock.getTime() - timeOfDayMs);
   }
 
   private cancelWithDependents(first: LiveJob): void {
@@ -163,8 +131,3 @@
     }
   }
 }
-
-/** What an ended key says, with the revision that wrote it. */
-export function endOf({ value, version }: { value: EndedValue; version: number }): JobEnd {
-  return { state: value.state, at: value.at, revision: version };
-}
--- a/packages/controller/src/requests/job-requests.ts
+++ b/packages/controller/src/requests/job-requests.ts
@@ -120,8 +120,8 @@
    */
   private replyLive(id: string, answer: Answer): void {
     this.ancestorCheck.check(id, (verdict) => {
-      if (verdict === 'clear') answer(shown(this.liveView(id)));
-      else if (verdict === 'unsure') answer(unsure());
+      if (verdict === 'none_cancelled') answer(shown(this.liveView(id)));
+      else if (verdict === 'unknown') answer(unsure());
       else this.cancel(id, CANCEL_TRIES, answer);
     });
   }
--- a/packages/controller/src/term/job-completion.ts
+++ b/packages/controller/src/term/job-completion.ts
@@ -1,7 +1,7 @@
 /** Commits ends of jobs and progress of tasks. */
 import type { Precondition, Write } from '@tealdock/wire';
 import { priorityRank } from '@tealdock/scheduler';
-import { endOf, type JobEnd } from '../jobs/dependency-graph.js';
+import { endOf, type JobEnd } from '../jobs/job-end-reader.js';
 import { endedKey, endedValue, progressEntry, specKey, type EndedValue } from '../state/keys.js';
 import type { Leadership } from '../leadership/leadership.js';
 import type { LiveJob } from '../jobs/live-job.js';
--- a/packages/controller/src/term/live-jobs.ts
+++ b/packages/controller/src/term/live-jobs.ts
@@ -1,6 +1,7 @@
 /** The live jobs of a term, what they wait for and what of them is stored as done. */
 import type { Leadership } from '../leadership/leadership.js';
-import { DependencyGraph, type JobEnd } from '../jobs/dependency-graph.js';
+import { DependencyGraph } from '../jobs/dependency-graph.js';
+import type { JobEnd } from '../jobs/job-end-reader.js';
 import { LiveJob } from '../jobs/live-job.js';
 import type { Binding } from '../jobs/binding.js';
 import { BoundedSet } from '../runtime/bounded.js';
@@ -50,7 +51,7 @@
     const job = new LiveJob(value.spec, version, this.runtime.now - age);
     this.term.jobs.set(id, job);
     this.graph.add(job);
-    if (this.term.stateLoaded) this.graph.readEnds(job);
+    if (this.term.stateLoaded) this.graph.readPredecessorEnds(job);
     const { jobClass, taskCount, image, imageGb } = value.spec;
     this.runtime.env.log(
       'debug',
@@ -78,7 +79,7 @@
       this.bindings.discard(binding, 'job ended');
       this.bindings.setTerminationDeadline(binding, this.runtime.now);
     }
-    this.graph.ended(job, end);
+    this.graph.remove(job, end);
   }
 
   /** Its job has ended, for good: known from an event, by word, or from a read of its end. */
--- a/packages/controller/src/term/rebuild.ts
+++ b/packages/controller/src/term/rebuild.ts
@@ -41,7 +41,7 @@
         for (const [id, entry] of this.membership.registry.load(registry))
           this.loadMachine(id, entry);
         this.loadJobs(live.items);
-        for (const job of this.term.jobs.values()) this.liveJobs.graph.readEnds(job);
+        for (const job of this.term.jobs.values()) this.liveJobs.graph.readPredecessorEnds(job);
         this.liveJobs.progressStored(this.liveJobs.progress.load(progress));
         this.finishLoad(live.revision);
       });
