--- a/packages/controller/src/autoscaling/autoscaler.ts
+++ b/packages/controller/src/autoscaling/autoscaler.ts
@@ -123,7 +123,7 @@
       const team = this.runtime.settings.teams.find((t) => t.name === job.spec.team);
       const room =
         rest.get(job.spec.team) ??
-        (team?.maxCpus ?? 0) - this.term.ledger.teamUse(job.spec.team).cpus;
+        (team?.maxCpus ?? 0) - this.term.ledger.usageOf(job.spec.team).cpus;
       const most = job.spec.cpus > 0 ? Math.floor(room / job.spec.cpus) : job.unboundTaskCount;
       const tasks = Math.max(0, Math.min(job.unboundTaskCount, most));
       rest.set(job.spec.team, room - tasks * job.spec.cpus);
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -80,7 +80,7 @@
       this.state,
       this.leadership,
       this.peers,
-      (job, done) => lookup.prove(job, done),
+      (job, done) => lookup.proveLiveness(job, done),
     );
     this.heartbeatRequests = new HeartbeatRequests(
       this.runtime,
--- a/packages/controller/src/jobs/ancestor-check.ts
+++ b/packages/controller/src/jobs/ancestor-check.ts
@@ -2,7 +2,7 @@
 import type { Duration, Instant } from '@tealdock/wire';
 import { BoundedMap } from '../runtime/bounded.js';
 import type { Runtime } from '../runtime/runtime.js';
-import type { JobLookup } from './job-lookup.js';
+import { outcomeOf, type JobLookup, type LookupOutcome } from './job-lookup.js';
 
 /**
  * `unknown`: the state service could not be asked, or not about all ancestors at once. What
@@ -28,9 +28,6 @@
   readonly isOneCancelled: boolean;
 }
 
-/** What lookups of some jobs have found: how a job ended, or the kind of result otherwise. */
-type LookupOutcomes = ReadonlySet<string>;
-
 /**
  * Whether any ancestor of a live job was cancelled. Answers come from the ancestors' keys,
  * on whichever node is asked. Checks share what they find: a job that was proven live counts
@@ -60,19 +57,19 @@
     const areAllAsked = asked.length === unproven.length + unread.length;
     this.locateAll(asked, (outcomes) => {
       if (outcomes.has('cancelled')) onResult('cancelled');
-      else if (!areAllAsked || outcomes.has('unsure') || outcomes.has('none')) onResult('unknown');
+      else if (!areAllAsked || outcomes.has('unknown') || outcomes.has('none')) onResult('unknown');
       // The keys that were read may show further ancestors.
       else this.check(id, onResult, readsLeft - unread.length);
     });
   }
 
-  private locateAll(ids: string[], onResult: (outcomes: LookupOutcomes) => void): void {
-    const outcomes = new Set<string>();
+  private locateAll(ids: string[], onResult: (outcomes: ReadonlySet<LookupOutcome>) => void): void {
+    const outcomes = new Set<LookupOutcome>();
     const askedAt = this.runtime.now;
     let pendingCount = ids.length;
     for (const id of ids) {
       this.jobs.locate(id, (result) => {
-        outcomes.add(result.kind === 'ended' ? result.view.state : result.kind);
+        outcomes.add(outcomeOf(result));
         if (result.kind === 'live') this.provenLiveAt.set(id, askedAt);
         pendingCount--;
         if (pendingCount === 0) onResult(outcomes);
--- a/packages/controller/src/jobs/job-lookup.ts
+++ b/packages/controller/src/jobs/job-lookup.ts
@@ -1,4 +1,4 @@
-/** What the state service says of single jobs, read or proven at the lowest cost. */
+/** What the state service says of single jobs, proven or read at the lowest cost. */
 import { isJobId, predecessorsOf, type JobState, type JobView } from '@tealdock/wire';
 import { BoundedMap } from '../runtime/bounded.js';
 import { PRIORITY } from '../runtime/ports.js';
@@ -8,28 +8,39 @@
 import { readEnded, readLive } from '../state/stored-values.js';
 import { LivenessProofs } from './liveness-proofs.js';
 
-/** Final answers that are remembered. */
-const MAX_CACHED = 2000;
+/** Ended jobs whose final view is cached. */
+const MAX_CACHED_JOB_COUNT = 2000;
 
-/** What the state service says of a job; `unsure` when it can't be told. */
+/**
+ * What the keys of a job say. `live`: with the value, null where it can't be decoded, and its
+ * version. `none`: it was never accepted. `unknown`: the state service could not be asked.
+ */
 export type JobLookupResult =
   | { kind: 'live'; value: LiveValue | null; version: number }
   | { kind: 'ended'; view: JobView }
   | { kind: 'none' }
-  | { kind: 'unsure' };
+  | { kind: 'unknown' };
 
-/** Without the value where a proof said that the job is live. */
+/** As `JobLookupResult`; a job that a proof has shown to be live comes without its value. */
 export type JobLocateResult = JobLookupResult | { kind: 'live' };
 
-/** `unsure` also for a job that was never accepted. */
-export type Liveness = 'live' | 'ended' | 'unsure';
+/** How a job has ended, or the kind of result for any other. */
+export type LookupOutcome = JobState | JobLocateResult['kind'];
+
+/** `unknown` also for a job that was never accepted. */
+export type Liveness = 'live' | 'ended' | 'unknown';
+
+/** What one lookup has found, in one word. */
+export const outcomeOf = (result: JobLocateResult): LookupOutcome =>
+  result.kind === 'ended' ? result.view.state : result.kind;
 
 /**
- * Looks jobs up by their keys, after the question has come. Only final answers are cached,
- * since they can't change.
+ * Looks jobs up by their keys, once it is asked for them: a result is never older than the
+ * question. Only ended jobs are cached, since their state can't change. No method throws;
+ * each calls back once, at once if the job is known to have ended.
  */
 export class JobLookup {
-  private readonly ended = new BoundedMap<string, JobView>(MAX_CACHED);
+  private readonly endedJobs = new BoundedMap<string, JobView>(MAX_CACHED_JOB_COUNT);
   private readonly proofs: LivenessProofs;
 
   constructor(
@@ -39,66 +50,66 @@
     this.proofs = new LivenessProofs(runtime, state);
   }
 
-  /** How a job has ended, where that is known here. */
+  /** How a job has ended, where that is cached; undefined for any other. */
   finalState(id: string): JobState | undefined {
-    return this.ended.get(id)?.state;
+    return this.endedJobs.get(id)?.state;
   }
 
-  /** What a live job waits for, as far as this node has read its key. */
+  /** What a live job waits for; undefined if this node has not read its key. */
   predecessorsOf(id: string): string[] | undefined {
     return this.proofs.predecessorsOf(id);
   }
 
-  /** This node has committed the job's key, or read it. */
-  noteLive(id: string, version: number, predecessors: string[]): void {
-    this.proofs.note(id, version, predecessors);
+  /** The job's key has this version: this node has committed it, or read it. */
+  recordLive(id: string, version: number, predecessors: string[]): void {
+    this.proofs.recordVersion(id, version, predecessors);
   }
 
-  /** By a proof shared with others where the job is known to have been live, else by a read. */
-  locate(id: string, done: (known: JobLocateResult) => void): void {
-    const proven = this.proofs.ask(id, (proof) => {
-      if (proof === 'changed') this.read(id, done);
-      else done(proof === 'live' ? { kind: 'live' } : { kind: 'unsure' });
-    });
-    if (!proven) this.read(id, done);
+  /** This node has committed the job's ended key, or read it. Returns the job's final view. */
+  recordEnded(id: string, state: EndedValue['state'], taskCount: number): JobView {
+    const counts = state === 'done' ? { done: taskCount, running: 0 } : {};
+    const view: JobView = { id, state, ...counts };
+    this.proofs.forget(id);
+    this.endedJobs.set(id, view);
+    return view;
   }
 
-  /** Whether the job was live at some moment after this was asked, or is over for good. */
-  prove(id: string, done: (proof: Liveness) => void): void {
-    this.locate(id, ({ kind }) => done(kind === 'none' ? 'unsure' : kind));
+  /** By a proof shared with other callers if the job's version is known, else by a read. */
+  locate(id: string, onResult: (result: JobLocateResult) => void): void {
+    const isProofPending = this.proofs.request(id, (proof) => {
+      if (proof === 'changed') this.read(id, onResult);
+      else onResult(proof === 'live' ? { kind: 'live' } : { kind: 'unknown' });
+    });
+    if (!isProofPending) this.read(id, onResult);
   }
 
-  /** Live first, then ended: a job moves only from the one to the other. */
-  read(id: string, done: (known: JobLookupResult) => void): void {
-    const cached = this.ended.get(id);
-    if (cached) return done({ kind: 'ended', view: cached });
-    if (!isJobId(id)) return done({ kind: 'none' });
-    this.state.get(specKey(id), PRIORITY.user, (got) => {
-      if (got.kind === 'failed') return done({ kind: 'unsure' });
-      if (got.kind === 'missing') return this.lookEnded(id, done);
-      const { version } = got.item;
-      // Known by its key, also where the value can't be read.
-      const value = this.state.decode(got.item, readLive);
-      this.noteLive(id, version, value ? predecessorsOf(value.spec) : []);
-      done({ kind: 'live', value, version });
-    });
+  /** Whether the job was live at some moment after the call, or has ended for good. */
+  proveLiveness(id: string, onResult: (liveness: Liveness) => void): void {
+    this.locate(id, ({ kind }) => onResult(kind === 'none' ? 'unknown' : kind));
   }
 
-  private lookEnded(id: string, done: (known: JobLookupResult) => void): void {
-    this.state.getValue(endedKey(id), readEnded, PRIORITY.user, (got) => {
-      if (got.kind === 'failed') return done({ kind: 'unsure' });
-      if (got.kind === 'missing') return done({ kind: 'none' });
-      const { state, spec } = got.value;
-      done({ kind: 'ended', view: this.noteEnded(id, state, spec.taskCount) });
+  /** Reads the live key, then the ended one: a job moves only from the one to the other. */
+  read(id: string, onResult: (result: JobLookupResult) => void): void {
+    const cached = this.endedJobs.get(id);
+    if (cached) return onResult({ kind: 'ended', view: cached });
+    if (!isJobId(id)) return onResult({ kind: 'none' });
+    this.state.get(specKey(id), PRIORITY.user, (read) => {
+      if (read.kind === 'failed') return onResult({ kind: 'unknown' });
+      if (read.kind === 'missing') return this.readEndedKey(id, onResult);
+      const { version } = read.item;
+      // The key alone shows that the job is live, whether or not its value can be decoded.
+      const value = this.state.decode(read.item, readLive);
+      this.recordLive(id, version, value ? predecessorsOf(value.spec) : []);
+      onResult({ kind: 'live', value, version });
     });
   }
 
-  /** Its ended key was read, or committed by this node. */
-  noteEnded(id: string, state: EndedValue['state'], tasks: number): JobView {
-    const counts = state === 'done' ? { done: tasks, running: 0 } : {};
-    const view: JobView = { id, state, ...counts };
-    this.proofs.forget(id);
-    this.ended.set(id, view);
-    return view;
+  private readEndedKey(id: string, onResult: (result: JobLookupResult) => void): void {
+    this.state.getValue(endedKey(id), readEnded, PRIORITY.user, (read) => {
+      if (read.kind === 'failed') return onResult({ kind: 'unknown' });
+      if (read.kind === 'missing') return onResult({ kind: 'none' });
+      const { state, spec } = read.value;
+      onResult({ kind: 'ended', view: this.recordEnded(id, state, spec.taskCount) });
+    });
   }
 }
--- a/packages/controller/src/jobs/liveness-proofs.ts
+++ b/packages/controller/src/jobs/liveness-proofs.ts
@@ -1,112 +1,120 @@
-/** Proofs that jobs are live, shared by many polls. */
-import type { Precondition } from '@tealdock/wire';
-import { specKey } from '../state/keys.js';
+/** Proofs that jobs are live, one transaction for many questions. */
+import type { Duration, Precondition } from '@tealdock/wire';
+import { BoundedMap } from '../runtime/bounded.js';
 import type { Runtime } from '../runtime/runtime.js';
+import { specKey } from '../state/keys.js';
 import type { StateStore } from '../state/state-store.js';
-import { BoundedMap } from '../runtime/bounded.js';
 
-/** Polls that arrive within this time share a proof. */
-const GATHER = 40;
-const MOST_KNOWN = 5000;
-/** A transaction may have this many times as many conditions as changes. */
-const GUARDS_A_WRITE = 4;
-/** Users give a poll up after 2 s. */
-const TIMEOUT = 1200;
+/** Questions that arrive within this time share a proof. */
+const BATCH_DELAY_MS: Duration = 40;
+/** Users give up a poll after 2 s. */
+const COMPARE_TIMEOUT_MS: Duration = 1200;
+/** The state service takes this many preconditions for each write that it takes. */
+const PRECONDITIONS_PER_WRITE_COUNT = 4;
+const MAX_KNOWN_JOB_COUNT = 5000;
 
-/** `live`: its key still had the version known. `changed`: it had not. */
-export type Proof = 'live' | 'changed' | 'unsure';
+/** `live`: the job's key still has the version that was known. `changed`: it has not. */
+type LivenessProof = 'live' | 'changed' | 'unknown';
 
-interface Known {
-  version: number;
-  predecessors: string[];
+type OnProof = (proof: LivenessProof) => void;
+
+/** A live job's key as this node last read or wrote it. */
+interface KnownKey {
+  readonly version: number;
+  readonly predecessors: string[];
 }
 
 /**
- * Polls about one job, and the version that its key had when the first of them came. The
- * job may be forgotten before they are compared: a key that is gone must not look the same.
+ * Questions about one job, with the version that its key had when the first of them came. The
+ * job may be forgotten before the comparison: a key that is gone must not look the same.
  */
 interface PendingProof {
-  job: string;
-  version: number;
-  polls: ((proof: Proof) => void)[];
+  readonly job: string;
+  readonly version: number;
+  readonly callbacks: OnProof[];
 }
 
 /**
- * Proves for many polls at once that their jobs are live: one transaction without
- * changes compares the versions of their keys. It is sent after the polls have
- * arrived, so its answer is never older than what any user was told before.
+ * Proves for many questions at once that their jobs are live: a transaction without writes
+ * compares the versions of their keys. It is sent after the questions have come, so its
+ * result is never older than what any user was told before.
  */
 export class LivenessProofs {
-  /** Live jobs' keys, as this node last read or wrote them. */
-  private readonly known = new BoundedMap<string, Known>(MOST_KNOWN);
-  private waiting = new Map<string, PendingProof>();
-  private planned = false;
+  private readonly knownKeys = new BoundedMap<string, KnownKey>(MAX_KNOWN_JOB_COUNT);
+  private pending = new Map<string, PendingProof>();
+  private isBatchScheduled = false;
 
   constructor(
     private readonly runtime: Runtime,
     private readonly state: StateStore,
   ) {}
 
-  note(job: string, version: number, predecessors: string[]): void {
-    this.known.set(job, { version, predecessors });
+  /** The job's key was read or written by this node. */
+  recordVersion(job: string, version: number, predecessors: string[]): void {
+    this.knownKeys.set(job, { version, predecessors });
   }
 
+  /** The job's key is not known any more; proofs under way still compare the old version. */
   forget(job: string): void {
-    this.known.delete(job);
+    this.knownKeys.delete(job);
   }
 
-  /** What a live job waits for, as far as this node has read its key. */
+  /** What a live job waits for; undefined if no version of its key is known. */
   predecessorsOf(job: string): string[] | undefined {
-    return this.known.get(job)?.predecessors;
+    return this.knownKeys.get(job)?.predecessors;
   }
 
-  /** False where no version is known, so that the key has to be read. */
-  ask(job: string, done: (proof: Proof) => void): boolean {
-    const version = this.known.get(job)?.version;
+  /**
+   * Calls back once, after the next batch. Returns false, and never calls back, if no version
+   * of the job's key is known: the key has to be read.
+   */
+  request(job: string, onProof: OnProof): boolean {
+    const version = this.knownKeys.get(job)?.version;
     if (version === undefined) return false;
-    const asked = this.waiting.get(job) ?? { job, version, polls: [] };
-    asked.polls.push(done);
-    this.waiting.set(job, asked);
-    this.plan();
+    const proof = this.pending.get(job) ?? { job, version, callbacks: [] };
+    proof.callbacks.push(onProof);
+    this.pending.set(job, proof);
+    this.scheduleBatch();
     return true;
   }
 
-  private plan(): void {
-    if (this.planned) return;
-    this.planned = true;
-    this.runtime.after(GATHER, () => {
-      this.planned = false;
-      this.prove();
+  private scheduleBatch(): void {
+    if (this.isBatchScheduled) return;
+    this.isBatchScheduled = true;
+    this.runtime.after(BATCH_DELAY_MS, () => {
+      this.isBatchScheduled = false;
+      this.provePending();
     });
   }
 
-  private prove(): void {
-    const all = [...this.waiting.values()];
-    this.waiting = new Map();
-    const most = this.runtime.settings.state.maxTransactionWrites * GUARDS_A_WRITE;
-    for (let at = 0; at < all.length; at += most) this.compare(all.slice(at, at + most));
+  private provePending(): void {
+    const proofs = [...this.pending.values()];
+    this.pending = new Map();
+    const { maxTransactionWrites } = this.runtime.settings.state;
+    const limit = maxTransactionWrites * PRECONDITIONS_PER_WRITE_COUNT;
+    for (let at = 0; at < proofs.length; at += limit) this.compare(proofs.slice(at, at + limit));
   }
 
   private compare(batch: PendingProof[]): void {
-    const guards: Precondition[] = batch.map(({ job, version }) => ({
+    const preconditions: Precondition[] = batch.map(({ job, version }) => ({
       key: specKey(job),
       version,
     }));
-    this.state.compare(guards, TIMEOUT, (compared) => {
-      if (compared.kind === 'equal') return this.settle(batch, 'live');
-      if (compared.kind === 'unsure') return this.settle(batch, 'unsure');
-      const changed = new Set(compared.failed);
-      const gone = batch.filter(({ job }) => changed.has(specKey(job)));
-      const rest = batch.filter(({ job }) => !changed.has(specKey(job)));
-      for (const { job } of gone) this.forget(job);
-      this.settle(gone, 'changed');
-      // Nothing says that the list of what failed is whole: the others are asked again.
-      if (rest.length > 0 && gone.length > 0) this.compare(rest);
-      else this.settle(rest, 'unsure');
+    this.state.compare(preconditions, COMPARE_TIMEOUT_MS, (result) => {
+      if (result.kind === 'equal') return finish(batch, 'live');
+      if (result.kind === 'unsure') return finish(batch, 'unknown');
+      const changedKeys = new Set(result.failed);
+      const changed = batch.filter(({ job }) => changedKeys.has(specKey(job)));
+      const others = batch.filter(({ job }) => !changedKeys.has(specKey(job)));
+      for (const { job } of changed) this.forget(job);
+      finish(changed, 'changed');
+      // The list of changed keys need not be complete, so the others are compared again.
+      if (others.length > 0 && changed.length > 0) this.compare(others);
+      else finish(others, 'unknown');
     });
   }
+}
 
-  private settle(batch: PendingProof[], proof: Proof): void {
-    for (const { polls } of batch) for (const done of polls) done(proof);
-  }
+function finish(batch: PendingProof[], result: LivenessProof): void {
+  for (const { callbacks } of batch) for (const onProof of callbacks) onProof(result);
 }
--- a/packages/controller/src/leadership/delegated-renewal.ts
+++ b/packages/controller/src/leadership/delegated-renewal.ts
@@ -127,7 +127,7 @@
       this.prove(job, (proof) => {
         if (proof === 'live') this.proven.set(job, asked);
         if (proof === 'ended') ended.add(job);
-        sure &&= proof !== 'unsure';
+        sure &&= proof !== 'unknown';
         if (--left === 0) done(sure ? ended : null);
       });
     }
--- a/packages/controller/src/machines/usage-ledger.ts
+++ b/packages/controller/src/machines/usage-ledger.ts
@@ -1,68 +1,76 @@
-/** Sums over bindings: by team and by zone. */
+/** Sums over all bindings, by team and by zone. */
 import { NO_RESOURCES, subtractResources, addResources, type Resources } from '@tealdock/scheduler';
 import type { Binding } from '../jobs/binding.js';
 
-interface TeamSums {
-  /** Everything bound to the team, the unproven too. */
-  bound: Resources;
+/** What one team uses. */
+interface TeamUsage {
+  /** Of all its bindings, also those whose start may have been lost. */
+  readonly bound: Resources;
   /** The part of it that is being stopped. */
-  stopping: Resources;
+  readonly stopping: Resources;
 }
 
-const NO_SUMS: TeamSums = { bound: NO_RESOURCES, stopping: NO_RESOURCES };
+const NO_USAGE: TeamUsage = { bound: NO_RESOURCES, stopping: NO_RESOURCES };
 const NO_ZONES: ReadonlyMap<string, number> = new Map();
 
 /**
- * Sums over all bindings, kept as bindings come and go: with thousands of them,
- * adding them up for each decision would take longer than the decisions.
+ * Sums over all bindings, kept as bindings come, change and go: adding up thousands of them
+ * for each decision would take longer than the decisions. Bindings whose job has to be
+ * looked up stand under the empty team, without resources.
  */
 export class UsageLedger {
-  private readonly teams = new Map<string, TeamSums>();
-  private readonly zones = new Map<string, Map<string, number>>();
+  private readonly teams = new Map<string, TeamUsage>();
+  /** Bindings by zone, by job. */
+  private readonly zoneCounts = new Map<string, Map<string, number>>();
 
+  /** A binding has begun on a machine in this zone. */
   add(binding: Binding, zone: string): void {
-    this.count(binding, addResources);
-    const zones = this.zones.get(binding.job) ?? new Map<string, number>();
-    zones.set(zone, (zones.get(zone) ?? 0) + 1);
-    this.zones.set(binding.job, zones);
+    this.updateTeam(binding, addResources);
+    const counts = this.zoneCounts.get(binding.job) ?? new Map<string, number>();
+    counts.set(zone, (counts.get(zone) ?? 0) + 1);
+    this.zoneCounts.set(binding.job, counts);
   }
 
+  /** A binding that was added with this zone has ended. */
   remove(binding: Binding, zone: string): void {
-    this.count(binding, subtractResources);
-    const zones = this.zones.get(binding.job);
-    if (!zones) return;
-    const left = (zones.get(zone) ?? 0) - 1;
-    if (left > 0) zones.set(zone, left);
-    else zones.delete(zone);
-    if (zones.size === 0) this.zones.delete(binding.job);
+    this.updateTeam(binding, subtractResources);
+    const counts = this.zoneCounts.get(binding.job);
+    if (!counts) return;
+    const count = (counts.get(zone) ?? 0) - 1;
+    if (count > 0) counts.set(zone, count);
+    else counts.delete(zone);
+    if (counts.size === 0) this.zoneCounts.delete(binding.job);
   }
 
   /** Applies a change of a binding's team, resources or stop request. */
-  change(binding: Binding, apply: () => void): void {
-    this.count(binding, subtractResources);
+  applyChange(binding: Binding, apply: () => void): void {
+    this.updateTeam(binding, subtractResources);
     apply();
-    this.count(binding, addResources);
+    this.updateTeam(binding, addResources);
   }
 
-  teamUse(team: string): Resources {
-    return (this.teams.get(team) ?? NO_SUMS).bound;
+  /** Resources of all the team's bindings. */
+  usageOf(team: string): Resources {
+    return (this.teams.get(team) ?? NO_USAGE).bound;
   }
 
-  /** What stays bound to a team once all that is being stopped is gone. */
-  teamStaying(team: string): Resources {
-    const sums = this.teams.get(team) ?? NO_SUMS;
-    return subtractResources(sums.bound, sums.stopping);
+  /** What the team uses once all that is being stopped is gone. */
+  usageAfterStops(team: string): Resources {
+    const usage = this.teams.get(team) ?? NO_USAGE;
+    return subtractResources(usage.bound, usage.stopping);
   }
 
-  zonesOf(job: string): ReadonlyMap<string, number> {
-    return this.zones.get(job) ?? NO_ZONES;
+  /** How many bindings a job has in each zone; zones without one are absent. */
+  zoneCountsOf(job: string): ReadonlyMap<string, number> {
+    return this.zoneCounts.get(job) ?? NO_ZONES;
   }
 
-  private count(binding: Binding, operation: typeof addResources): void {
-    const sums = this.teams.get(binding.team) ?? NO_SUMS;
+  private updateTeam(binding: Binding, operation: typeof addResources): void {
+    const usage = this.teams.get(binding.team) ?? NO_USAGE;
+    const { resources } = binding;
     this.teams.set(binding.team, {
-      bound: operation(sums.bound, binding.resources),
-      stopping: binding.stopRequest ? operation(sums.stopping, binding.resources) : sums.stopping,
+      bound: operation(usage.bound, resources),
+      stopping: binding.stopRequest ? operation(usage.stopping, resources) : usage.stopping,
     });
   }
 }
--- a/packages/controller/src/placement/preemption.ts
+++ b/packages/controller/src/placement/preemption.ts
@@ -131,7 +131,7 @@
   private borrows(other: LiveJob): boolean {
     const team = this.runtime.settings.teams.find((t) => t.name === other.spec.team);
     if (!team) return false;
-    const left = subtractResources(this.term.ledger.teamStaying(team.name), this.wanted);
+    const left = subtractResources(this.term.ledger.usageAfterStops(team.name), this.wanted);
     return left.cpus >= team.cpus && left.gpus >= team.gpus;
   }
 }
--- a/packages/controller/src/placement/scheduling-cycle.ts
+++ b/packages/controller/src/placement/scheduling-cycle.ts
@@ -87,7 +87,7 @@
   }
 
   private allowed(job: LiveJob, machines: MachineCapacity[]): MachineCapacity[] {
-    return allowedMachines(job, machines, this.term.ledger.zonesOf(job.id));
+    return allowedMachines(job, machines, this.term.ledger.zoneCountsOf(job.id));
   }
 }
 
--- a/packages/controller/src/placement/team-capacity.ts
+++ b/packages/controller/src/placement/team-capacity.ts
@@ -46,7 +46,7 @@
     if (!team) return false;
     const promised = this.reservedByTeam.get(team.name) ?? NO_RESOURCES;
     const after = addResources(
-      addResources(this.term.ledger.teamUse(team.name), promised),
+      addResources(this.term.ledger.usageOf(team.name), promised),
       resourcesOf(job.spec),
     );
     return after.cpus <= team.cpus && after.gpus <= team.gpus;
@@ -58,7 +58,7 @@
   }
 
   limitUse(team: string): Resources {
-    return addResources(this.term.ledger.teamUse(team), this.unaccounted);
+    return addResources(this.term.ledger.usageOf(team), this.unaccounted);
   }
 
   private sumUnaccounted(): Resources {
--- a/packages/controller/src/requests/job-requests.ts
+++ b/packages/controller/src/requests/job-requests.ts
@@ -14,7 +14,12 @@
 import type { Catalog } from '../machines/catalog.js';
 import { endedKey, endedValue, fitsValue, specKey, type LiveValue } from '../state/keys.js';
 import { AncestorCheck } from '../jobs/ancestor-check.js';
-import type { JobLookup, JobLocateResult } from '../jobs/job-lookup.js';
+import {
+  outcomeOf,
+  type JobLookup,
+  type JobLocateResult,
+  type LookupOutcome,
+} from '../jobs/job-lookup.js';
 import type { JobCounts, Peers } from '../peers/peers.js';
 import { PRIORITY, type HttpRequest, type Reply } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
@@ -107,7 +112,7 @@
   }
 
   private replyFor(id: string, known: JobLocateResult, none: Reply, answer: Answer): void {
-    if (known.kind === 'unsure') answer(unsure());
+    if (known.kind === 'unknown') answer(unsure());
     else if (known.kind === 'none') answer(none);
     else if (known.kind === 'ended') answer(shown(known.view));
     else this.replyLive(id, answer);
@@ -162,17 +167,17 @@
   /** Each has to have been accepted, and to be known to have been, by its key. */
   private checkPredecessors(spec: JobSpec, answer: Answer): void {
     const predecessors = predecessorsOf(spec);
-    const found = new Set<string>();
+    const found = new Set<LookupOutcome>();
     let left = predecessors.length;
     if (left === 0) return this.accept(spec, false, answer);
     for (const id of predecessors) {
       this.lookup.locate(id, (known) => {
-        found.add(known.kind === 'ended' ? known.view.state : known.kind);
+        found.add(outcomeOf(known));
         if (--left > 0) return;
         if (found.has('none')) {
           return this.judge(spec.id, refuse(422, 'waits_on: names an unknown job'), answer);
         }
-        if (found.has('unsure')) return this.judge(spec.id, unsure(), answer);
+        if (found.has('unknown')) return this.judge(spec.id, unsure(), answer);
         this.accept(spec, found.has('cancelled'), answer);
       });
     }
@@ -196,8 +201,8 @@
       if (committed.kind === 'ok') {
         this.runtime.env.log('info', { job: spec.id, tasks: spec.taskCount }, 'job accepted');
         if (predecessorCancelled)
-          return answer(shown(this.lookup.noteEnded(spec.id, 'cancelled', 0), 201));
-        this.lookup.noteLive(spec.id, committed.revision, predecessorsOf(spec));
+          return answer(shown(this.lookup.recordEnded(spec.id, 'cancelled', 0), 201));
+        this.lookup.recordLive(spec.id, committed.revision, predecessorsOf(spec));
         return answer(shown({ id: spec.id, state: 'queued' }, 201));
       }
       // Known already, or by an earlier commit of this request that got no answer.
@@ -210,7 +215,7 @@
 
   private cancel(id: string, tries: number, answer: Answer): void {
     this.lookup.read(id, (known) => {
-      if (known.kind === 'unsure' || tries === 0) return answer(unsure());
+      if (known.kind === 'unknown' || tries === 0) return answer(unsure());
       if (known.kind === 'none') return answer(refuse(404, 'no such job'));
       if (known.kind === 'ended') return answer(shown({ id, state: known.view.state }));
       if (!known.value) return answer(unsure());
--- a/packages/controller/src/term/bindings.ts
+++ b/packages/controller/src/term/bindings.ts
@@ -137,7 +137,7 @@
 
   /** For bindings only: their transitions call it. */
   applyUsageChange(binding: Binding, apply: () => void): void {
-    this.term.ledger.change(binding, apply);
+    this.term.ledger.applyChange(binding, apply);
     this.term.machines.get(binding.machine)?.usage.invalidate();
   }
 
