--- a/packages/controller/src/jobs/job-end-reader.ts
+++ b/packages/controller/src/jobs/job-end-reader.ts
@@ -2,9 +2,9 @@
 import type { Duration } from '@tealdock/wire';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
-import { endedKey, type EndedValue } from '../state/keys.js';
+import { endedKey } from '../state/keys.js';
 import type { StateStore } from '../state/state-store.js';
-import { readEnded } from '../state/stored-values.js';
+import { readEnded, type EndedValue } from '../state/stored-values.js';
 
 const READ_RETRY_MS: Duration = 400;
 /** A new term may need hundreds of ends, and has other things to read. */
--- a/packages/controller/src/jobs/liveness-proofs.ts
+++ b/packages/controller/src/jobs/liveness-proofs.ts
@@ -102,8 +102,8 @@
     }));
     this.state.compare(preconditions, COMPARE_TIMEOUT_MS, (result) => {
       if (result.kind === 'equal') return finish(batch, 'live');
-      if (result.kind === 'unsure') return finish(batch, 'unknown');
-      const changedKeys = new Set(result.failed);
+      if (result.kind === 'unknown') return finish(batch, 'unknown');
+      const changedKeys = new Set(result.changedKeys);
       const changed = batch.filter(({ job }) => changedKeys.has(specKey(job)));
       const others = batch.filter(({ job }) => !changedKeys.has(specKey(job)));
       for (const { job } of changed) this.forget(job);
--- a/packages/controller/src/term/rebuild.ts
+++ b/packages/controller/src/term/rebuild.ts
@@ -2,13 +2,8 @@
 import type { StateItem } from '@tealdock/wire';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
-import {
-  LIVE_PREFIX,
-  PROGRESS_PREFIX,
-  REGISTRY_PREFIX,
-  splitLiveKey,
-  type RegistryEntry,
-} from '../state/keys.js';
+import { LIVE_PREFIX, PROGRESS_PREFIX, REGISTRY_PREFIX, splitLiveKey } from '../state/keys.js';
+import type { RegistryEntry } from '../state/stored-values.js';
 import type { StateStore } from '../state/state-store.js';
 import type { JobWatch } from './job-watch.js';
 import type { LiveJobs } from './live-jobs.js';
@@ -35,7 +30,7 @@
       if (!registry || !progress) return retry();
       const asked = this.runtime.now;
       this.state.readAll(LIVE_PREFIX, PRIORITY.leader, (live) => {
-        if (!live) return retry();
+        if (live.kind === 'failed') return retry();
         if (this.term.closed) return;
         this.watch.cancellationsKnownUntil = asked;
         for (const [id, entry] of this.membership.registry.load(registry))
@@ -52,9 +47,9 @@
     done: (registry: StateItem[] | null, progress: StateItem[] | null) => void,
   ): void {
     this.state.readAll(REGISTRY_PREFIX, PRIORITY.leader, (registry) => {
-      if (!registry) return done(null, null);
+      if (registry.kind === 'failed') return done(null, null);
       this.state.readAll(PROGRESS_PREFIX, PRIORITY.leader, (progress) =>
-        done(registry.items, progress?.items ?? null),
+        done(registry.items, progress.kind === 'ok' ? progress.items : null),
       );
     });
   }
--- a/packages/testing/src/deployments.ts
+++ b/packages/testing/src/scenarios/deployments.ts
@@ -1,10 +1,10 @@
 /** Tests that run with the times of each deployment. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { running, settled } from './scenario.js';
-import type { ClusterOptions, DeploymentTimes } from './cluster-options.js';
-import type { SimulatedCluster } from './simulated-cluster.js';
-import { job } from './small-job.js';
+import { running, settled } from './steps.js';
+import type { ClusterOptions, DeploymentTimes } from '../simulation/cluster-options.js';
+import type { SimulatedCluster } from '../simulation/simulated-cluster.js';
+import { job } from '../simulation/small-job.js';
 
 /** Times of the deployments that tealdock was built for, in ms. */
 const DEPLOYMENTS: Record<string, DeploymentTimes> = {
@@ -43,7 +43,7 @@
 ): SimulatedCluster {
   const cluster = start(times, options);
   for (let n = 1; n <= jobs; n++) {
-    cluster.submit(job(n, { batch: tasks, expected_s: 150, ...over }), cluster.nodes[n % 3]!);
+    cluster.submit(job(n, { batch: tasks, expected_s: 150, ...over }), cluster.nodeNames[n % 3]!);
   }
   assert.ok(cluster.runUntil(() => running(cluster) === jobs * tasks, 40_000));
   return cluster;
--- a/packages/testing/src/authority.test.ts
+++ b/packages/testing/src/unit/authority.test.ts
@@ -9,9 +9,9 @@
   type Knowledge,
   type StartTarget,
 } from '@tealdock/controller';
-import { job } from './index.js';
-import { settingsFor } from './cluster-options.js';
-import { A, cancelled, settled, violations } from './scenario.js';
+import { job } from '../index.js';
+import { settingsFor } from '../simulation/cluster-options.js';
+import { A, cancelled, settled, violations } from '../scenarios/steps.js';
 
 const NOW = 100_000;
 const READY: StartTarget = { isRegistered: true, isReconciled: true, isReturning: false };
@@ -108,7 +108,7 @@
     packBody({ ...place, shift: 1, tally, fence, warning_s: null, batch: [task] });
   const limit = cluster.now() + cluster.times.cancellationLimit;
   for (let tally = 1; cluster.now() < limit + 10_000; tally++) {
-    cluster.raw(leader, 'POST', '/hello', report(tally));
+    cluster.request(leader, 'POST', '/hello', report(tally));
     if (cluster.now() < limit - 5000) assert.deepEqual(violations(cluster), []);
     cluster.run(2000);
   }
