--- a/packages/controller/src/machines/catalog.ts
+++ b/packages/controller/src/machines/catalog.ts
@@ -1,24 +1,25 @@
 /** Machine types that the cloud offers. */
-import { CATALOG_PATH, parseCatalog, type MachineType } from '@tealdock/wire';
-import { readMachineType } from '../state/stored-values.js';
-import { CATALOG_PREFIX, typeKey } from '../state/keys.js';
+import { CATALOG_PATH, parseCatalog, type Duration, type MachineType } from '@tealdock/wire';
 import type { Leadership } from '../leadership/leadership.js';
 import { parseResponse } from '../runtime/call-results.js';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
+import { CATALOG_PREFIX, typeKey } from '../state/keys.js';
 import type { StateStore } from '../state/state-store.js';
+import { readMachineType } from '../state/stored-values.js';
 
-const REFRESH = 30_000;
-const RETRY = 2000;
-const TIMEOUT = 2500;
+const REFRESH_INTERVAL_MS: Duration = 30_000;
+const RETRY_DELAY_MS: Duration = 2000;
+const CLOUD_CALL_TIMEOUT_MS: Duration = 2500;
 
 /**
- * Machine types as the cloud last told them. The leader keeps them in the state
- * service, so that a cloud outage at start does not stop acceptance.
+ * Machine types as the cloud last listed them. The leader stores them in the state service, so
+ * that submissions can be checked after a start during an outage of the cloud.
  */
 export class Catalog {
-  types: MachineType[] = [];
-  private stored = '';
+  private currentTypes: MachineType[] = [];
+  /** What the leader has stored, as `offerOf` describes it; empty before that. */
+  private storedOffer = '';
 
   constructor(
     private readonly runtime: Runtime,
@@ -26,10 +27,17 @@
     private readonly leadership: Leadership,
   ) {}
 
-  get known(): boolean {
-    return this.types.length > 0;
+  /** False until the types have been read from the cloud or from the state service. */
+  get isKnown(): boolean {
+    return this.currentTypes.length > 0;
+  }
+
+  /** Empty until the catalog is known. */
+  get types(): MachineType[] {
+    return this.currentTypes;
   }
 
+  /** Reads the stored types, and those of the cloud from now on at regular intervals. */
   start(): void {
     this.readStored();
     this.refresh();
@@ -42,41 +50,47 @@
       method: 'GET',
       path: CATALOG_PATH,
       body: null,
+      priority: PRIORITY.background,
+      writes: 0,
+      timeout: CLOUD_CALL_TIMEOUT_MS,
     };
-    this.runtime.call(
-      { ...call, priority: PRIORITY.background, writes: 0, timeout: TIMEOUT },
-      (result) => {
-        const types = parseResponse(result, parseCatalog);
-        if (types && types.length > 0) this.take(types);
-        this.runtime.after(types ? REFRESH : RETRY, () => this.refresh());
-      },
-    );
+    this.runtime.call(call, (result) => {
+      const types = parseResponse(result, parseCatalog);
+      if (types && types.length > 0) this.update(types);
+      this.runtime.after(types ? REFRESH_INTERVAL_MS : RETRY_DELAY_MS, () => this.refresh());
+    });
   }
 
-  private take(types: MachineType[]): void {
-    this.types = types;
+  private update(types: MachineType[]): void {
+    this.currentTypes = types;
     if (!this.leadership.validLease()) return;
-    // Prices move all the time; only a change of what is offered is kept.
-    const shape = types.map((t) => `${t.name}:${t.cpus}:${t.memoryGb}:${t.zones.join()}`).join();
-    if (shape === this.stored) return;
-    const most = this.runtime.settings.state.maxTransactionWrites;
-    const writes = types.slice(0, most).map((t) => ({ put: typeKey(t.name), value: t }));
-    this.state.compareAndSwap(
-      [this.leadership.leaderPrecondition()],
-      writes,
-      PRIORITY.background,
-      (committed) => {
-        if (committed.kind === 'ok') this.stored = shape;
-      },
-    );
+    const offer = offerOf(types);
+    if (offer !== this.storedOffer) this.store(types, offer);
+  }
+
+  /** Stores as many types as one transaction takes. */
+  private store(types: MachineType[], offer: string): void {
+    const limit = this.runtime.settings.state.maxTransactionWrites;
+    const writes = types.slice(0, limit).map((type) => ({ put: typeKey(type.name), value: type }));
+    const preconditions = [this.leadership.leaderPrecondition()];
+    this.state.compareAndSwap(preconditions, writes, PRIORITY.background, (commit) => {
+      if (commit.kind === 'ok') this.storedOffer = offer;
+    });
   }
 
   private readStored(): void {
-    this.state.readAll(CATALOG_PREFIX, PRIORITY.leader, (all) => {
-      if (this.known) return;
-      if (all.kind === 'failed' || all.items.length === 0)
-        return this.runtime.after(RETRY, () => this.readStored());
-      this.types = all.items.flatMap((item) => this.state.decode(item, readMachineType) ?? []);
+    this.state.readAll(CATALOG_PREFIX, PRIORITY.leader, (read) => {
+      if (this.isKnown) return;
+      if (read.kind === 'failed' || read.items.length === 0)
+        return this.runtime.after(RETRY_DELAY_MS, () => this.readStored());
+      this.currentTypes = read.items.flatMap(
+        (item) => this.state.decode(item, readMachineType) ?? [],
+      );
     });
   }
 }
+
+/** What is offered, without the prices: these change all the time and are not worth a write. */
+function offerOf(types: MachineType[]): string {
+  return types.map((t) => `${t.name}:${t.cpus}:${t.memoryGb}:${t.zones.join()}`).join();
+}
--- a/packages/controller/src/machines/lease-expiry.ts
+++ b/packages/controller/src/machines/lease-expiry.ts
@@ -1,28 +1,24 @@
-/** When a worker's lease is surely over. */
-import type { Instant, StateItem } from '@tealdock/wire';
-import { GRANT_DURATION_MS } from '../leadership/delegation-grants.js';
-import { GRANT_PREFIX } from '../state/keys.js';
-import { readGrant } from '../state/stored-values.js';
-import type { Machine } from './machine.js';
+/** Finds out when workers' leases have surely expired. */
+import type { Duration, Instant } from '@tealdock/wire';
+import { maxOnOtherClock } from '../runtime/clock-drift.js';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
+import { GRANT_PREFIX } from '../state/keys.js';
 import type { StateStore } from '../state/state-store.js';
-import { maxOnOtherClock } from '../runtime/clock-drift.js';
-
-/** For answers under way. */
-const LEASE_MARGIN = 1500;
-/** A grant that was asked for this long ago is over; the rest is for clocks that are off. */
-const GRANT_STALE_AFTER = 60_000;
+import type { Machine } from './machine.js';
+import { ObservedGrants } from './observed-grants.js';
 
+/** Time that a response, which renews the lease, may be on its way to the worker. */
+const RESPONSE_DELAY_MARGIN_MS: Duration = 1500;
 /**
- * Grants are read this often while some machine has not been heard for a while: one that is
- * seen late is taken to have begun late, and puts off the end of all unheard machines' leases.
+ * Grants are read this often while a machine is late: a grant counts from when it is first
+ * seen, and one that is seen late puts off the expiry of all late machines' leases.
  */
-const READ_GRANTS_EVERY = 3000;
-/** Reports that a machine has missed when it counts as not heard for a while. */
-const MISSED_REPORTS = 2;
+const GRANT_READ_INTERVAL_MS: Duration = 3000;
+/** A machine is late once this many heartbeats are missing. */
+const MISSED_HEARTBEAT_COUNT = 2;
 
-/** What it has to know of a term. */
+/** The part of a term that lease expiry reads. */
 interface RegisteredMachines {
   readonly machines: ReadonlyMap<string, Machine>;
   readonly electedAt: Instant;
@@ -30,89 +26,72 @@
 }
 
 /**
- * Finds machines whose lease is surely over. A worker without an answer for its whole
- * lease has killed all its tasks; another node may have answered it under a grant, so
- * grants are read first. One that this read does not show was given after the lease
- * was over (docs/safety.md).
+ * Finds machines whose lease has surely expired. A worker without a response for its whole
+ * lease has killed all its tasks. Another node may have renewed the lease under a grant, so
+ * grants are read first; one that this read does not show was given after the lease had
+ * expired (docs/safety.md).
  */
 export class LeaseExpiry {
-  /** Until when any node may have kept workers under a grant. */
-  private delegatedUntil: Instant = -Infinity;
-  private readonly grantsSeen = new Map<string, number>();
-  private reading = false;
-  private lastRead: Instant = -Infinity;
+  private readonly grants: ObservedGrants;
+  private isReading = false;
+  private lastReadAt: Instant = -Infinity;
 
   constructor(
     private readonly runtime: Runtime,
     private readonly state: StateStore,
-    private readonly registry: RegisteredMachines,
+    private readonly term: RegisteredMachines,
     private readonly onExpired: (expired: Machine[]) => void,
-  ) {}
+  ) {
+    this.grants = new ObservedGrants(runtime, state);
+  }
 
+  /** Reads the grants if a lease may have expired, and reports the leases that have. */
   check(): void {
-    if (this.reading || !this.mustRead()) return;
-    this.reading = true;
-    const asked = this.runtime.now;
-    this.lastRead = asked;
-    this.state.readAll(GRANT_PREFIX, PRIORITY.leader, (grants) => {
-      this.reading = false;
-      if (grants.kind === 'failed' || this.registry.closed) return;
-      for (const item of grants.items) this.noteGrant(item);
-      const expired = this.expiredAt(asked);
+    if (this.isReading || !this.mustReadGrants()) return;
+    this.isReading = true;
+    const askedAt = this.runtime.now;
+    this.lastReadAt = askedAt;
+    this.state.readAll(GRANT_PREFIX, PRIORITY.leader, (read) => {
+      this.isReading = false;
+      if (read.kind === 'failed' || this.term.closed) return;
+      for (const item of read.items) this.grants.record(item);
+      const expired = this.expiredAt(askedAt);
       if (expired.length > 0) this.onExpired(expired);
     });
   }
 
-  private mustRead(): boolean {
+  /** The end of a worker's lease if its last answered heartbeat arrived at `renewedAt`. */
+  leaseEnd(renewedAt: Instant): Instant {
+    const duration = maxOnOtherClock(this.runtime.settings.workerLeaseDuration);
+    return renewedAt + duration + RESPONSE_DELAY_MARGIN_MS;
+  }
+
+  private mustReadGrants(): boolean {
     if (this.expiredAt(this.runtime.now).length > 0) return true;
-    return this.runtime.now - this.lastRead >= READ_GRANTS_EVERY && this.missesReports();
+    const isReadDue = this.runtime.now - this.lastReadAt >= GRANT_READ_INTERVAL_MS;
+    return isReadDue && this.isSomeMachineLate();
   }
 
-  /** Some machine that matters is late, or has not been heard at all in this term. */
-  private missesReports(): boolean {
-    const late = this.runtime.settings.heartbeatInterval * MISSED_REPORTS;
-    for (const machine of this.registry.machines.values()) {
-      if (!machine.registration.isReconciled) return true;
-      if (
-        machine.bindings.size > 0 &&
-        this.runtime.now - (machine.heartbeats.lastLeaseRenewalAt ?? this.runtime.now) > late
-      )
-        return true;
+  /** Some machine that matters is late, or has sent no heartbeat in this term. */
+  private isSomeMachineLate(): boolean {
+    const maxSilence = this.runtime.settings.heartbeatInterval * MISSED_HEARTBEAT_COUNT;
+    for (const { registration, heartbeats, bindings } of this.term.machines.values()) {
+      if (!registration.isReconciled) return true;
+      const renewedAt = heartbeats.lastLeaseRenewalAt ?? this.runtime.now;
+      if (bindings.size > 0 && this.runtime.now - renewedAt > maxSilence) return true;
     }
     return false;
   }
 
-  /** The end of a worker's lease if its last answered report was sent at `sent`. */
-  leaseEnd(sent: Instant): Instant {
-    return sent + maxOnOtherClock(this.runtime.settings.workerLeaseDuration) + LEASE_MARGIN;
-  }
-
-  private noteGrant(item: StateItem): void {
-    const { key, version } = item;
-    if (this.grantsSeen.get(key) === version) return;
-    this.grantsSeen.set(key, version);
-    const age =
-      this.runtime.wallClock.getTime() - (this.state.decode(item, readGrant)?.at ?? Infinity);
-    if (age > GRANT_STALE_AFTER + 2 * this.runtime.settings.maxClockError) return;
-    this.delegatedUntil = Math.max(
-      this.delegatedUntil,
-      this.runtime.now + maxOnOtherClock(GRANT_DURATION_MS),
-    );
-  }
-
-  /** Machines whose lease was over at that instant, where something depends on it. */
+  /** Machines whose lease had expired at that instant, where something depends on it. */
   private expiredAt(instant: Instant): Machine[] {
     const expired: Machine[] = [];
-    for (const machine of this.registry.machines.values()) {
-      const matters =
-        !machine.registration.isReconciled ||
-        machine.bindings.size > 0 ||
-        !machine.registration.isRegistered;
-      const answered = Math.max(
-        machine.heartbeats.lastLeaseRenewalAt ?? this.registry.electedAt,
-        this.delegatedUntil,
-      );
-      if (matters && instant >= this.leaseEnd(answered)) expired.push(machine);
+    for (const machine of this.term.machines.values()) {
+      const { registration, heartbeats, bindings } = machine;
+      const matters = !registration.isReconciled || bindings.size > 0 || !registration.isRegistered;
+      const renewedAt = heartbeats.lastLeaseRenewalAt ?? this.term.electedAt;
+      const mayBeRenewedAt = Math.max(renewedAt, this.grants.delegatedUntil);
+      if (matters && instant >= this.leaseEnd(mayBeRenewedAt)) expired.push(machine);
     }
     return expired;
   }
