--- a/packages/controller/src/requests/submissions.ts
+++ b/packages/controller/src/requests/submissions.ts
@@ -9,7 +9,7 @@
   type JobSpec,
 } from '@tealdock/wire';
 import { infeasibilityReason } from '@tealdock/scheduler';
-import type { JobLookup } from '../jobs/job-lookup.js';
+import { outcomeOf, type JobLookup, type LookupOutcome } from '../jobs/job-lookup.js';
 import type { Catalog } from '../machines/catalog.js';
 import { PRIORITY, type HttpRequest, type Reply } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
@@ -48,7 +48,7 @@
 
   /** Why the job can't be accepted whatever its predecessors are; null if it can. */
   private refusalOf(spec: JobSpec): Reply | null {
-    if (!this.catalog.known) return unavailableReply();
+    if (!this.catalog.isKnown) return unavailableReply();
     const { teams, state } = this.runtime.settings;
     const problem =
       infeasibilityReason(spec, teams, this.catalog.types) ?? predecessorProblem(spec);
@@ -66,19 +66,19 @@
   /** Each predecessor must have been accepted, as its key shows. */
   private checkPredecessors(spec: JobSpec, respond: Respond): void {
     const predecessors = predecessorsOf(spec);
-    const outcomes = new Set<string>();
+    const outcomes = new Set<LookupOutcome>();
     let pendingCount = predecessors.length;
     if (pendingCount === 0) return this.accept(spec, false, respond);
     for (const id of predecessors) {
       this.lookup.locate(id, (job) => {
-        outcomes.add(job.kind === 'ended' ? job.view.state : job.kind);
+        outcomes.add(outcomeOf(job));
         pendingCount--;
         if (pendingCount > 0) return;
         if (outcomes.has('none')) {
           const refusal = errorReply(422, 'waits_on: names an unknown job');
           return this.refuse(spec.id, refusal, respond);
         }
-        if (outcomes.has('unsure')) return this.refuse(spec.id, unavailableReply(), respond);
+        if (outcomes.has('unknown')) return this.refuse(spec.id, unavailableReply(), respond);
         this.accept(spec, outcomes.has('cancelled'), respond);
       });
     }
@@ -115,9 +115,9 @@
     if (commit.kind !== 'ok') return respond(unavailableReply());
     this.runtime.log('info', { job: id, tasks: taskCount }, 'job accepted');
     if (predecessorCancelled) {
-      return respond(jobReply(this.lookup.noteEnded(id, 'cancelled', 0), 201));
+      return respond(jobReply(this.lookup.recordEnded(id, 'cancelled', 0), 201));
     }
-    this.lookup.noteLive(id, commit.revision, predecessorsOf(spec));
+    this.lookup.recordLive(id, commit.revision, predecessorsOf(spec));
     respond(jobReply({ id, state: 'queued' }, 201));
   }
 }
--- a/packages/controller/src/term/direct-stops.ts
+++ b/packages/controller/src/term/direct-stops.ts
@@ -45,7 +45,7 @@
     const answers = this.answers();
     for (const machine of this.term.machines.values()) {
       if (this.underWay >= MOST_UNDER_WAY) return;
-      if (machine.address === '' || machine.bindings.size === 0) continue;
+      if (machine.heartbeats.address === '' || machine.bindings.size === 0) continue;
       if (answers && !this.misses(machine)) continue;
       if (this.runtime.now - (this.told.get(machine.id) ?? -Infinity) < AGAIN) continue;
       const orders = this.stopsFor(machine);
@@ -54,14 +54,14 @@
   }
 
   private misses(machine: Machine): boolean {
-    const heard = machine.lastHeartbeatAt ?? this.term.electedAt;
+    const heard = machine.heartbeats.lastCountedAt ?? this.term.electedAt;
     return this.runtime.now - heard > this.runtime.settings.heartbeatInterval * MISSED_REPORTS;
   }
 
   private stopsFor(machine: Machine): WorkerCommand[] {
     const orders: WorkerCommand[] = [];
     for (const binding of machine.bindings.values()) {
-      if (binding.phase === 'assigned' || !this.term.liveJobs.hasEnded(binding)) continue;
+      if (binding.isAssigned || !this.term.liveJobs.hasEnded(binding)) continue;
       orders.push({ op: 'stop', task: binding.task, attempt: binding.attempt, gracePeriod: 0 });
     }
     return orders;
@@ -73,10 +73,10 @@
     this.runtime.stats.count('stops.direct', orders.length);
     const call = {
       target: 'worker' as const,
-      to: machine.address,
+      to: machine.heartbeats.address,
       method: 'POST',
       path: COMMANDS_PATH,
-      body: renderDirectCommands(this.term.fencingToken, machine.agentEpoch, orders),
+      body: renderDirectCommands(this.term.fencingToken, machine.heartbeats.agentEpoch, orders),
       priority: PRIORITY.leader,
       writes: 0,
       timeout: TIMEOUT,
--- a/packages/controller/src/term/heartbeat-processor.ts
+++ b/packages/controller/src/term/heartbeat-processor.ts
@@ -5,9 +5,8 @@
   type TaskStatus,
   type WorkerHeartbeat,
 } from '@tealdock/wire';
-import { NO_RESOURCES, resourcesOf } from '@tealdock/scheduler';
 import type { LiveJob } from '../jobs/live-job.js';
-import { bindingKey, type Binding } from '../jobs/binding.js';
+import { bindingKey, type ActiveTaskState, type Binding } from '../jobs/binding.js';
 import type { Machine } from '../machines/machine.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { Bindings } from './bindings.js';
@@ -16,15 +15,6 @@
 import type { WorkerCommands } from './worker-commands.js';
 import type { TermState } from './term-state.js';
 
-/** A machine on which so many tasks in a row failed is quarantined; so is a job. */
-const MAX_FAILURES = 3;
-const QUARANTINE = 120_000;
-/** How long a machine is quarantined whose start never showed up; fourfold each time. */
-const LOST_START_QUARANTINE = 3000;
-const LOST_START_FACTOR = 4;
-/** A job that fails everywhere is tried again after a second, then twice as late each time. */
-const FIRST_BACKOFF = 1000;
-const MAX_BACKOFF = 60_000;
 /** A worker learns the token from the first answer that it hears. */
 const MISSED_ANSWERS_PATIENCE = 8000;
 /** Weight of the newest task in the learnt ratio of run times, and what it may tell at most. */
@@ -58,10 +48,10 @@
     const machine = this.machineOf(report);
     if (this.missesAnswers(machine, report)) return UNANSWERED;
     // Its lease is renewed by the answer, whatever the report is worth otherwise.
-    machine.lastLeaseRenewalAt = this.runtime.now;
+    machine.heartbeats.recordLeaseRenewal(this.runtime.now);
     // Tasks of a report sent before the worker saw this token may be outdated by
     // a start of the term before; a late report is outdated by a newer one.
-    if (report.fencingToken !== this.term.fencingToken || !machine.isNewer(report))
+    if (report.fencingToken !== this.term.fencingToken || !machine.heartbeats.isNewer(report))
       return this.uncounted(report);
     this.apply(report);
     return { counted: true, answered: true, commands: this.orders.collectCommands(machine) };
@@ -82,9 +72,9 @@
    * would wait for it for as long as that lasts. Without answers its lease surely ends.
    */
   private missesAnswers(machine: Machine, report: WorkerHeartbeat): boolean {
-    if (machine.reconciled || report.fencingToken === this.term.fencingToken) return false;
-    machine.firstLeaseRenewalAt ??= this.runtime.now;
-    return this.runtime.now - machine.firstLeaseRenewalAt > MISSED_ANSWERS_PATIENCE;
+    if (machine.registration.isReconciled || report.fencingToken === this.term.fencingToken)
+      return false;
+    return machine.heartbeats.recordOlderToken(this.runtime.now) > MISSED_ANSWERS_PATIENCE;
   }
 
   private machineOf(report: WorkerHeartbeat): Machine {
@@ -92,26 +82,19 @@
     if (!machine) {
       machine = this.membership.newMachine(report.machine, report);
       // Not in the machine registry, so no term has ever sent a start to it.
-      machine.reconciled = true;
+      machine.registration.markReconciled();
       this.term.machines.set(machine.id, machine);
     }
-    machine.firstSeenAt = Math.min(machine.firstSeenAt, this.runtime.now);
+    machine.registration.recordSeen(this.runtime.now);
     return machine;
   }
 
   private apply(report: WorkerHeartbeat): void {
     const machine = this.machineOf(report);
-    if (report.agentEpoch > machine.agentEpoch)
+    if (report.agentEpoch > machine.heartbeats.agentEpoch)
       this.bindings.endDispatched(machine, 'session ended');
-    machine.agentEpoch = report.agentEpoch;
-    machine.sequenceNumber = report.sequenceNumber;
-    machine.address = report.address;
-    machine.lastLeaseRenewalAt ??= this.runtime.now;
-    machine.lastHeartbeatAt = this.runtime.now;
-    machine.preemptionDeadline =
-      report.preemptionNotice === null ? null : this.runtime.now + report.preemptionNotice;
-    machine.reconciled = true;
-    machine.exitedTasks = report.tasks.filter((t) => t.state === 'exited');
+    machine.heartbeats.record(report, this.runtime.now);
+    machine.registration.markReconciled();
     for (const t of report.tasks) this.absorbTask(machine, t);
     this.endMissing(machine, report);
     this.membership.registerIfNew(machine);
@@ -121,8 +104,8 @@
     const listed = new Set(report.tasks.map((t) => bindingKey(t.task, t.attempt)));
     let lost = false;
     for (const [key, binding] of [...machine.bindings]) {
-      if (binding.phase === 'assigned' || listed.has(key)) continue;
-      lost ||= binding.phase === 'dispatched';
+      if (binding.isAssigned || listed.has(key)) continue;
+      lost ||= binding.isDispatched;
       this.bindings.end(binding, 'not on the machine');
     }
     if (lost) this.noteLostStart(machine);
@@ -133,38 +116,38 @@
    * the best of volunteers, and would eat start after start.
    */
   private noteLostStart(machine: Machine): void {
-    const quarantine = Math.min(
-      QUARANTINE,
-      LOST_START_QUARANTINE * LOST_START_FACTOR ** machine.consecutiveLostStarts++,
-    );
-    machine.quarantinedUntil = Math.max(machine.quarantinedUntil, this.runtime.now + quarantine);
-    this.runtime.env.log(
-      'info',
-      { machine: machine.id, lostStarts: machine.consecutiveLostStarts, quarantineMs: quarantine },
-      'start lost',
-    );
+    const quarantineMs = machine.health.recordLostStart(this.runtime.now);
+    const lostStarts = machine.health.consecutiveLostStartCount;
+    this.runtime.env.log('info', { machine: machine.id, lostStarts, quarantineMs }, 'start lost');
     this.bindings.releaseUndispatched(machine);
   }
 
-  private absorbTask(machine: Machine, t: TaskStatus): void {
-    const bound = machine.bindings.get(bindingKey(t.task, t.attempt));
-    if (t.state === 'exited') return this.absorbExit(machine, t, bound);
-    const binding = bound ?? this.adopt(machine, t);
-    if (binding.phase === 'observed' && binding.state === t.state) return;
-    machine.consecutiveLostStarts = 0;
-    binding.phase = 'observed';
-    if (t.state !== 'fetching') this.noteStart(machine, binding);
-    else if (this.term.jobs.get(binding.job)?.spec.kind === 'array')
+  private absorbTask(machine: Machine, task: TaskStatus): void {
+    const bound = machine.bindings.get(bindingKey(task.task, task.attempt));
+    const { state } = task;
+    if (state === 'exited') return this.absorbExit(machine, task, bound);
+    if (bound?.taskState === state) return;
+    const wasRunning = bound !== undefined && bound.runningSince !== null;
+    const binding = bound ?? this.adopt(machine, { ...task, state });
+    machine.health.recordTaskObserved();
+    bound?.observe(state, this.runtime.now);
+    if (state !== 'fetching') {
+      if (binding.image !== null) this.noteImage(machine, binding.image, binding.imageGb);
+      if (!wasRunning) this.recordRunning(machine, binding);
+    } else if (this.term.jobs.get(binding.job)?.spec.kind === 'array') {
       machine.recordImageMissing(binding, this.runtime.now);
-    binding.state = t.state;
-    machine.invalidateSums();
+    }
   }
 
-  private noteStart(machine: Machine, binding: Binding): void {
-    if (binding.image !== null) this.noteImage(machine, binding.image, binding.imageGb);
-    if (binding.runningSince !== null) return;
-    binding.runningSince = this.runtime.now;
-    if (binding.phase === 'observed' && binding.dispatchedSequenceNumber > 0) {
+  /** A task found on a machine without a binding of this term. */
+  private adopt(machine: Machine, task: TaskStatus & { state: ActiveTaskState }): Binding {
+    const binding = this.bindings.adopt(machine, task);
+    if (!this.term.jobs.has(binding.job)) this.lookup.lookUp(binding);
+    return binding;
+  }
+
+  private recordRunning(machine: Machine, binding: Binding): void {
+    if (binding.isDispatchedByThisTerm) {
       this.runtime.stats.record(
         'starts.booked_to_running_ms',
         this.runtime.now - binding.assignedAt,
@@ -174,9 +157,8 @@
   }
 
   private noteImage(machine: Machine, image: string, gb: number): void {
-    const fetch = machine.fetches.end(image, this.runtime.now);
-    if (fetch) this.term.fetchSharing.note(fetch);
-    machine.recordImage(image, gb);
+    const fetch = machine.recordImageFetched(image, gb, this.runtime.now);
+    if (fetch) this.term.fetchSharing.record(fetch);
   }
 
   private absorbExit(machine: Machine, t: TaskStatus, bound: Binding | undefined): void {
@@ -190,9 +172,9 @@
   }
 
   private endExited(machine: Machine, binding: Binding, t: TaskStatus): void {
-    const job = binding.orphaned ? undefined : this.term.jobs.get(binding.job);
+    const job = binding.isOrphaned ? undefined : this.term.jobs.get(binding.job);
     if (t.reason === 'done') {
-      machine.consecutiveFailures = 0;
+      machine.health.recordTaskSuccess();
       if (job) this.learn(job, binding);
     } else if (t.reason === 'error' || t.reason === 'unknown') {
       this.noteFailure(machine, job, t);
@@ -202,7 +184,7 @@
   }
 
   private learn(job: LiveJob, binding: Binding): void {
-    job.consecutiveFailures = 0;
+    job.backoff.recordSuccess();
     if (binding.runningSince === null || job.spec.estimate <= 0) return;
     const ratio = (this.runtime.now - binding.runningSince) / job.spec.estimate;
     const known = this.term.runTimeRatios.get(job.spec.jobClass) ?? 1;
@@ -219,61 +201,8 @@
       { machine: machine.id, task: t.task, reason: t.reason },
       'task failed',
     );
-    if (t.reason === 'error' && (job?.consecutiveFailures ?? 0) < MAX_FAILURES)
-      machine.consecutiveFailures++;
-    if (machine.consecutiveFailures >= MAX_FAILURES)
-      machine.quarantinedUntil = this.runtime.now + QUARANTINE;
-    if (!job) return;
-    job.consecutiveFailures++;
-    if (job.consecutiveFailures < MAX_FAILURES) return;
-    job.backoffUntil =
-      this.runtime.now +
-      Math.min(MAX_BACKOFF, FIRST_BACKOFF * 2 ** (job.consecutiveFailures - MAX_FAILURES));
+    const isMachineAtFault = t.reason === 'error' && !job?.backoff.isJobAtFault;
+    machine.health.recordTaskFailure(isMachineAtFault, this.runtime.now);
+    job?.backoff.recordFailure(this.runtime.now);
   }
-
-  /** A task found on a machine without a binding of this term. */
-  private adopt(machine: Machine, t: TaskStatus): Binding {
-    const at = splitTaskId(t.task) ?? { job: t.task, index: 0 };
-    const job = this.term.jobs.get(at.job);
-    const wanted = job !== undefined && needsTask(job, at.index);
-    const binding: Binding = {
-      ...requirementsOf(job),
-      task: t.task,
-      job: at.job,
-      index: at.index,
-      attempt: t.attempt,
-      machine: machine.id,
-      phase: 'observed',
-      assignedAt: this.runtime.now,
-      dispatchedAgentEpoch: 0,
-      dispatchedSequenceNumber: 0,
-      state: null,
-      runningSince: null,
-      stopRequest: wanted ? null : { gracePeriod: 0, reason: 'not wanted' },
-      protectedFromPreemption: false,
-      orphaned: !wanted,
-      terminationDeadline: null,
-    };
-    this.bindings.bind(machine, binding);
-    if (wanted) {
-      job.bindings.set(binding.index, binding);
-      job.openTasks.delete(binding.index);
-    }
-    if (!job) this.lookup.lookUp(binding);
-    return binding;
-  }
-}
-
-/** The task is one of the job's, and is neither done nor bound to another machine. */
-function needsTask(job: LiveJob, index: number): boolean {
-  return index < job.spec.taskCount && !job.isDone(index) && !job.bindings.has(index);
-}
-
-/** What a task of the job takes; nothing where the job is not known, until it is looked up. */
-function requirementsOf(
-  job: LiveJob | undefined,
-): Pick<Binding, 'team' | 'resources' | 'image' | 'imageGb'> {
-  if (!job) return { team: '', resources: NO_RESOURCES, image: null, imageGb: 0 };
-  const { team, image, imageGb } = job.spec;
-  return { team, resources: resourcesOf(job.spec), image, imageGb };
 }
--- a/packages/controller/src/term/rebuild.ts
+++ b/packages/controller/src/term/rebuild.ts
@@ -36,7 +36,7 @@
         for (const [id, entry] of this.membership.registry.load(registry))
           this.loadMachine(id, entry);
         this.loadJobs(live.items);
-        for (const job of this.term.jobs.values()) this.liveJobs.graph.readEnds(job);
+        for (const job of this.term.jobs.values()) this.liveJobs.graph.readPredecessorEnds(job);
         this.liveJobs.progressStored(this.liveJobs.progress.load(progress));
         this.finishLoad(live.revision);
       });
@@ -73,11 +73,12 @@
     const machine =
       this.term.machines.get(id) ??
       this.membership.newMachine(id, { type, zone, spot: spot === 1 });
-    machine.registered = true;
-    machine.returning = machine.returnCommitted = returning === 1;
-    machine.firstSeenAt =
-      this.runtime.now - Math.max(0, this.runtime.wallClock.getTime() - since * 1000);
-    machine.reconciled = machine.lastHeartbeatAt !== null;
+    const age = Math.max(0, this.runtime.wallClock.getTime() - since * 1000);
+    machine.registration.restore({
+      isReturning: returning === 1,
+      firstSeenAt: this.runtime.now - age,
+      isReconciled: machine.heartbeats.lastCountedAt !== null,
+    });
     this.term.machines.set(id, machine);
   }
 
--- a/packages/controller/src/term/worker-commands.ts
+++ b/packages/controller/src/term/worker-commands.ts
@@ -41,11 +41,7 @@
     const machine = this.term.machines.get(machineId);
     if (!machine) return true;
     for (const binding of machine.bindings.values()) {
-      if (
-        binding.phase === 'assigned'
-          ? this.mayStart(machine)
-          : this.stopCommandFor(binding) !== null
-      )
+      if (binding.isAssigned ? this.mayStart(machine) : this.stopCommandFor(binding) !== null)
         return true;
     }
     return false;
@@ -62,7 +58,12 @@
    */
   longPollTimeoutOf(machineId: string, type: MachineType): Duration {
     const machine = this.term.machines.get(machineId);
-    if (!machine || machine.returning || machine.preemptionDeadline !== null) return 0;
+    if (
+      !machine ||
+      machine.registration.isReturning ||
+      machine.heartbeats.preemptionDeadline !== null
+    )
+      return 0;
     return fits(this.smallest, machine.free(type))
       ? this.runtime.operator.window.longPollTimeout
       : 0;
@@ -71,12 +72,12 @@
   /** Orders that the worker's newest report calls for; starts leave only here. */
   collectCommands(machine: Machine): WorkerCommand[] {
     const orders: WorkerCommand[] = [];
-    for (const t of machine.exitedTasks) {
+    for (const t of machine.heartbeats.exitedTasks) {
       if (this.forgettable(t)) orders.push({ op: 'forget', task: t.task, attempt: t.attempt });
     }
     let booked = 0;
     for (const binding of machine.bindings.values()) {
-      if (binding.phase === 'assigned') booked++;
+      if (binding.isAssigned) booked++;
       else this.checkEnding(binding);
       const stop = this.stopCommandFor(binding);
       if (stop) orders.push(stop);
@@ -104,7 +105,7 @@
   }
 
   private startsFor(machine: Machine): WorkerCommand[] {
-    const decision = this.authority.start(machine);
+    const decision = this.authority.start(machine.registration);
     if (!decision.granted) {
       this.runtime.stats.count(`starts.refused.${decision.reason}`);
       const fields = { machine: machine.id, reason: decision.reason };
@@ -115,16 +116,14 @@
     this.runtime.stats.record('evidence.start_age_ms', decision.evidence.age);
     const orders: WorkerCommand[] = [];
     for (const binding of machine.bindings.values()) {
-      if (binding.phase !== 'assigned' || this.startsEndedJob(binding)) continue;
+      if (!binding.isAssigned || this.startsEndedJob(binding)) continue;
       orders.push(this.dispatchStart(machine, binding, decision));
     }
     return orders;
   }
 
   private dispatchStart(machine: Machine, binding: Binding, decision: Decision): WorkerCommand {
-    binding.phase = 'dispatched';
-    binding.dispatchedAgentEpoch = machine.agentEpoch;
-    binding.dispatchedSequenceNumber = machine.sequenceNumber;
+    binding.dispatch(machine.heartbeats.sequenceNumber);
     machine.recordStartDispatched(binding, this.runtime.now);
     this.runtime.stats.record('starts.booked_to_sent_ms', this.runtime.now - binding.assignedAt);
     this.runtime.env.log(
@@ -141,8 +140,8 @@
   }
 
   stopCommandFor(binding: Binding): WorkerCommand | null {
-    if (!binding.stopRequest || binding.phase !== 'observed') return null;
-    if (binding.state === 'saving' && binding.stopRequest.gracePeriod > 0) return null;
+    if (!binding.stopRequest || !binding.isObserved) return null;
+    if (binding.taskState === 'saving' && binding.stopRequest.gracePeriod > 0) return null;
     return {
       op: 'stop',
       task: binding.task,
@@ -156,14 +155,15 @@
   /** Bookings of a job go with it, so none can be left for a job that has ended. */
   private startsEndedJob(binding: Binding): boolean {
     const job = this.term.jobs.get(binding.job);
-    if (job && !job.predecessorCancelled && job.releasedAt !== null) return false;
+    if (job && !job.dependencies.hasCancelledPredecessor && job.dependencies.isReleased)
+      return false;
     this.report('started_ended_job', binding);
     return true;
   }
 
   /** A task of a job that is not live is being stopped, and is gone in time. */
   private checkEnding(binding: Binding): void {
-    if (!binding.stopRequest && binding.phase === 'observed' && this.authority.mayStop(binding.job))
+    if (!binding.stopRequest && binding.isObserved && this.authority.mayStop(binding.job))
       this.report('renewed_without_stop', binding);
     this.invariants.checkGone(binding, () => this.violationOf(binding));
   }
@@ -182,11 +182,11 @@
     const at = splitTaskId(t.task);
     const job = at ? this.term.jobs.get(at.job) : undefined;
     if (!job || !at || t.reason !== 'done') return true;
-    return job.isDone(at.index) && !job.uncommittedTasks.has(at.index);
+    return job.progress.isCommitted(at.index);
   }
 
   private mayStart(machine: Machine): boolean {
-    return this.authority.start(machine).granted;
+    return this.authority.start(machine.registration).granted;
   }
 }
 
