--- a/packages/controller/src/autoscaling/autoscaler.ts
+++ b/packages/controller/src/autoscaling/autoscaler.ts
@@ -13,7 +13,8 @@
 import type { LiveJob } from '../jobs/live-job.js';
 import type { Leadership } from '../leadership/leadership.js';
 import type { Machine } from '../machines/machine.js';
-import { guaranteedJobs, latestStart } from '../placement/start-deadlines.js';
+import type { Fleet, MachineTypes } from '../placement/fleet.js';
+import { jobsWithinGuarantee, latestStart } from '../placement/start-deadlines.js';
 import type { Runtime } from '../runtime/runtime.js';
 import { socketShares } from '../runtime/sockets.js';
 import type { StateStore } from '../state/state-store.js';
@@ -39,7 +40,7 @@
 const CHEAP_ENOUGH = 1.6;
 
 /** Rents for the backlog, and has machines returned that are of no use. */
-export class Autoscaler {
+export class Autoscaler implements Fleet {
   private readonly inventory: MachineInventory;
   private readonly rentals: RentalRequests;
   private readonly returns: MachineReturns;
@@ -49,8 +50,9 @@
     state: StateStore,
     private readonly leadership: Leadership,
     private readonly term: Term,
-    private readonly types: () => MachineType[],
+    private readonly catalog: MachineTypes,
   ) {
+    const types = () => catalog.types;
     const cloud = new CloudCalls(runtime, term);
     this.inventory = new MachineInventory(runtime, state, leadership, term, cloud);
     this.returns = new MachineReturns(runtime, term, types, cloud, this.inventory);
@@ -65,10 +67,15 @@
   }
 
   /** Whether anything can be rented at all just now. */
-  rentable(): boolean {
+  canScaleOut(): boolean {
     return this.rentals.rentable();
   }
 
+  /** Whether work is to be consolidated on few machines, so that others fall idle. */
+  consolidates(): boolean {
+    return this.policy() === 'frugal';
+  }
+
   start(): void {
     this.inventory.start();
     this.repeat(REFRESH_LIST_EVERY, () => this.inventory.refreshList());
@@ -98,26 +105,26 @@
   /** What a CPU costs an hour on the cheapest kind of machine. */
   private leastRate(): number {
     let least = Infinity;
-    for (const t of this.types()) {
+    for (const t of this.catalog.types) {
       if (t.cpus > 0) least = Math.min(least, t.price / t.cpus, t.spotPrice / t.cpus);
     }
     return least;
   }
 
   private scale(): void {
-    if (!this.term.stateLoaded || this.inventory.owned === null || this.types().length === 0)
+    if (!this.term.stateLoaded || this.inventory.owned === null || this.catalog.types.length === 0)
       return;
     this.rentals.repeatRentals();
     this.rent();
   }
 
   private backlog(): BacklogEntry[] {
-    const inside = guaranteedJobs(this.term.jobs.values(), this.runtime.settings);
+    const inside = jobsWithinGuarantee(this.term.jobs.values(), this.runtime.settings);
     const jobs = [...this.term.jobs.values()]
       .filter((j) => j.unboundTaskCount > 0 && !j.backoff.isActive(this.runtime.now))
       .map((job) => ({ job, latest: this.latest(job, inside.has(job.id)) }))
       .sort((a, b) => a.latest - b.latest);
-    const all = listOfferings(this.types(), () => false);
+    const all = listOfferings(this.catalog.types, () => false);
     const rest = new Map<string, number>();
     return jobs.map(({ job, latest }): BacklogEntry => {
       const team = this.runtime.settings.teams.find((t) => t.name === job.spec.team);
@@ -133,15 +140,17 @@
 
   private latest(job: LiveJob, guaranteed: boolean): Instant {
     const ratio = this.term.runTimeRatios.get(job.spec.jobClass) ?? 1;
-    const latest = latestStart(job, ratio, guaranteed, this.runtime.settings);
+    const { settings } = this.runtime;
+    const conditions = { settings, runTimeRatio: ratio, isGuaranteed: guaranteed };
+    const latest = latestStart(job, conditions);
     return latest === Infinity ? job.dependencies.startableAt + AIMLESS_WAIT : latest;
   }
 
   /** Dear machines are only for work that would otherwise start too late. */
   private maxPrice(job: LiveJob, latest: Instant, all: Offering[]): number {
     if (this.policy() === 'fast') return Infinity;
-    const slowest = Math.min(...this.types().map((t) => t.fetchGbPerS));
-    const boot = Math.max(...this.types().map((t) => t.boot));
+    const slowest = Math.min(...this.catalog.types.map((t) => t.fetchGbPerS));
+    const boot = Math.max(...this.catalog.types.map((t) => t.boot));
     const lead = boot * BOOT_LEAD + (job.spec.imageGb / Math.max(0.01, slowest)) * 1000;
     if (this.runtime.now >= latest - lead) return Infinity;
     return minSlotPrice(all, job.spec) * CHEAP_ENOUGH;
@@ -160,7 +169,7 @@
   /** Room on machines that answer, and on those that are on their way. */
   private capacities(): FreeCapacity[] {
     const capacities: FreeCapacity[] = [];
-    const types = new Map(this.types().map((t) => [t.name, t]));
+    const types = new Map(this.catalog.types.map((t) => [t.name, t]));
     const add = (place: MachinePool, free: Resources | undefined) => {
       if (free && free.cpus > 0 && free.memoryGb > 0) {
         capacities.push({ type: place.type, zone: place.zone, spot: place.spot, free });
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -178,16 +178,9 @@
     if (this.peers.hints) useHints(this.peers.hints, term);
     this.term = term;
     this.longPolls = new LongPolls(this.runtime, term, () => this.renewalGrant());
-    const types = () => this.catalog.types;
-    const autoscaler = new Autoscaler(this.runtime, this.state, this.leadership, term, types);
-    const scheduler = new Scheduler(
-      this.runtime,
-      term,
-      types,
-      (m, type) => autoscaler.price(m, type),
-      () => autoscaler.rentable(),
-      () => autoscaler.policy() === 'frugal',
-    );
+    const { runtime, state, leadership, catalog } = this;
+    const autoscaler = new Autoscaler(runtime, state, leadership, term, catalog);
+    const scheduler = new Scheduler(runtime, term, catalog, autoscaler);
     term.start();
     new JobCompletion(this.runtime, this.state, this.leadership, term).start();
     new DirectStops(this.runtime, term, () => this.renewalGrant() !== null).start();
--- a/packages/controller/src/placement/capacity-reservation.ts
+++ b/packages/controller/src/placement/capacity-reservation.ts
@@ -1,152 +1,172 @@
-/** Capacity that tasks without a fit wait for: it is reserved, or made by preemption. */
+/** Capacity for tasks that fit nowhere yet: it is reserved, or freed by preemption. */
 import type { Duration, Instant, MachineType } from '@tealdock/wire';
-import { fits, subtractResources, resourcesOf } from '@tealdock/scheduler';
+import { fits, resourcesOf, subtractResources } from '@tealdock/scheduler';
 import type { LiveJob } from '../jobs/live-job.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { Term } from '../term/term.js';
+import type { Fleet } from './fleet.js';
+import { fetchTime, type ImageHolders, type ImageRanks } from './image-availability.js';
 import type { JobUrgency } from './job-urgency.js';
-import type { ImageHolders, ImageRanks, MachineCapacity } from './machine-capacity.js';
+import type { MachineCapacity } from './machine-capacity.js';
 import { Preemption } from './preemption.js';
 import type { SchedulingCycle } from './scheduling-cycle.js';
 import type { TeamCapacity } from './team-capacity.js';
 
-/** What stopping a task and starting another in its place takes. */
-const STOP_TIME = 4000;
+/** Time to stop a task and start another in its place. */
+const REPLACEMENT_TIME_MS = 4000;
 /** Fetches run at their type's rate, give or take a third; a start takes a moment as well. */
-const FETCH_SLACK = 4 / 3;
-const START_TIME = 1000;
-/** Room is scarce for so long after a task found none. */
-const SCARCE_FOR = 10_000;
-/** Part of a fetch's time that a holder is waited for. */
-const HOLDER_PART = 1 / 4;
-/** Plans for one job are made this far apart. */
-const PREEMPTION_PLAN_INTERVAL = 500;
+const MAX_FETCH_TIME_FACTOR = 4 / 3;
+const START_TIME_MS = 1000;
+/** Capacity is scarce for so long after a task fitted nowhere. */
+const SCARCITY_TIMEOUT_MS = 10_000;
+/** Fraction of a fetch's time that a task waits for a holder of its image. */
+const HOLDER_WAIT_FRACTION = 1 / 4;
+/** Time between preemption plans for one job. */
+const PREEMPTION_PLAN_INTERVAL_MS = 500;
 
 /** What the tasks of one job look for in a cycle. */
-export interface Search {
+export interface PlacementSearch {
   readonly job: LiveJob;
-  readonly demand: string;
+  readonly demandKey: string;
   readonly ranks: ImageRanks;
   holders: ImageHolders;
 }
 
-/** Decides what tasks wait for that could not be booked at once. */
+/** Decides what tasks wait for that could not be assigned at once. */
 export class CapacityReservation {
-  /** When a task last found no room at all. */
-  private lastFull: Instant = -Infinity;
+  /** When a task last fitted nowhere. */
+  private lastNoFitAt: Instant = -Infinity;
 
   constructor(
     private readonly runtime: Runtime,
     private readonly term: Term,
     private readonly teams: TeamCapacity,
     private readonly urgency: JobUrgency,
-    private readonly rentable: () => boolean,
+    private readonly fleet: Fleet,
   ) {}
 
-  /** A task has found no room at all. */
-  noteFull(): void {
-    this.lastFull = this.runtime.now;
+  /** A task fitted on no machine. */
+  recordNoFit(): void {
+    this.lastNoFitAt = this.runtime.now;
   }
 
   /** Reserves what will be free for the tasks, and preempts others where that is allowed. */
-  reserve(search: Search, tasks: number, cycle: SchedulingCycle): void {
-    const { job, ranks } = search;
-    const machines = cycle.candidatesSoon(job);
+  reserve(search: PlacementSearch, taskCount: number, cycle: SchedulingCycle): void {
+    const { job } = search;
+    const nextMachine = machinesFreeAfterStops(search, cycle);
     let preemption: Preemption | null = null;
-    const wanted = resourcesOf(job.spec);
-    const willDo = (d: MachineCapacity) => fits(wanted, d.freeAfterStops) && ranks.of(d) !== null;
-    let at = 0;
-    const nextMachine = () => {
-      for (; at < machines.length; at++) {
-        const machine = machines[at];
-        if (machine && willDo(machine)) return machine;
-      }
-      return undefined;
-    };
-    for (let left = tasks; left > 0; left--) {
+    for (let left = taskCount; left > 0; left--) {
       const machine = nextMachine();
       if (machine) {
-        this.keep(job, machine);
+        this.reserveOn(machine, job);
         continue;
       }
-      if (!this.mayPreempt(job, preemption, cycle)) return;
-      preemption ??= this.preemptionFor(search, cycle.everywhere(job), cycle);
-      const made = preemption.freeOneSlot();
-      if (!made) return;
-      this.keep(job, made);
-      preemption.planAgain(made);
+      if (!preemption && !this.mayPreempt(job, cycle)) return;
+      preemption ??= this.planPreemption(search, cycle.allAllowed(job), cycle);
+      const freed = preemption.freeOneSlot();
+      if (!freed) return;
+      this.reserveOn(freed, job);
+      preemption.planAgain(freed);
     }
   }
 
-  private mayPreempt(job: LiveJob, preemption: Preemption | null, cycle: SchedulingCycle): boolean {
-    if (preemption) return true;
-    if (!cycle.mayPlanPreemption || job.placement.nextPreemptionPlanAt > this.runtime.now)
-      return false;
-    if (!cycle.hasLowerWork(job) && !(cycle.hasOtherTeams(job) && this.urgency.reclaims(job)))
-      return false;
-    const waited = this.runtime.now - (job.placement.starvedSince ?? this.runtime.now);
-    return !this.rentable() || waited >= this.urgency.patience(job);
-  }
-
-  private preemptionFor(
-    { job, ranks }: Search,
-    machines: MachineCapacity[],
-    cycle: SchedulingCycle,
-  ): Preemption {
-    cycle.notePlan(machines.length);
-    job.placement.nextPreemptionPlanAt = this.runtime.now + PREEMPTION_PLAN_INTERVAL;
-    const reclaims = this.urgency.reclaims(job);
-    const guaranteed = () => reclaims && this.teams.belowGuarantee(job);
-    return new Preemption(this.runtime, this.term, job, guaranteed, machines, ranks);
-  }
-
-  /** Keeps what will be free on a machine for one task. */
-  private keep(job: LiveJob, capacity: MachineCapacity): void {
-    capacity.freeAfterStops = subtractResources(capacity.freeAfterStops, resourcesOf(job.spec));
-    this.teams.reserve(job);
-  }
-
   /**
-   * A fetch would break the class's aim for starts, while a holder of the image
-   * has or can be given room in time: then the task waits for the holder.
+   * Whether a task is to wait for a holder of its image, on which capacity is reserved then: a
+   * fetch would break the objective for its start, while a holder has capacity in time, or can
+   * be given it by preemption.
    */
-  waitsForHolder(search: Search, chosen: MachineCapacity, cycle: SchedulingCycle): boolean {
+  reserveOnHolder(
+    search: PlacementSearch,
+    chosen: MachineCapacity,
+    cycle: SchedulingCycle,
+  ): boolean {
     const { job, holders } = search;
     if (chosen.machine.hasImage(job.spec.image)) return false;
-    const fetch = fetchTime(job.spec.imageGb, chosen.type);
-    const left = this.urgency.aimFor(job) - (this.runtime.now - job.dependencies.startableAt);
-    if (fetch < left || left < STOP_TIME) return false;
-    const wanted = resourcesOf(job.spec);
-    const coming = () => holders.machines.find((d) => fits(wanted, d.freeAfterStops));
-    if (!coming() && this.mayPreempt(job, null, cycle)) {
-      this.preemptionFor(search, holders.machines, cycle).freeOneSlot();
+    const waited = this.runtime.now - job.dependencies.startableAt;
+    const left = this.urgency.startObjective(job) - waited;
+    if (maxStartTime(job, chosen.type) < left || left < REPLACEMENT_TIME_MS) return false;
+    const requested = resourcesOf(job.spec);
+    const findHolder = () =>
+      holders.machines.find(({ freeAfterStops }) => fits(requested, freeAfterStops));
+    if (!findHolder() && this.mayPreempt(job, cycle)) {
+      this.planPreemption(search, holders.machines, cycle).freeOneSlot();
     }
-    const holder = coming();
-    if (holder) this.keep(job, holder);
+    const holder = findHolder();
+    if (holder) this.reserveOn(holder, job);
     return holder !== undefined;
   }
 
   /**
-   * Room is scarce, and holders of the image are busy, but there are enough of them:
-   * for a part of the time that a fetch takes, the next room on one of them is worth
-   * waiting for. Work whose image the other machines hold gets their room meanwhile.
+   * Whether the job is to wait a while for a slot on a holder of its image: capacity is
+   * scarce, and enough machines hold the image, though they are busy. Work whose image the
+   * other machines hold gets their capacity meanwhile.
    */
-  holderMayCome({ job, holders }: Search, chosen: MachineCapacity): boolean {
+  shouldAwaitHolder({ job, holders }: PlacementSearch, chosen: MachineCapacity): boolean {
+    const { now, operator } = this.runtime;
     const { machine } = chosen;
-    const { image, imageGb } = job.spec;
+    const { image } = job.spec;
     if (machine.hasImage(image) || machine.usage.awaitedImages.has(image)) return false;
-    // With room to spare, a start that fetches takes nothing from others.
-    if (this.runtime.now - this.lastFull > SCARCE_FOR) return false;
-    job.placement.imageHolderWaitSince ??= this.runtime.now;
-    const fetch = fetchTime(imageGb, chosen.type);
-    const window = Math.min(this.runtime.operator.window.lambda, fetch * HOLDER_PART);
-    if (this.runtime.now - job.placement.imageHolderWaitSince >= window) return false;
-    if (this.urgency.due(job) - this.runtime.now < fetch + window) return false;
-    return holders.slots >= job.openTasks.count;
+    // With capacity to spare, a start that fetches takes nothing from others.
+    if (now - this.lastNoFitAt > SCARCITY_TIMEOUT_MS) return false;
+    job.placement.imageHolderWaitSince ??= now;
+    const startTime = maxStartTime(job, chosen.type);
+    const maxWait = Math.min(operator.window.lambda, startTime * HOLDER_WAIT_FRACTION);
+    if (now - job.placement.imageHolderWaitSince >= maxWait) return false;
+    if (this.urgency.nextStartDeadline(job) - now < startTime + maxWait) return false;
+    return holders.slotCount >= job.openTasks.count;
+  }
+
+  private mayPreempt(job: LiveJob, cycle: SchedulingCycle): boolean {
+    const { now } = this.runtime;
+    if (!cycle.mayPlanPreemption || job.placement.nextPreemptionPlanAt > now) return false;
+    const hasVictims =
+      cycle.hasLowerPriorityWork(job) ||
+      (cycle.hasOtherTeams(job) && this.urgency.mayReclaimGuarantee(job));
+    if (!hasVictims) return false;
+    const waited = now - (job.placement.starvedSince ?? now);
+    return !this.fleet.canScaleOut() || waited >= this.urgency.scaleOutWait(job);
+  }
+
+  private planPreemption(
+    { job, ranks }: PlacementSearch,
+    machines: MachineCapacity[],
+    cycle: SchedulingCycle,
+  ): Preemption {
+    cycle.recordPreemptionPlan(machines.length);
+    job.placement.nextPreemptionPlanAt = this.runtime.now + PREEMPTION_PLAN_INTERVAL_MS;
+    const mayReclaim = this.urgency.mayReclaimGuarantee(job);
+    const isReclaiming = () => mayReclaim && this.teams.isBelowGuarantee(job);
+    return new Preemption(this.runtime, this.term, { job, ranks, machines, isReclaiming });
+  }
+
+  /** Reserves what will be free on a machine for one task. */
+  private reserveOn(capacity: MachineCapacity, job: LiveJob): void {
+    capacity.freeAfterStops = subtractResources(capacity.freeAfterStops, resourcesOf(job.spec));
+    this.teams.reserve(job);
   }
 }
 
-/** Until when a task would run that has to wait for its image, at worst. */
-function fetchTime(imageGb: number, type: MachineType): Duration {
-  return (imageGb / Math.max(0.01, type.fetchGbPerS)) * 1000 * FETCH_SLACK + START_TIME;
+/**
+ * Returns one machine after the other on which a task fits after all stops; the same one again
+ * while more tasks fit.
+ */
+function machinesFreeAfterStops(
+  { job, ranks }: PlacementSearch,
+  cycle: SchedulingCycle,
+): () => MachineCapacity | undefined {
+  const machines = cycle.allowedAfterStops(job);
+  const requested = resourcesOf(job.spec);
+  let index = 0;
+  return () => {
+    for (; index < machines.length; index++) {
+      const machine = machines[index];
+      if (!machine || !fits(requested, machine.freeAfterStops)) continue;
+      if (ranks.rankOf(machine) !== null) return machine;
+    }
+    return undefined;
+  };
 }
+
+/** Time until a task runs that has to fetch its image, at worst. */
+const maxStartTime = ({ spec }: LiveJob, type: MachineType): Duration =>
+  fetchTime(spec.imageGb, type.fetchGbPerS) * MAX_FETCH_TIME_FACTOR + START_TIME_MS;
--- a/packages/controller/src/placement/drain.ts
+++ b/packages/controller/src/placement/drain.ts
@@ -1,32 +1,42 @@
-/** Tasks on machines that the cloud is about to take. */
+/** Draining of machines that the cloud is about to take. */
+import type { Instant } from '@tealdock/wire';
 import type { Binding } from '../jobs/binding.js';
+import type { LiveJob } from '../jobs/live-job.js';
 import type { Machine } from '../machines/machine.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { Term } from '../term/term.js';
 
-/** Stops tasks that can save before their machine is taken. */
+/** Stops tasks so that they save before their machine is taken. */
 export class Drain {
   constructor(
     private readonly runtime: Runtime,
     private readonly term: Term,
   ) {}
 
+  /** Requests the stops that are due, on all machines with a preemption notice. */
   run(): void {
     for (const machine of this.term.machines.values()) {
-      if (machine.heartbeats.preemptionDeadline === null) continue;
-      for (const b of machine.bindings.values()) this.stopInTime(machine, b);
+      const { preemptionDeadline } = machine.heartbeats;
+      if (preemptionDeadline !== null) this.drain(machine, preemptionDeadline);
     }
   }
 
-  /** Saves while there is time; a task that can't save runs on if it may still finish. */
-  private stopInTime(machine: Machine, b: Binding): void {
-    const job = this.term.jobs.get(b.job);
-    if (!job || b.stopRequest || !b.isObserved) return;
-    const ran = this.runtime.now - (b.runningSince ?? this.runtime.now);
+  private drain(machine: Machine, preemptionDeadline: Instant): void {
+    for (const binding of machine.bindings.values()) {
+      const job = this.term.jobs.get(binding.job);
+      if (!job || binding.stopRequest || !binding.isObserved) continue;
+      if (this.mayFinish(binding, job, preemptionDeadline)) continue;
+      const gracePeriod = job.spec.save;
+      this.term.bindings.requestStop(binding, { gracePeriod, reason: 'notice' });
+    }
+  }
+
+  /** Whether a running task is expected to end before the machine is taken. */
+  private mayFinish(binding: Binding, job: LiveJob, preemptionDeadline: Instant): boolean {
+    if (binding.taskState !== 'running') return false;
+    const { now } = this.runtime;
+    const elapsed = now - (binding.runningSince ?? now);
     const ratio = this.term.runTimeRatios.get(job.spec.jobClass) ?? 1;
-    const left = job.spec.estimate * ratio - ran;
-    const notice = (machine.heartbeats.preemptionDeadline ?? Infinity) - this.runtime.now;
-    if (b.taskState === 'running' && left < notice) return;
-    this.term.bindings.requestStop(b, { gracePeriod: job.spec.save, reason: 'notice' });
+    return job.spec.estimate * ratio - elapsed < preemptionDeadline - now;
   }
 }
--- /dev/null
+++ b/packages/controller/src/placement/image-availability.ts
@@ -0,0 +1,94 @@
+/** How soon machines have the image of a job. */
+import type { Duration, Instant, JobSpec, MachineType } from '@tealdock/wire';
+import { resourcesOf, taskSlots } from '@tealdock/scheduler';
+import type { LiveJob } from '../jobs/live-job.js';
+import type { Machine } from '../machines/machine.js';
+import type { MachineCapacity } from './machine-capacity.js';
+
+const MS_PER_SECOND = 1000;
+const MIN_FETCH_GB_PER_S = 0.01;
+const MIN_FETCH_TIME_MS = 1;
+
+/** Ranks as in `Volunteer`: the image is there, is being fetched, or can be fetched at once. */
+const RANK_PRESENT = 0;
+const RANK_FETCHING = 1;
+const RANK_IDLE = 2;
+
+/** Time to fetch an image at the full rate. */
+export const fetchTime = (imageGb: number, gbPerS: number): Duration =>
+  (imageGb / Math.max(MIN_FETCH_GB_PER_S, gbPerS)) * MS_PER_SECOND;
+
+/** Machines that hold the image of a job, free or not; computed once, when first needed. */
+export class ImageHolders {
+  private cachedMachines: MachineCapacity[] | null = null;
+  private cachedSlotCount: number | null = null;
+
+  constructor(
+    private readonly job: LiveJob,
+    private readonly cycle: { allAllowed(job: LiveJob): MachineCapacity[] },
+  ) {}
+
+  /** Those on which the job may run. */
+  get machines(): MachineCapacity[] {
+    const { image } = this.job.spec;
+    this.cachedMachines ??= this.cycle
+      .allAllowed(this.job)
+      .filter(({ machine }) => machine.hasImage(image));
+    return this.cachedMachines;
+  }
+
+  /** How many of the job's tasks they could hold if they were empty. */
+  get slotCount(): number {
+    const requested = resourcesOf(this.job.spec);
+    this.cachedSlotCount ??= this.machines.reduce(
+      (sum, { type }) => sum + taskSlots(requested, type),
+      0,
+    );
+    return this.cachedSlotCount;
+  }
+}
+
+/**
+ * A machine is no volunteer if other fetches delay the task's own by both more than `maxDelay`
+ * and more than this factor; without the former, small images would find no machine.
+ */
+export interface FetchLimits {
+  maxSlowdownFactor: number;
+  maxDelay: Duration;
+}
+
+/** Ranks machines by how soon they would have the image of one job. */
+export class ImageRanks {
+  constructor(
+    private readonly spec: JobSpec,
+    private readonly now: Instant,
+    /** Whether fetches at the same time share a machine's rate. */
+    private readonly isRateShared: boolean,
+    private readonly limits: FetchLimits,
+  ) {}
+
+  /** Null if the image would come too late for the machine to be a volunteer. */
+  rankOf({ machine, type }: MachineCapacity): number | null {
+    const { image } = this.spec;
+    if (machine.hasImage(image)) return RANK_PRESENT;
+    const { awaitedImages } = machine.usage;
+    if (awaitedImages.size === 0) return RANK_IDLE;
+    const delay = this.delayOn(machine);
+    const slowdownFactor = delay / this.undisturbedFetchTime(type);
+    if (awaitedImages.has(image) && slowdownFactor <= 1) return RANK_FETCHING;
+    const { maxDelay, maxSlowdownFactor } = this.limits;
+    const isSoonEnough = delay <= maxDelay || slowdownFactor <= maxSlowdownFactor;
+    return isSoonEnough ? RANK_IDLE + Math.floor(slowdownFactor) : null;
+  }
+
+  /** How long one more task would wait for its image there. */
+  delayOn(machine: Machine): Duration {
+    const { image, imageGb } = this.spec;
+    return machine.imageDelay(image, imageGb, this.isRateShared, this.now);
+  }
+
+  /** What the fetch takes on a machine that fetches nothing else. */
+  private undisturbedFetchTime(type: MachineType): Duration {
+    return Math.max(MIN_FETCH_TIME_MS, fetchTime(this.spec.imageGb, type.fetchGbPerS));
+  }
+}
--- a/packages/controller/src/placement/preemption.ts
+++ b/packages/controller/src/placement/preemption.ts
@@ -1,24 +1,25 @@
 /** Stopping tasks so that others can start. */
 import type { Duration, Instant } from '@tealdock/wire';
 import {
+  addResources,
   fits,
-  subtractResources,
-  resourcesOf,
   planPreemption,
-  addResources,
   priorityRank,
+  resourcesOf,
+  subtractResources,
   type PreemptionPlan,
   type Resources,
   type Victim,
 } from '@tealdock/scheduler';
-import type { MachineCapacity, ImageRanks } from './machine-capacity.js';
-import type { LiveJob } from '../jobs/live-job.js';
 import type { Binding } from '../jobs/binding.js';
+import type { LiveJob } from '../jobs/live-job.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { Term } from '../term/term.js';
+import type { ImageRanks } from './image-availability.js';
+import type { MachineCapacity } from './machine-capacity.js';
 
-/** A start that is stopped sooner than this was in vain for whoever waited for it. */
-const RECENT_START = 30_000;
+/** Stopping a task that started less than this ago costs that much beside its lost work. */
+const RECENT_START_MS = 30_000;
 
 interface MachinePlan extends PreemptionPlan<Binding> {
   capacity: MachineCapacity;
@@ -26,34 +27,43 @@
   cost: Duration;
 }
 
+/** What tasks are to be stopped for, and where. */
+export interface PreemptionDemand {
+  job: LiveJob;
+  ranks: ImageRanks;
+  machines: MachineCapacity[];
+  /** Whether one more task of the job would reclaim its team's guarantee; may change. */
+  isReclaiming: () => boolean;
+}
+
 /**
- * Makes room for the tasks of one job by stopping others, where that loses the
- * least work. Plans are made once for all machines; each use changes one machine.
+ * Frees capacity for the tasks of one job by stopping others, where that loses the least
+ * work. Plans are made once for all machines; each use changes one machine.
  */
 export class Preemption {
+  /** By cost, lowest first. */
   private readonly plans: MachinePlan[];
-  private readonly wanted: Resources;
+  private readonly requested: Resources;
 
   constructor(
     private readonly runtime: Runtime,
     private readonly term: Term,
-    private readonly job: LiveJob,
-    private readonly guaranteed: () => boolean,
-    machines: MachineCapacity[],
-    private readonly ranks: ImageRanks,
+    private readonly demand: PreemptionDemand,
   ) {
-    this.wanted = resourcesOf(job.spec);
-    const plans = machines.map((d) => this.planFor(d)).filter((p) => p !== null);
-    this.plans = plans.sort((a, b) => a.cost - b.cost);
+    this.requested = resourcesOf(demand.job.spec);
+    this.plans = demand.machines
+      .map((capacity) => this.planFor(capacity))
+      .filter((plan) => plan !== null)
+      .sort((a, b) => a.cost - b.cost);
   }
 
-  /** Has what is needed for one task stopped; null if nothing may be. */
+  /** Stops what has to be stopped for one task; null if nothing may be. */
   freeOneSlot(): MachineCapacity | null {
     for (;;) {
       const plan = this.plans.shift();
       if (!plan) return null;
-      // What was stopped since may have changed who borrows.
-      if (!plan.victims.every((v) => this.mayStop(v.item, this.guaranteed()))) {
+      // Stops since the plan was made may have changed who borrows.
+      if (!plan.victims.every(({ item }) => this.mayStop(item, this.demand.isReclaiming()))) {
         this.planAgain(plan.capacity);
         continue;
       }
@@ -62,47 +72,43 @@
     }
   }
 
-  /** To be called once the room has been promised to a task. */
+  /** To be called once the freed slot has been reserved. */
   planAgain(capacity: MachineCapacity): void {
     const plan = this.planFor(capacity);
     if (!plan) return;
-    const at = this.plans.findIndex((p) => p.cost > plan.cost);
-    this.plans.splice(at < 0 ? this.plans.length : at, 0, plan);
+    const index = this.plans.findIndex(({ cost }) => cost > plan.cost);
+    this.plans.splice(index < 0 ? this.plans.length : index, 0, plan);
   }
 
+  /** Null where nothing has to be stopped, or where stops would not help. */
   private planFor(capacity: MachineCapacity): MachinePlan | null {
-    // Where room is coming already, nothing needs to be stopped.
-    if (fits(this.wanted, capacity.freeAfterStops)) return null;
-    const plan = planPreemption(capacity.freeAfterStops, this.victims(capacity), this.wanted);
-    // Room where the image would come too late is no room.
-    if (!plan || this.ranks.of(capacity) === null) return null;
-    return { ...plan, capacity, cost: plan.lostWork + this.ranks.delay(capacity.machine) };
+    if (fits(this.requested, capacity.freeAfterStops)) return null;
+    const candidates = this.victimsOn(capacity);
+    const plan = planPreemption(capacity.freeAfterStops, candidates, this.requested);
+    const { ranks } = this.demand;
+    // A machine on which the image would come too late is of no use.
+    if (!plan || ranks.rankOf(capacity) === null) return null;
+    return { ...plan, capacity, cost: plan.lostWork + ranks.delayOn(capacity.machine) };
   }
 
-  private victims(capacity: MachineCapacity): Victim<Binding>[] {
+  private victimsOn(capacity: MachineCapacity): Victim<Binding>[] {
     const victims: Victim<Binding>[] = [];
-    const guaranteed = this.guaranteed();
+    const isReclaiming = this.demand.isReclaiming();
     for (const binding of capacity.machine.bindings.values()) {
-      if (!this.mayStop(binding, guaranteed)) continue;
-      const other = this.term.jobs.get(binding.job);
-      if (!other) continue;
-      victims.push({
-        item: binding,
-        resources: binding.resources,
-        lostWork: lost(binding, other, this.runtime.now),
-      });
+      if (!this.mayStop(binding, isReclaiming)) continue;
+      const job = this.term.jobs.get(binding.job);
+      if (!job) continue;
+      const lostWork = lostWorkOf(binding, job, this.runtime.now);
+      victims.push({ item: binding, resources: binding.resources, lostWork });
     }
     return victims;
   }
 
-  private stop(capacity: MachineCapacity, victim: Victim<Binding>): void {
-    const binding = victim.item;
-    const reason = `room for ${this.job.id}`;
-    this.term.bindings.requestStop(binding, {
-      gracePeriod: this.term.jobs.get(binding.job)?.spec.save ?? 0,
-      reason,
-    });
-    capacity.freeAfterStops = addResources(capacity.freeAfterStops, victim.resources);
+  private stop(capacity: MachineCapacity, { item: binding, resources }: Victim<Binding>): void {
+    const reason = `room for ${this.demand.job.id}`;
+    const gracePeriod = this.term.jobs.get(binding.job)?.spec.save ?? 0;
+    this.term.bindings.requestStop(binding, { gracePeriod, reason });
+    capacity.freeAfterStops = addResources(capacity.freeAfterStops, resources);
     this.runtime.env.log(
       'debug',
       { task: binding.task, machine: binding.machine, reason },
@@ -111,37 +117,36 @@
   }
 
   /**
-   * Within a team priority decides. Work inside another team's guarantee gives
-   * way only to higher work that is inside its own: were it stopped for borrowed
-   * work, its team would reclaim the room at once, and so on without end.
+   * Within a team priority decides. Work inside another team's guarantee gives way only to
+   * higher work that is inside its own: were it stopped for borrowed work, its team would
+   * reclaim the capacity at once, and so on without end.
    */
-  private mayStop(binding: Binding, guaranteed: boolean): boolean {
-    const other = this.term.jobs.get(binding.job);
-    if (!other || binding.stopRequest || binding.isProtectedFromPreemption || !binding.isObserved)
-      return false;
-    const lower = priorityRank(other.spec) < priorityRank(this.job.spec);
-    if (other.spec.team === this.job.spec.team) return lower;
-    return this.borrows(other) ? lower || guaranteed : lower && guaranteed;
+  private mayStop(binding: Binding, isReclaiming: boolean): boolean {
+    const victim = this.term.jobs.get(binding.job);
+    if (!victim || binding.stopRequest) return false;
+    if (binding.isProtectedFromPreemption || !binding.isObserved) return false;
+    const { spec } = this.demand.job;
+    const isLower = priorityRank(victim.spec) < priorityRank(spec);
+    if (victim.spec.team === spec.team) return isLower;
+    return this.isBorrowing(victim) ? isLower || isReclaiming : isLower && isReclaiming;
   }
 
   /**
-   * The other team uses so much beyond its guarantee that it stays at it without
-   * what the task needs. Were less enough, it would reclaim the rest at once.
+   * Whether the victim's team uses so much beyond its guarantee that it stays at it without
+   * the requested resources. Were less enough, it would reclaim the rest at once.
    */
-  private borrows(other: LiveJob): boolean {
-    const team = this.runtime.settings.teams.find((t) => t.name === other.spec.team);
+  private isBorrowing(victim: LiveJob): boolean {
+    const team = this.runtime.settings.teams.find(({ name }) => name === victim.spec.team);
     if (!team) return false;
-    const left = subtractResources(this.term.ledger.usageAfterStops(team.name), this.wanted);
+    const left = subtractResources(this.term.ledger.usageAfterStops(team.name), this.requested);
     return left.cpus >= team.cpus && left.gpus >= team.gpus;
   }
 }
 
 /** Work lost if the task is stopped now; one that saves loses only what stopping takes. */
-function lost(binding: Binding, job: LiveJob, now: Instant): number {
-  const ran =
-    binding.runningSince === null || binding.taskState === 'fetching'
-      ? 0
-      : now - binding.runningSince;
-  const fresh = ran < RECENT_START ? RECENT_START : 0;
-  return fresh + (job.spec.checkpoint > 0 ? job.spec.save : ran);
+function lostWorkOf(binding: Binding, job: LiveJob, now: Instant): Duration {
+  const { runningSince, taskState } = binding;
+  const elapsed = runningSince === null || taskState === 'fetching' ? 0 : now - runningSince;
+  const recentStartCost = elapsed < RECENT_START_MS ? RECENT_START_MS : 0;
+  return recentStartCost + (job.spec.checkpoint > 0 ? job.spec.save : elapsed);
 }
--- a/packages/controller/src/placement/scheduling-cycle.ts
+++ b/packages/controller/src/placement/scheduling-cycle.ts
@@ -1,88 +1,114 @@
 /** One run through all waiting jobs. */
-import { fits, minResources, resourcesOf, priorityRank, type Resources } from '@tealdock/scheduler';
-import { allowedMachines, type MachineCapacity } from './machine-capacity.js';
+import { fits, minResources, priorityRank, resourcesOf } from '@tealdock/scheduler';
 import type { LiveJob } from '../jobs/live-job.js';
 import type { UsageLedger } from '../machines/usage-ledger.js';
+import { allowedMachines, type MachineCapacity } from './machine-capacity.js';
 
-/** A cycle that books more goes on in the next one: reports are answered in between. */
-const MAX_BOOKINGS = 300;
-/** Plans to make room look at every task of every machine that is looked at. */
-const MAX_PREEMPTION_PLANS = 6;
-/** So many machines a cycle, and one plan at least: the cost must not grow with the fleet. */
-const MAX_PLANNED_MACHINES = 1200;
+/** The rest waits for the next cycle: heartbeats are answered in between. */
+const MAX_ASSIGNMENT_COUNT = 300;
+/** Preemption plans look at every task of every machine that they cover. */
+const MAX_PREEMPTION_PLAN_COUNT = 6;
+/** Machines covered by a cycle's plans, so that their cost does not grow with the fleet. */
+const MAX_PLANNED_MACHINE_COUNT = 1200;
 
-/** What a cycle has to know of the term. */
+/** What a cycle reads of the term. */
 interface BoundTasks {
   readonly jobs: ReadonlyMap<string, LiveJob>;
   readonly ledger: UsageLedger;
 }
 
 /**
- * What one cycle sees of the fleet, and what it has found out so far. In overload
- * hundreds of jobs wait and almost every machine is full: what no waiting task could
- * use is sorted out once, not once for each job.
+ * What one cycle sees of the fleet, and what it has found out so far. In overload hundreds of
+ * jobs wait and almost every machine is full: machines that no waiting task could use are
+ * sorted out once, not once for each job.
  */
 export class SchedulingCycle {
-  /** Demands that no machine has room for. */
-  readonly full = new Set<string>();
-  bookings = 0;
-  preemptionPlans = 0;
+  /** Demand keys that fit on no machine. */
+  readonly unplaceableDemands = new Set<string>();
+  private assignments = 0;
+  private plans = 0;
   private plannedMachines = 0;
   private readonly withFreeCapacity: MachineCapacity[];
-  private readonly withCapacitySoon: MachineCapacity[];
-  /** The lowest priority of all that is bound to machines, and whose it is. */
-  private readonly lowest: number;
-  private readonly teams: ReadonlySet<string>;
+  private readonly withCapacityAfterStops: MachineCapacity[];
+  /** The lowest priority of all bound tasks; Infinity if there are none. */
+  private readonly lowestBoundRank: number;
+  /** Teams with bound tasks. */
+  private readonly boundTeams: ReadonlySet<string>;
 
+  /** At least one job has to wait. */
   constructor(
     private readonly machines: MachineCapacity[],
     private readonly term: BoundTasks,
     waiting: LiveJob[],
   ) {
-    const smallest = leastNeed(waiting);
-    this.withFreeCapacity = machines.filter((d) => fits(smallest, d.free));
-    this.withCapacitySoon = machines.filter((d) => fits(smallest, d.freeAfterStops));
-    const bound = [...term.jobs.values()].filter((job) => job.bindings.size > 0);
-    this.lowest = bound.reduce((low, job) => Math.min(low, priorityRank(job.spec)), Infinity);
-    this.teams = new Set(bound.map((job) => job.spec.team));
+    const smallest = waiting.map(({ spec }) => resourcesOf(spec)).reduce(minResources);
+    this.withFreeCapacity = machines.filter(({ free }) => fits(smallest, free));
+    this.withCapacityAfterStops = machines.filter(({ freeAfterStops }) =>
+      fits(smallest, freeAfterStops),
+    );
+    const bound = [...term.jobs.values()].filter(({ bindings }) => bindings.size > 0);
+    this.lowestBoundRank = bound.reduce(
+      (lowest, { spec }) => Math.min(lowest, priorityRank(spec)),
+      Infinity,
+    );
+    this.boundTeams = new Set(bound.map(({ spec }) => spec.team));
   }
 
-  /** Work of lower priority has room that it might give up for the job. */
-  hasLowerWork(job: LiveJob): boolean {
-    return this.lowest < priorityRank(job.spec);
+  /** Tasks assigned in this cycle. */
+  get assignmentCount(): number {
+    return this.assignments;
   }
 
-  hasOtherTeams(job: LiveJob): boolean {
-    return this.teams.size > (this.teams.has(job.spec.team) ? 1 : 0);
+  /** Preemption plans made in this cycle. */
+  get preemptionPlanCount(): number {
+    return this.plans;
   }
 
-  get bookingLimitReached(): boolean {
-    return this.bookings >= MAX_BOOKINGS;
+  /** Whether this cycle may assign no more tasks. */
+  get isAssignmentLimitReached(): boolean {
+    return this.assignments >= MAX_ASSIGNMENT_COUNT;
   }
 
+  /** Whether this cycle may make one more preemption plan. */
   get mayPlanPreemption(): boolean {
     return (
-      this.preemptionPlans < MAX_PREEMPTION_PLANS && this.plannedMachines < MAX_PLANNED_MACHINES
+      this.plans < MAX_PREEMPTION_PLAN_COUNT && this.plannedMachines < MAX_PLANNED_MACHINE_COUNT
     );
   }
 
-  notePlan(machines: number): void {
-    this.preemptionPlans++;
-    this.plannedMachines += machines;
+  /** Whether tasks of lower priority are bound, which might be stopped for the job. */
+  hasLowerPriorityWork(job: LiveJob): boolean {
+    return this.lowestBoundRank < priorityRank(job.spec);
+  }
+
+  /** Whether tasks of other teams are bound. */
+  hasOtherTeams(job: LiveJob): boolean {
+    return this.boundTeams.size > (this.boundTeams.has(job.spec.team) ? 1 : 0);
+  }
+
+  /** A task was assigned. */
+  recordAssignment(): void {
+    this.assignments++;
   }
 
-  /** Where the job may go, and something has room now. */
-  candidatesNow(job: LiveJob): MachineCapacity[] {
+  /** A preemption plan was made that covers so many machines. */
+  recordPreemptionPlan(machineCount: number): void {
+    this.plans++;
+    this.plannedMachines += machineCount;
+  }
+
+  /** Machines that the job may use, with some capacity free now. */
+  allowedWithFreeCapacity(job: LiveJob): MachineCapacity[] {
     return this.allowed(job, this.withFreeCapacity);
   }
 
-  /** Where the job may go, and something will have room once all that is stopped is gone. */
-  candidatesSoon(job: LiveJob): MachineCapacity[] {
-    return this.allowed(job, this.withCapacitySoon);
+  /** Machines that the job may use, with some capacity free once all stops are done. */
+  allowedAfterStops(job: LiveJob): MachineCapacity[] {
+    return this.allowed(job, this.withCapacityAfterStops);
   }
 
-  /** Where the job may go. */
-  everywhere(job: LiveJob): MachineCapacity[] {
+  /** All machines that the job may use. */
+  allAllowed(job: LiveJob): MachineCapacity[] {
     return this.allowed(job, this.machines);
   }
 
@@ -90,7 +116,3 @@
     return allowedMachines(job, machines, this.term.ledger.zoneCountsOf(job.id));
   }
 }
-
-function leastNeed(jobs: LiveJob[]): Resources {
-  return jobs.map((job) => resourcesOf(job.spec)).reduce(minResources);
-}
--- a/packages/controller/src/placement/team-capacity.ts
+++ b/packages/controller/src/placement/team-capacity.ts
@@ -1,72 +1,80 @@
 /** What teams use of their guarantees and limits while a cycle goes on. */
-import type { MachineType } from '@tealdock/wire';
+import type { Team } from '@tealdock/wire';
 import {
   NO_RESOURCES,
-  resourcesOf,
   addResources,
   isWithinTeamQuota,
+  resourcesOf,
   type Resources,
 } from '@tealdock/scheduler';
 import type { LiveJob } from '../jobs/live-job.js';
-import type { Runtime } from '../runtime/runtime.js';
 import { machineTypeOf } from '../machines/machine.js';
+import type { Runtime } from '../runtime/runtime.js';
 import type { Term } from '../term/term.js';
+import type { MachineTypes } from './fleet.js';
+
+/** What may run on a machine of unknown type. */
+const UNKNOWN_RESOURCES: Resources = { cpus: Infinity, gpus: Infinity, memoryGb: 0 };
 
 /** Counts all that is bound, and what this cycle has reserved (docs/safety.md, rule `quota`). */
 export class TeamCapacity {
-  /** Capacity that will be free and is kept for a team's tasks in this cycle. */
-  private readonly reservedByTeam = new Map<string, Resources>();
-  /** Machines not accounted for may be full of any team's tasks. */
-  private unaccounted: Resources = NO_RESOURCES;
+  /** What this cycle has reserved, by team. */
+  private readonly reserved = new Map<string, Resources>();
+  /** Machines that are not reconciled may be full of any team's tasks. */
+  private unreconciledResources: Resources = NO_RESOURCES;
 
   constructor(
     private readonly runtime: Runtime,
     private readonly term: Term,
-    private readonly types: () => MachineType[],
+    private readonly catalog: MachineTypes,
   ) {}
 
   /** Forgets the reservations of the cycle before. */
   beginCycle(): void {
-    this.reservedByTeam.clear();
+    this.reserved.clear();
   }
 
-  /** Takes in what may run on machines that are not accounted for. */
-  updateUnaccounted(): void {
-    this.unaccounted = this.sumUnaccounted();
+  /** Sums up what may run on machines that are not reconciled. */
+  refreshUnreconciled(): void {
+    this.unreconciledResources = this.term
+      .unreconciledMachines()
+      .map((machine) => machineTypeOf(this.catalog.types, machine) ?? UNKNOWN_RESOURCES)
+      .reduce(addResources, NO_RESOURCES);
   }
 
   /** Capacity was reserved for one task of the job. */
   reserve(job: LiveJob): void {
-    const reserved = this.reservedByTeam.get(job.spec.team) ?? NO_RESOURCES;
-    this.reservedByTeam.set(job.spec.team, addResources(reserved, resourcesOf(job.spec)));
+    const { team } = job.spec;
+    this.reserved.set(team, addResources(this.reservedFor(team), resourcesOf(job.spec)));
   }
 
-  belowGuarantee(job: LiveJob): boolean {
-    const team = this.runtime.settings.teams.find((t) => t.name === job.spec.team);
+  /** Whether the job's team stays within its guarantee with one more of its tasks. */
+  isBelowGuarantee(job: LiveJob): boolean {
+    const team = this.teamOf(job);
     if (!team) return false;
-    const promised = this.reservedByTeam.get(team.name) ?? NO_RESOURCES;
-    const after = addResources(
-      addResources(this.term.ledger.usageOf(team.name), promised),
-      resourcesOf(job.spec),
-    );
+    const used = addResources(this.term.ledger.usageOf(team.name), this.reservedFor(team.name));
+    const after = addResources(used, resourcesOf(job.spec));
     return after.cpus <= team.cpus && after.gpus <= team.gpus;
   }
 
-  withinTeamLimit(job: LiveJob): boolean {
-    const team = this.runtime.settings.teams.find((t) => t.name === job.spec.team);
-    return !!team && isWithinTeamQuota(team, this.limitUse(team.name), resourcesOf(job.spec));
+  /** Whether the job's team stays within its limit with one more of its tasks. */
+  hasCapacityFor(job: LiveJob): boolean {
+    return this.isWithinLimit(job, resourcesOf(job.spec));
+  }
+
+  /** Whether the job's team stays within its limit with the requested resources as well. */
+  isWithinLimit(job: LiveJob, requested: Resources): boolean {
+    const team = this.teamOf(job);
+    if (!team) return false;
+    const used = addResources(this.term.ledger.usageOf(team.name), this.unreconciledResources);
+    return isWithinTeamQuota(team, used, requested);
   }
 
-  limitUse(team: string): Resources {
-    return addResources(this.term.ledger.usageOf(team), this.unaccounted);
+  private reservedFor(team: string): Resources {
+    return this.reserved.get(team) ?? NO_RESOURCES;
   }
 
-  private sumUnaccounted(): Resources {
-    let sum = NO_RESOURCES;
-    for (const machine of this.term.unreconciledMachines()) {
-      const type = machineTypeOf(this.types(), machine);
-      sum = addResources(sum, type ?? { cpus: Infinity, gpus: Infinity, memoryGb: 0 });
-    }
-    return sum;
+  private teamOf(job: LiveJob): Team | undefined {
+    return this.runtime.settings.teams.find(({ name }) => name === job.spec.team);
   }
 }
--- /dev/null
+++ b/packages/controller/src/placement/volunteers.ts
@@ -0,0 +1,93 @@
+/** The volunteers, that is candidate machines, for the tasks of one job. */
+import {
+  allocatedFraction,
+  chooseVolunteer,
+  fits,
+  resourcesOf,
+  subtractResources,
+  type Resources,
+  type Volunteer,
+} from '@tealdock/scheduler';
+import type { LiveJob } from '../jobs/live-job.js';
+import type { Fleet } from './fleet.js';
+import type { ImageRanks } from './image-availability.js';
+import type { MachineCapacity } from './machine-capacity.js';
+
+interface VolunteerMachine extends Volunteer {
+  capacity: MachineCapacity;
+}
+
+/** How volunteers are compared. */
+export interface VolunteerRules {
+  ranks: ImageRanks;
+  fleet: Fleet;
+}
+
+/**
+ * The volunteers for the tasks of one job. They are listed once; an assignment changes one of
+ * them only, so the choice for the next task starts from there.
+ */
+export class Volunteers {
+  private readonly volunteers: VolunteerMachine[] = [];
+  private readonly requested: Resources;
+  private readonly consolidates: boolean;
+  /** Machines that fit a task, but would have the image too late. */
+  tooSlowCount = 0;
+
+  constructor(
+    job: LiveJob,
+    machines: MachineCapacity[],
+    private readonly rules: VolunteerRules,
+  ) {
+    this.requested = resourcesOf(job.spec);
+    this.consolidates = rules.fleet.consolidates();
+    for (const capacity of machines) {
+      if (!fits(this.requested, capacity.free)) continue;
+      const volunteer = this.volunteerOn(capacity);
+      if (volunteer) this.volunteers.push(volunteer);
+      else this.tooSlowCount++;
+    }
+    if (this.consolidates) this.volunteers.sort(compareForConsolidation);
+  }
+
+  /** The best one; undefined if there are none. */
+  choose(): MachineCapacity | undefined {
+    return chooseVolunteer(this.volunteers)?.capacity;
+  }
+
+  /** A task was assigned to a volunteer: takes its resources from the machine's. */
+  recordAssignment(capacity: MachineCapacity): void {
+    capacity.free = subtractResources(capacity.free, this.requested);
+    capacity.freeAfterStops = subtractResources(capacity.freeAfterStops, this.requested);
+    const index = this.volunteers.findIndex((volunteer) => volunteer.capacity === capacity);
+    this.volunteers.splice(index, 1);
+    if (!fits(this.requested, capacity.free)) return;
+    const changed = this.volunteerOn(capacity);
+    if (changed) this.volunteers.splice(this.indexFor(changed, index), 0, changed);
+    else this.tooSlowCount++;
+  }
+
+  /** Fuller than before, it can only move towards the start. */
+  private indexFor(changed: VolunteerMachine, previousIndex: number): number {
+    if (!this.consolidates) return previousIndex;
+    const before = this.volunteers.slice(0, previousIndex);
+    return before.findLastIndex((other) => compareForConsolidation(changed, other) >= 0) + 1;
+  }
+
+  private volunteerOn(capacity: MachineCapacity): VolunteerMachine | null {
+    const { machine, type, free } = capacity;
+    const imageRank = this.rules.ranks.rankOf(capacity);
+    if (imageRank === null) return null;
+    return {
+      capacity,
+      allocatedFraction: allocatedFraction(type, free),
+      price: this.rules.fleet.price(machine, type),
+      recentComputeTime: machine.usage.recentComputeTime / Math.max(1, type.cpus),
+      imageRank,
+    };
+  }
+}
+
+/** What adds least to the bill first, then the fullest. */
+const compareForConsolidation = (a: Volunteer, b: Volunteer): number =>
+  a.price - b.price || b.allocatedFraction - a.allocatedFraction;
