--- a/packages/controller/src/autoscaling/machine-returns.ts
+++ b/packages/controller/src/autoscaling/machine-returns.ts
@@ -42,7 +42,10 @@
   countsNoMore(machine: Machine): boolean {
     const since =
       machine.heartbeats.lastCountedAt ??
-      Math.max(this.term.electedAt, Math.min(machine.registration.firstSeenAt, this.runtime.now));
+      Math.max(
+        this.term.electedAt,
+        Math.min(machine.registration.firstObservedAt, this.runtime.now),
+      );
     return machine.bindings.size === 0 && this.runtime.now > this.term.leaseExpiry.leaseEnd(since);
   }
 
@@ -137,7 +140,7 @@
     if (silence < patience) return false;
     return (
       this.inventory.listAsked - this.runtime.settings.cloud.listLag * 2 >
-      machine.registration.firstSeenAt
+      machine.registration.firstObservedAt
     );
   }
 
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -272,7 +272,7 @@
    */
   private healthy(): boolean {
     const starting = this.runtime.now - (this.startedAt ?? 0) < START_PATIENCE;
-    if (starting && !this.catalog.isKnown) return false;
+    if (starting && !this.catalog.isLoaded) return false;
     return this.state.isAvailable || this.peers.anyAlive;
   }
 }
--- a/packages/controller/src/jobs/ancestor-check.ts
+++ b/packages/controller/src/jobs/ancestor-check.ts
@@ -82,11 +82,11 @@
     const unproven: string[] = [];
     const unread: string[] = [];
     let isOneCancelled = false;
-    const seen = new Set<string>();
+    const visited = new Set<string>();
     const next = [...predecessors];
     for (let id = next.pop(); id !== undefined; id = next.pop()) {
-      if (seen.has(id)) continue;
-      seen.add(id);
+      if (visited.has(id)) continue;
+      visited.add(id);
       const finalState = this.jobs.finalState(id);
       if (finalState === 'cancelled') isOneCancelled = true;
       if (finalState !== undefined) continue;
--- a/packages/controller/src/jobs/binding.ts
+++ b/packages/controller/src/jobs/binding.ts
@@ -1,6 +1,8 @@
 /** A binding: one attempt of a task on one machine, from its assignment to its proven end. */
-import type { Duration, Instant, JobSpec, TaskState } from '@tealdock/wire';
-import { NO_RESOURCES, resourcesOf, type Resources } from '@tealdock/scheduler';
+import type { Duration, Instant } from '@tealdock/wire';
+import type { Resources } from '@tealdock/scheduler';
+import { observedPhase, type ActiveTaskState, type BindingPhase } from './binding-phase.js';
+import type { TaskRequirements } from './task-requirements.js';
 
 /** How a task is to be stopped, and why. */
 export interface StopRequest {
@@ -10,25 +12,6 @@
   reason: string;
 }
 
-/** State of a task that has not exited. */
-export type ActiveTaskState = Exclude<TaskState, 'exited'>;
-
-/**
- * `assigned`: placed by this term, and the start has not been sent. `dispatched`: the start
- * was sent in the response to a heartbeat. `observed`: a heartbeat has shown the task.
- */
-type BindingPhase =
-  | { readonly kind: 'assigned' }
-  | { readonly kind: 'dispatched'; readonly heartbeatNumber: number }
-  | {
-      readonly kind: 'observed';
-      readonly taskState: ActiveTaskState;
-      /** When a heartbeat first showed that the image was there; null while it is fetched. */
-      readonly runningSince: Instant | null;
-      /** Null where another term dispatched the start. */
-      readonly heartbeatNumber: number | null;
-    };
-
 /** Which attempt of which task, and on which machine. */
 interface BindingIdentity {
   readonly task: string;
@@ -40,29 +23,6 @@
   readonly machine: string;
 }
 
-/** What a task takes of its machine, and on whose account. */
-export interface TaskRequirements {
-  readonly team: string;
-  readonly resources: Resources;
-  /** Null while the job is not known. */
-  readonly image: string | null;
-  readonly imageGb: number;
-}
-
-/** Stands in for the requirements of a task whose job has to be looked up first. */
-export const UNKNOWN_REQUIREMENTS: TaskRequirements = {
-  team: '',
-  resources: NO_RESOURCES,
-  image: null,
-  imageGb: 0,
-};
-
-/** What each task of a job requires. */
-export function requirementsOf(spec: JobSpec): TaskRequirements {
-  const { team, image, imageGb } = spec;
-  return { team, resources: resourcesOf(spec), image, imageGb };
-}
-
 /** Keeps the sums over bindings up to date; called by each transition that they depend on. */
 export interface BindingObserver {
   /** Applies a change of the team, the resources or the stop request of a binding. */
@@ -138,11 +98,11 @@
   }
 
   /** A binding of a task that a heartbeat shows, and that this term has not assigned. */
-  static adopted(initial: InitialBinding, taskState: ActiveTaskState, isWanted: boolean): Binding {
+  static adopted(initial: InitialBinding, taskState: ActiveTaskState, isNeeded: boolean): Binding {
     return new Binding(initial, {
-      phase: observedPhase(taskState, initial.now, { runningSince: null, heartbeatNumber: null }),
-      stopRequest: isWanted ? null : { gracePeriod: 0, reason: 'not wanted' },
-      isOrphaned: !isWanted,
+      phase: observedPhase(null, taskState, initial.now),
+      stopRequest: isNeeded ? null : { gracePeriod: 0, reason: 'not wanted' },
+      isOrphaned: !isNeeded,
       isProtectedFromPreemption: false,
     });
   }
@@ -218,11 +178,7 @@
 
   /** A heartbeat shows the task in this state. */
   observe(taskState: ActiveTaskState, now: Instant): void {
-    const phase = this.currentPhase;
-    this.currentPhase = observedPhase(taskState, now, {
-      runningSince: this.runningSince,
-      heartbeatNumber: phase.kind === 'assigned' ? null : phase.heartbeatNumber,
-    });
+    this.currentPhase = observedPhase(this.currentPhase, taskState, now);
     this.observer.onTaskStateChanged(this);
   }
 
@@ -255,15 +211,5 @@
   }
 }
 
-/** The task runs from the first heartbeat that shows it with its image. */
-function observedPhase(
-  taskState: ActiveTaskState,
-  now: Instant,
-  earlier: { runningSince: Instant | null; heartbeatNumber: number | null },
-): BindingPhase {
-  const runningSince = earlier.runningSince ?? (taskState === 'fetching' ? null : now);
-  return { kind: 'observed', taskState, runningSince, heartbeatNumber: earlier.heartbeatNumber };
-}
-
 /** Key of a binding among those of its machine. */
 export const bindingKey = (task: string, attempt: number): string => `${task}#${attempt}`;
--- a/packages/controller/src/jobs/liveness-proofs.ts
+++ b/packages/controller/src/jobs/liveness-proofs.ts
@@ -11,7 +11,7 @@
 const COMPARE_TIMEOUT_MS: Duration = 1200;
 /** The state service takes this many preconditions for each write that it takes. */
 const PRECONDITIONS_PER_WRITE_COUNT = 4;
-const MAX_KNOWN_JOB_COUNT = 5000;
+const MAX_TRACKED_JOB_COUNT = 5000;
 
 /** `live`: the job's key still has the version that was known. `changed`: it has not. */
 type LivenessProof = 'live' | 'changed' | 'unknown';
@@ -19,7 +19,7 @@
 type OnProof = (proof: LivenessProof) => void;
 
 /** A live job's key as this node last read or wrote it. */
-interface KnownKey {
+interface TrackedKey {
   readonly version: number;
   readonly predecessors: string[];
 }
@@ -40,7 +40,7 @@
  * result is never older than what any user was told before.
  */
 export class LivenessProofs {
-  private readonly knownKeys = new BoundedMap<string, KnownKey>(MAX_KNOWN_JOB_COUNT);
+  private readonly trackedKeys = new BoundedMap<string, TrackedKey>(MAX_TRACKED_JOB_COUNT);
   private pending = new Map<string, PendingProof>();
   private isBatchScheduled = false;
 
@@ -51,17 +51,17 @@
 
   /** The job's key was read or written by this node. */
   recordVersion(job: string, version: number, predecessors: string[]): void {
-    this.knownKeys.set(job, { version, predecessors });
+    this.trackedKeys.set(job, { version, predecessors });
   }
 
   /** The job's key is not known any more; proofs under way still compare the old version. */
   forget(job: string): void {
-    this.knownKeys.delete(job);
+    this.trackedKeys.delete(job);
   }
 
   /** What a live job waits for; undefined if no version of its key is known. */
   predecessorsOf(job: string): string[] | undefined {
-    return this.knownKeys.get(job)?.predecessors;
+    return this.trackedKeys.get(job)?.predecessors;
   }
 
   /**
@@ -69,7 +69,7 @@
    * of the job's key is known: the key has to be read.
    */
   request(job: string, onProof: OnProof): boolean {
-    const version = this.knownKeys.get(job)?.version;
+    const version = this.trackedKeys.get(job)?.version;
     if (version === undefined) return false;
     const proof = this.pending.get(job) ?? { job, version, callbacks: [] };
     proof.callbacks.push(onProof);
--- a/packages/controller/src/machines/catalog.ts
+++ b/packages/controller/src/machines/catalog.ts
@@ -28,11 +28,11 @@
   ) {}
 
   /** False until the types have been read from the cloud or from the state service. */
-  get isKnown(): boolean {
+  get isLoaded(): boolean {
     return this.currentTypes.length > 0;
   }
 
-  /** Empty until the catalog is known. */
+  /** Empty until the catalog is loaded. */
   get types(): MachineType[] {
     return this.currentTypes;
   }
@@ -80,7 +80,7 @@
 
   private readStored(): void {
     this.state.readAll(CATALOG_PREFIX, PRIORITY.leader, (read) => {
-      if (this.isKnown) return;
+      if (this.isLoaded) return;
       if (read.kind === 'failed' || read.items.length === 0)
         return this.runtime.after(RETRY_DELAY_MS, () => this.readStored());
       this.currentTypes = read.items.flatMap(
--- a/packages/controller/src/machines/fetch-sharing.ts
+++ b/packages/controller/src/machines/fetch-sharing.ts
@@ -8,7 +8,7 @@
 /** Weight of the newest fetch in the probability. */
 const NEWEST_FETCH_FRACTION = 0.1;
 /** From this probability on, fetches are taken to share the rate. */
-const SHARED_PROBABILITY = 0.5;
+const MIN_SHARING_PROBABILITY = 0.5;
 /** Stands in for an estimate of nothing, whose logarithm is not finite. */
 const MIN_ESTIMATE_GB = 1e-6;
 
@@ -27,7 +27,7 @@
 
   /** True if fetches are to be taken to share the rate. */
   get isShared(): boolean {
-    return this.probability >= SHARED_PROBABILITY;
+    return this.probability >= MIN_SHARING_PROBABILITY;
   }
 
   /** Starts from what another leader had learnt. */
--- a/packages/controller/src/machines/image-fetches.ts
+++ b/packages/controller/src/machines/image-fetches.ts
@@ -3,8 +3,9 @@
 
 /** Stands in for a rate that is not known or zero, so that a delay stays finite. */
 const MIN_RATE_GB_PER_S = 0.01;
+const MS_PER_SECOND = 1000;
 
-/** A fetch since its beginning, or as it ended. */
+/** A fetch since its start, or as it ended. */
 export interface ImageFetch {
   readonly sizeGb: number;
   /** What should have arrived by now if fetches at the same time share the machine's rate. */
@@ -28,7 +29,7 @@
 export class ImageFetches {
   /** 0 until the machine's type is known. */
   private rateGbPerS = 0;
-  /** By image, in the order in which they began. */
+  /** By image, in the order in which they started. */
   private readonly running = new Map<string, ImageFetch>();
   private updatedAt: Instant = 0;
 
@@ -38,12 +39,12 @@
   }
 
   /** Has no effect while the image is being fetched already. */
-  begin(image: string, sizeGb: number, now: Instant): void {
+  start(image: string, sizeGb: number, now: Instant): void {
     this.advance(now);
     if (!this.running.has(image)) this.running.set(image, { sizeGb, sharedGb: 0, soloGb: 0 });
   }
 
-  /** The image is there. Undefined if its fetch was not seen from its beginning. */
+  /** The image is there. Undefined if its fetch was not seen from its start. */
   complete(image: string, now: Instant): Readonly<ImageFetch> | undefined {
     this.advance(now);
     const fetch = this.running.get(image);
@@ -64,7 +65,7 @@
     const fetchedGb = !fetch ? 0 : isRateShared ? fetch.sharedGb : fetch.soloGb;
     let remainingGb = Math.max(0, sizeGb - fetchedGb);
     if (isRateShared) remainingGb += this.queuedAheadGb(image, awaited);
-    return (remainingGb / Math.max(MIN_RATE_GB_PER_S, this.rateGbPerS)) * 1000;
+    return (remainingGb / Math.max(MIN_RATE_GB_PER_S, this.rateGbPerS)) * MS_PER_SECOND;
   }
 
   /** What remains to be fetched of images whose turn comes before this one's. */
@@ -83,7 +84,7 @@
 
   private advance(now: Instant): void {
     if (now === this.updatedAt) return;
-    const elapsedGb = ((now - this.updatedAt) / 1000) * this.rateGbPerS;
+    const elapsedGb = ((now - this.updatedAt) / MS_PER_SECOND) * this.rateGbPerS;
     this.updatedAt = now;
     let remainingGb = elapsedGb;
     for (const fetch of this.running.values()) {
--- a/packages/controller/src/machines/lease-expiry.ts
+++ b/packages/controller/src/machines/lease-expiry.ts
@@ -68,8 +68,8 @@
 
   private mustReadGrants(): boolean {
     if (this.expiredAt(this.runtime.now).length > 0) return true;
-    const isReadDue = this.runtime.now - this.lastReadAt >= GRANT_READ_INTERVAL_MS;
-    return isReadDue && this.isSomeMachineLate();
+    const mayReadAgain = this.runtime.now - this.lastReadAt >= GRANT_READ_INTERVAL_MS;
+    return mayReadAgain && this.isSomeMachineLate();
   }
 
   /** Some machine that matters is late, or has sent no heartbeat in this term. */
--- a/packages/controller/src/machines/machine-registration.ts
+++ b/packages/controller/src/machines/machine-registration.ts
@@ -4,7 +4,7 @@
 /** An entry of the machine registry, as a new term reads it. */
 interface RestoredRegistration {
   readonly isReturning: boolean;
-  readonly firstSeenAt: Instant;
+  readonly firstObservedAt: Instant;
   readonly isReconciled: boolean;
 }
 
@@ -14,7 +14,7 @@
   private returning = false;
   private returnCommitted = false;
   private reconciled = false;
-  private seenAt: Instant = Infinity;
+  private observedAt: Instant = Infinity;
 
   /** True once the machine registry has it; no start is dispatched before. */
   get isRegistered(): boolean {
@@ -37,22 +37,22 @@
   }
 
   /** First known to be there, on this process's steady clock; Infinity before that. */
-  get firstSeenAt(): Instant {
-    return this.seenAt;
+  get firstObservedAt(): Instant {
+    return this.observedAt;
   }
 
   /** Takes over what the machine registry says. */
-  restore({ isReturning, firstSeenAt, isReconciled }: RestoredRegistration): void {
+  restore({ isReturning, firstObservedAt, isReconciled }: RestoredRegistration): void {
     this.registered = true;
     this.returning = isReturning;
     this.returnCommitted = isReturning;
-    this.seenAt = firstSeenAt;
+    this.observedAt = firstObservedAt;
     this.reconciled = isReconciled;
   }
 
   /** Its worker sent a heartbeat. */
-  recordSeen(now: Instant): void {
-    this.seenAt = Math.min(this.seenAt, now);
+  recordObserved(now: Instant): void {
+    this.observedAt = Math.min(this.observedAt, now);
   }
 
   /** The machine registry has stored its entry. */
--- a/packages/controller/src/machines/machine.ts
+++ b/packages/controller/src/machines/machine.ts
@@ -69,7 +69,7 @@
 
   /**
    * A task runs with the image. Returns its fetch as it ended; undefined if that was not seen
-   * from its beginning.
+   * from its start.
    */
   recordImageFetched(
     image: string,
@@ -81,15 +81,15 @@
     return fetch;
   }
 
-  /** A start was dispatched to it: a fetch begins, unless it has the image. */
+  /** A start was dispatched to it: a fetch starts, unless it has the image. */
   recordStartDispatched({ image, imageGb }: Binding, now: Instant): void {
-    if (image !== null && !this.hasImage(image)) this.fetches.begin(image, imageGb, now);
+    if (image !== null && !this.hasImage(image)) this.fetches.start(image, imageGb, now);
   }
 
   /** A heartbeat shows that it fetches the image; it may have been thought to have it. */
   recordImageMissing({ image, imageGb }: Binding, now: Instant): void {
     if (image === null || !this.images.remove(image)) return;
-    this.fetches.begin(image, imageGb, now);
+    this.fetches.start(image, imageGb, now);
     this.usage.invalidate();
   }
 
--- a/packages/controller/src/requests/submissions.ts
+++ b/packages/controller/src/requests/submissions.ts
@@ -48,7 +48,7 @@
 
   /** Why the job can't be accepted whatever its predecessors are; null if it can. */
   private refusalOf(spec: JobSpec): Reply | null {
-    if (!this.catalog.isKnown) return unavailableReply();
+    if (!this.catalog.isLoaded) return unavailableReply();
     const { teams, state } = this.runtime.settings;
     const problem =
       infeasibilityReason(spec, teams, this.catalog.types) ?? predecessorProblem(spec);
--- a/packages/controller/src/term/bindings.ts
+++ b/packages/controller/src/term/bindings.ts
@@ -2,15 +2,9 @@
 import { splitTaskId, taskId, type Instant } from '@tealdock/wire';
 import type { LiveJob } from '../jobs/live-job.js';
 import type { Leadership } from '../leadership/leadership.js';
-import {
-  Binding,
-  UNKNOWN_REQUIREMENTS,
-  bindingKey,
-  requirementsOf,
-  type ActiveTaskState,
-  type BindingObserver,
-  type StopRequest,
-} from '../jobs/binding.js';
+import { Binding, bindingKey, type BindingObserver, type StopRequest } from '../jobs/binding.js';
+import type { ActiveTaskState } from '../jobs/binding-phase.js';
+import { UNKNOWN_REQUIREMENTS, requirementsOf } from '../jobs/task-requirements.js';
 import type { Machine } from '../machines/machine.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { TermState } from './term-state.js';
@@ -67,16 +61,16 @@
   adopt(machine: Machine, { task, attempt, state }: ActiveTask): Binding {
     const { job: jobId, index } = splitTaskId(task) ?? { job: task, index: 0 };
     const job = this.term.jobs.get(jobId);
-    const isWanted = job !== undefined && job.needsTask(index);
+    const isNeeded = job !== undefined && job.needsTask(index);
     const initial = {
       identity: { task, job: jobId, index, attempt, machine: machine.id },
       requirements: job ? requirementsOf(job.spec) : UNKNOWN_REQUIREMENTS,
       now: this.runtime.now,
       observer: this,
     };
-    const binding = Binding.adopted(initial, state, isWanted);
+    const binding = Binding.adopted(initial, state, isNeeded);
     this.bindToMachine(machine, binding);
-    if (isWanted) job.bind(binding);
+    if (isNeeded) job.bind(binding);
     return binding;
   }
 
--- a/packages/controller/src/term/heartbeat-processor.ts
+++ b/packages/controller/src/term/heartbeat-processor.ts
@@ -6,7 +6,8 @@
   type WorkerHeartbeat,
 } from '@tealdock/wire';
 import type { LiveJob } from '../jobs/live-job.js';
-import { bindingKey, type ActiveTaskState, type Binding } from '../jobs/binding.js';
+import { bindingKey, type Binding } from '../jobs/binding.js';
+import type { ActiveTaskState } from '../jobs/binding-phase.js';
 import type { Machine } from '../machines/machine.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { Bindings } from './bindings.js';
@@ -85,7 +86,7 @@
       machine.registration.markReconciled();
       this.term.machines.set(machine.id, machine);
     }
-    machine.registration.recordSeen(this.runtime.now);
+    machine.registration.recordObserved(this.runtime.now);
     return machine;
   }
 
--- a/packages/controller/src/term/membership.ts
+++ b/packages/controller/src/term/membership.ts
@@ -53,7 +53,7 @@
   }
 
   private enroll(machine: Machine): void {
-    const age = this.runtime.now - Math.min(machine.registration.firstSeenAt, this.runtime.now);
+    const age = this.runtime.now - Math.min(machine.registration.firstObservedAt, this.runtime.now);
     const since = Math.round((this.runtime.wallClock.getTime() - age) / 1000);
     this.registry.set(machine.id, [
       machine.type,
--- a/packages/controller/src/term/rebuild.ts
+++ b/packages/controller/src/term/rebuild.ts
@@ -76,7 +76,7 @@
     const age = Math.max(0, this.runtime.wallClock.getTime() - since * 1000);
     machine.registration.restore({
       isReturning: returning === 1,
-      firstSeenAt: this.runtime.now - age,
+      firstObservedAt: this.runtime.now - age,
       isReconciled: machine.heartbeats.lastCountedAt !== null,
     });
     this.term.machines.set(id, machine);
