--- a/packages/adapters/src/call-gates.ts
+++ b/packages/adapters/src/call-gates.ts
@@ -44,7 +44,7 @@
       b.take(cost, call.priority, patience, run, drop);
     if (call.target === 'peer' || call.target === 'worker') send();
     else if (call.target === 'cloud') take(this.cloudCalls, 1, send);
-    else take(this.stateWrites, call.writes, () => take(this.stateCalls, 1, send));
+    else take(this.stateWrites, call.writeCount, () => take(this.stateCalls, 1, send));
   }
 
   private bucket(rate: number, least = 1): TokenBucket {
--- a/packages/adapters/src/http-server.ts
+++ b/packages/adapters/src/http-server.ts
@@ -30,7 +30,7 @@
     this.server.keepAliveTimeout = 0;
     this.server.headersTimeout = REQUEST_TIMEOUT;
     this.server.requestTimeout = REQUEST_TIMEOUT;
-    this.server.maxConnections = shares.clients + shares.turnedAway;
+    this.server.maxConnections = shares.clients + shares.rejected;
     this.server.on('clientError', (_error, socket) => socket.destroy());
     this.server.on('connection', (socket) => {
       connections.opened(socket);
--- a/packages/adapters/src/service.ts
+++ b/packages/adapters/src/service.ts
@@ -1,10 +1,10 @@
 /** A running node. */
 import type { OperatorSettings, Settings } from '@tealdock/wire';
 import {
-  CLOUD_SOCKETS,
+  CLOUD_SOCKET_COUNT,
   Controller,
-  STATE_SOCKETS,
-  WORKER_SOCKETS,
+  STATE_SOCKET_COUNT,
+  WORKER_SOCKET_COUNT,
   socketShares,
   type Stats,
   type Call,
@@ -38,9 +38,9 @@
   private readonly front: HttpFront;
   private readonly connections: Connections;
   private readonly peers: PeerLink;
-  private readonly stateHttp = new HttpClient(STATE_SOCKETS);
-  private readonly cloudHttp = new HttpClient(CLOUD_SOCKETS);
-  private readonly workerHttp = new HttpClient(WORKER_SOCKETS, false);
+  private readonly stateHttp = new HttpClient(STATE_SOCKET_COUNT);
+  private readonly cloudHttp = new HttpClient(CLOUD_SOCKET_COUNT);
+  private readonly workerHttp = new HttpClient(WORKER_SOCKET_COUNT, false);
   private readonly gates: CallGates;
   private readonly responders = new Map<number, Respond>();
   private readonly queue = new CommandQueue();
@@ -120,7 +120,7 @@
     for (const effect of effects) this.carryOut(effect);
     this.parts.stats.record('batches.commands', batch.length);
     this.parts.stats.record('batches.took_ms', performance.now() - began);
-    this.parts.stats.gauge('batches.left', this.queue.length);
+    this.parts.stats.setGauge('batches.left', this.queue.length);
     if (this.queue.length > 0) this.schedule();
     this.plan();
   }
--- a/packages/adapters/src/usage.ts
+++ b/packages/adapters/src/usage.ts
@@ -17,7 +17,7 @@
 
   note(): void {
     const usage = { ...this.processor(), ...memory(), ...this.connections.counts() };
-    for (const [name, value] of Object.entries(usage)) this.stats.gauge(`usage.${name}`, value);
+    for (const [name, value] of Object.entries(usage)) this.stats.setGauge(`usage.${name}`, value);
     this.log('info', usage, 'resource usage');
   }
 
--- a/packages/controller/src/autoscaling/autoscaler.ts
+++ b/packages/controller/src/autoscaling/autoscaler.ts
@@ -215,7 +215,7 @@
     let taken = this.term.machines.size + this.inventory.provisioning.size;
     for (const r of this.rentals.requests.values()) taken += r.count;
     const left = socketShares(this.runtime.settings).workers - taken;
-    this.runtime.stats.gauge('fleet.places_left', left);
+    this.runtime.stats.setGauge('fleet.places_left', left);
     return Math.max(0, left);
   }
 
--- a/packages/controller/src/autoscaling/cloud-calls.ts
+++ b/packages/controller/src/autoscaling/cloud-calls.ts
@@ -27,7 +27,7 @@
       path,
       body,
       priority,
-      writes: 0,
+      writeCount: 0,
       timeout: CLOUD_CALL_TIMEOUT_MS,
     };
     this.runtime.call(call, (result) => {
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -101,7 +101,7 @@
     this.runtime.wallClock = today;
     if (this.startedAt === null) this.start();
     for (const command of commands) this.apply(command);
-    this.runtime.runDue();
+    this.runtime.runDueTimers();
     this.heartbeatRequests.resumeParked();
     this.longPolls?.release();
     return this.runtime.takeEffects();
@@ -109,7 +109,7 @@
 
   /** When the next batch is due even if no command comes. */
   nextDue(): Instant {
-    return this.runtime.nextDue();
+    return this.runtime.nextTimerDue();
   }
 
   private start(): void {
@@ -253,7 +253,7 @@
 
   private replyWithStats(request: HttpRequest): void {
     if (request.method !== 'GET') return replyMethodNotAllowed(this.runtime, request, 'GET');
-    this.runtime.reply(request.id, { status: 200, body: this.runtime.stats.view() });
+    this.runtime.reply(request.id, { status: 200, body: this.runtime.stats.snapshot() });
   }
 
   private receiveCancellations(request: HttpRequest): void {
--- a/packages/controller/src/machines/catalog.ts
+++ b/packages/controller/src/machines/catalog.ts
@@ -44,7 +44,7 @@
       body: null,
     };
     this.runtime.call(
-      { ...call, priority: PRIORITY.background, writes: 0, timeout: TIMEOUT },
+      { ...call, priority: PRIORITY.background, writeCount: 0, timeout: TIMEOUT },
       (result) => {
         const types = parseResponse(result, parseCatalog);
         if (types && types.length > 0) this.take(types);
--- a/packages/controller/src/peers/peers.ts
+++ b/packages/controller/src/peers/peers.ts
@@ -124,6 +124,9 @@
   }
 
   private send(call: PeerCall, onResult: (result: CallResult) => void): void {
-    this.runtime.call({ target: 'peer', ...call, writes: 0, timeout: CALL_TIMEOUT_MS }, onResult);
+    this.runtime.call(
+      { target: 'peer', ...call, writeCount: 0, timeout: CALL_TIMEOUT_MS },
+      onResult,
+    );
   }
 }
--- a/packages/controller/src/runtime/bounded.ts
+++ b/packages/controller/src/runtime/bounded.ts
@@ -1,41 +1,41 @@
-/** Collections of limited size, for what may be looked up again or forgotten. */
+/** Collections of limited size, for caches and for what may be forgotten. */
 
 /** A map that forgets the entry set longest ago once it holds more than its limit. */
 export class BoundedMap<K, V> extends Map<K, V> {
-  constructor(private readonly limit: number) {
+  constructor(private readonly maxSize: number) {
     super();
   }
 
   override set(key: K, value: V): this {
     this.delete(key);
     super.set(key, value);
-    forgetOldest(this, this.limit);
+    forgetOldest(this, this.maxSize);
     return this;
   }
 }
 
 /** A set that forgets the value added longest ago once it holds more than its limit. */
 export class BoundedSet<T> extends Set<T> {
-  constructor(private readonly limit: number) {
+  constructor(private readonly maxSize: number) {
     super();
   }
 
   override add(value: T): this {
     this.delete(value);
     super.add(value);
-    forgetOldest(this, this.limit);
+    forgetOldest(this, this.maxSize);
     return this;
   }
 }
 
-interface Ordered<K> {
+interface InsertionOrdered<K> {
   readonly size: number;
   keys(): Iterator<K>;
   delete(key: K): boolean;
 }
 
-function forgetOldest<K>(entries: Ordered<K>, limit: number): void {
-  if (entries.size <= limit) return;
+function forgetOldest<K>(entries: InsertionOrdered<K>, maxSize: number): void {
+  if (entries.size <= maxSize) return;
   const oldest = entries.keys().next();
   if (oldest.done !== true) entries.delete(oldest.value);
 }
--- a/packages/controller/src/runtime/clock-drift.ts
+++ b/packages/controller/src/runtime/clock-drift.ts
@@ -1,11 +1,13 @@
-/** How durations that another process counts look on the clock of this one. */
+/** Bounds of durations that another process measures with its own clock. */
 import type { Duration } from '@tealdock/wire';
 
 /** A steady clock may run fast by 0.05%, so two of them drift apart by at most twice that. */
-const CLOCK_DRIFT = 0.001;
+const MAX_CLOCK_DRIFT_FRACTION = 0.001;
 
-/** What surely has not passed on another clock before this duration has passed here. */
-export const minOnOtherClock = (duration: Duration): Duration => duration * (1 - CLOCK_DRIFT);
+/** A duration that ends here before this one can end on another clock. */
+export const minOnOtherClock = (duration: Duration): Duration =>
+  duration * (1 - MAX_CLOCK_DRIFT_FRACTION);
 
-/** What surely has passed on another clock once this duration has passed here. */
-export const maxOnOtherClock = (duration: Duration): Duration => duration * (1 + CLOCK_DRIFT);
+/** A duration after which this one has surely ended on another clock. */
+export const maxOnOtherClock = (duration: Duration): Duration =>
+  duration * (1 + MAX_CLOCK_DRIFT_FRACTION);
--- a/packages/controller/src/runtime/ports.ts
+++ b/packages/controller/src/runtime/ports.ts
@@ -1,4 +1,4 @@
-/** What reaches the state owner, and what it wants done. */
+/** Commands that reach the state owner, and the effects that it asks for. */
 import type { Duration, Instant, LeaderBroadcast, PeerHeartbeat } from '@tealdock/wire';
 
 /** A request that came in over HTTP, or from another controller. */
@@ -8,10 +8,10 @@
   method: string;
   path: string;
   body: Buffer;
-  via: Via;
+  via: RequestOrigin;
 }
 
-/** What reaches the state owner: everything goes through one queue, in batches. */
+/** An input of the state owner; all of them go through one queue, in batches. */
 export type Command =
   | HttpRequest
   | { kind: 'result'; id: number; result: CallResult }
@@ -21,48 +21,50 @@
   | { kind: 'tick' };
 
 /** Where a request came in: from users and workers, or from another controller. */
-export type Via = 'public' | 'peer';
+export type RequestOrigin = 'public' | 'peer';
 
-/** What a call goes to. */
-export type Target = 'state' | 'cloud' | 'peer' | 'worker';
+/** The service or process that a call goes to. */
+export type CallTarget = 'state' | 'cloud' | 'peer' | 'worker';
 
-/** Lower goes first when tokens are short. */
+/** Calls to a rate-limited service wait in the order of these, the lowest first. */
 export const PRIORITY = { lease: 0, user: 1, leader: 2, background: 3 } as const;
-/** Priority of a call when tokens are short. */
+/** One of the priorities. */
 export type CallPriority = (typeof PRIORITY)[keyof typeof PRIORITY];
 
 /** A request to something outside this process. */
 export interface Call {
-  target: Target;
-  /** Name of a peer, address of a worker; empty for the others. */
+  target: CallTarget;
+  /** Member name of a peer, or address of a worker; empty for the other targets. */
   to: string;
   method: string;
   path: string;
   body: unknown;
   priority: CallPriority;
-  /** Changes it makes, for the state service's second limit. */
-  writes: number;
+  /** Keys that it changes; the state service limits these per second as well. */
+  writeCount: number;
   timeout: Duration;
 }
 
 /**
- * `answer`: a response came. `unsent`: surely not executed. `lost`: it may have
- * been executed, or may still be.
+ * Outcome of a call. `answer`: a response came. `unsent`: surely not executed. `lost`: no
+ * response; it may have been executed, or may still be.
  */
 export type CallResult =
   { kind: 'answer'; status: number; body: unknown } | { kind: 'unsent' } | { kind: 'lost' };
 
-/** The answer to a request. */
+/** The response to a request. */
 export interface Reply {
   status: number;
   body: unknown;
+  /** Sent as the `Retry-After` header. */
   retryAfter?: Duration;
+  /** Sent as the `Allow` header. */
   allow?: string;
-  /** The answer may only be written before this instant; afterwards it is a 503. */
+  /** The response may only be sent before this instant; afterwards it becomes a 503. */
   validUntil?: Instant;
 }
 
-/** What the state owner wants done outside. */
+/** Something that the state owner asks its process to do. */
 export type Effect =
   | { kind: 'reply'; id: number; reply: Reply }
   | { kind: 'call'; id: number; call: Call }
@@ -71,10 +73,10 @@
   /** From now on this node may use that fraction of the changes per second. */
   | { kind: 'set_write_fraction'; fraction: number };
 
-/** How much a log line matters. */
+/** Severity of a log line. */
 export type LogLevel = 'error' | 'info' | 'debug';
 /** Writes one log line. */
 export type Log = (level: LogLevel, fields: Record<string, unknown>, message: string) => void;
 
-/** Uniform in [0, 1), from a seeded generator. */
+/** A number in [0, 1), uniformly distributed. */
 export type Random = () => number;
--- a/packages/controller/src/runtime/runtime.ts
+++ b/packages/controller/src/runtime/runtime.ts
@@ -10,14 +10,15 @@
 import type { Call, CallResult, Effect, Log, LogLevel, Random, Reply } from './ports.js';
 import type { Stats } from './stats.js';
 
+/** A callback that is due at an instant. */
 interface Timer {
   due: Instant;
-  /** Timers due at the same instant run in the order in which they were set. */
-  order: number;
+  /** Timers due at the same instant run in the order of their numbers. */
+  number: number;
   run: () => void;
 }
 
-/** What a state owner is given by its process. */
+/** What a process provides to its state owner. */
 export interface Environment {
   settings: Settings;
   operator: OperatorSettings;
@@ -31,14 +32,18 @@
  * batch, effects going out, continuations of calls, and timers.
  */
 export class Runtime {
+  /** Time of the batch on the process's steady clock, in ms. */
   now: Instant = 0;
-  /** Time of day at the batch, for what has to outlive this process. */
+  /** Time of day of the batch, for stored values: they outlive this process. */
   wallClock = new Date(0);
   private effects: Effect[] = [];
-  private readonly waiting = new Map<number, (result: CallResult) => void>();
-  private readonly timers = new TinyQueue<Timer>([], (a, b) => a.due - b.due || a.order - b.order);
-  private lastId = 0;
-  private lastTimer = 0;
+  private readonly pendingCalls = new Map<number, (result: CallResult) => void>();
+  private readonly timers = new TinyQueue<Timer>(
+    [],
+    (a, b) => a.due - b.due || a.number - b.number,
+  );
+  private lastCallId = 0;
+  private lastTimerNumber = 0;
 
   constructor(readonly env: Environment) {}
 
@@ -59,64 +64,73 @@
     this.env.log(level, fields, message);
   }
 
-  call(call: Call, done: (result: CallResult) => void): void {
-    const id = ++this.lastId;
-    this.waiting.set(id, done);
+  /** Sends a call; its outcome comes to the callback, once, in a later batch. */
+  call(call: Call, onResult: (result: CallResult) => void): void {
+    const id = ++this.lastCallId;
+    this.pendingCalls.set(id, onResult);
     this.effects.push({ kind: 'call', id, call });
   }
 
+  /** Responds to a request. */
   reply(id: number, reply: Reply): void {
     this.effects.push({ kind: 'reply', id, reply });
   }
 
+  /** Sends a heartbeat to all peers; an empty leader stands for an unknown one. */
   sendHeartbeat(leader: string, fencingToken: number, stateAvailable: boolean): void {
     this.effects.push({ kind: 'heartbeat', leader, fencingToken, stateAvailable });
   }
 
+  /** Sends a message to all peers. */
   broadcast(message: LeaderBroadcast): void {
     this.effects.push({ kind: 'broadcast', message });
   }
 
+  /** Limits the share of the state service's writes per second that this node uses. */
   setWriteFraction(fraction: number): void {
     this.effects.push({ kind: 'set_write_fraction', fraction });
   }
 
+  /** Passes on the outcome of a call; an unknown id is ignored. */
   completeCall(id: number, result: CallResult): void {
-    const done = this.waiting.get(id);
-    this.waiting.delete(id);
-    done?.(result);
+    const onResult = this.pendingCalls.get(id);
+    this.pendingCalls.delete(id);
+    onResult?.(result);
   }
 
+  /** Runs `run` once the delay has passed, never within this call. */
   after(delay: Duration, run: () => void): void {
-    this.timers.push({ due: this.now + delay, order: ++this.lastTimer, run });
+    this.timers.push({ due: this.now + delay, number: ++this.lastTimerNumber, run });
   }
 
-  /** Runs `run` now and then every `period`, until it returns false. */
+  /** Runs `run` at once and then periodically, until it returns false. */
   every(period: Duration, run: () => boolean): void {
-    const again = () => {
-      if (run()) this.after(period, again);
+    const runAndRepeat = () => {
+      if (run()) this.after(period, runAndRepeat);
     };
-    again();
+    runAndRepeat();
   }
 
-  /** Timers that these set, even for now, wait for the next batch. */
-  runDue(): void {
-    const last = this.lastTimer;
-    const later: Timer[] = [];
+  /** Runs what is due. Timers that are set meanwhile wait for the next batch, even if due. */
+  runDueTimers(): void {
+    const lastNumber = this.lastTimerNumber;
+    const postponed: Timer[] = [];
     for (;;) {
       const timer = this.timers.peek();
       if (!timer || timer.due > this.now) break;
       this.timers.pop();
-      if (timer.order > last) later.push(timer);
+      if (timer.number > lastNumber) postponed.push(timer);
       else timer.run();
     }
-    for (const timer of later) this.timers.push(timer);
+    for (const timer of postponed) this.timers.push(timer);
   }
 
-  nextDue(): Instant {
+  /** When the next timer is due; `Infinity` if there is none. */
+  nextTimerDue(): Instant {
     return this.timers.peek()?.due ?? Infinity;
   }
 
+  /** Returns the effects since the last call. */
   takeEffects(): Effect[] {
     const effects = this.effects;
     this.effects = [];
--- a/packages/controller/src/runtime/stats.ts
+++ b/packages/controller/src/runtime/stats.ts
@@ -1,11 +1,11 @@
 /** Counters, gauges and histograms. */
 import { createHistogram, type RecordableHistogram } from 'node:perf_hooks';
 
-/** Up to two hours in ms; the default range takes some hundred KB for each histogram. */
-const RANGE = { lowest: 1, highest: 7_200_000, figures: 2 };
+/** Up to two hours; the default range takes some hundred KB for each histogram. */
+const HISTOGRAM_RANGE_MS = { lowest: 1, highest: 7_200_000, figures: 2 };
 
-/** What one histogram comes to; durations are in ms. */
-export interface Spread {
+/** A histogram as `GET /metrics` shows it; durations are in ms. */
+export interface HistogramSummary {
   count: number;
   mean: number;
   p50: number;
@@ -14,44 +14,49 @@
   max: number;
 }
 
-/** All that was counted, as `GET /metrics` shows it. */
-export interface StatsView {
-  /** What there is at the moment. */
+/** All metrics, as `GET /metrics` shows them. */
+export interface StatsSnapshot {
+  /** Current values, and the highest ones under `<name>.most`. */
   gauges: Record<string, number>;
   counters: Record<string, number>;
-  histograms: Record<string, Spread>;
+  histograms: Record<string, HistogramSummary>;
 }
 
-/** A process's own counters and histograms, since its start; see docs/operations.md. */
+/** Metrics of a process since its start; for their names see docs/operations.md. */
 export class Stats {
   private readonly gauges = new Map<string, number>();
   private readonly counters = new Map<string, number>();
   private readonly histograms = new Map<string, RecordableHistogram>();
 
+  /** Adds to a counter. */
   count(name: string, by = 1): void {
     this.counters.set(name, (this.counters.get(name) ?? 0) + by);
   }
 
-  /** Sets a gauge, and keeps the most it has ever shown. */
-  gauge(name: string, value: number): void {
-    const most = `${name}.most`;
+  /** Sets a gauge, and keeps its highest value in a gauge of its own. */
+  setGauge(name: string, value: number): void {
+    const maxName = `${name}.most`;
     this.gauges.set(name, value);
-    this.gauges.set(most, Math.max(value, this.gauges.get(most) ?? value));
+    this.gauges.set(maxName, Math.max(value, this.gauges.get(maxName) ?? value));
   }
 
+  /** Adds a value, in ms for durations, to a histogram; it is rounded and limited to its range. */
   record(name: string, value: number): void {
     let histogram = this.histograms.get(name);
-    if (!histogram) this.histograms.set(name, (histogram = createHistogram(RANGE)));
-    // It takes whole numbers of its range.
-    histogram.record(Math.min(RANGE.highest, Math.max(RANGE.lowest, Math.round(value))));
+    if (!histogram) this.histograms.set(name, (histogram = createHistogram(HISTOGRAM_RANGE_MS)));
+    const { lowest, highest } = HISTOGRAM_RANGE_MS;
+    histogram.record(Math.min(highest, Math.max(lowest, Math.round(value))));
   }
 
-  view(): StatsView {
-    const spreads = [...this.histograms].map(([name, h]) => [name, spread(h)] as const);
+  /** All metrics; gauges and counters are sorted by name. */
+  snapshot(): StatsSnapshot {
+    const summaries = [...this.histograms].map(
+      ([name, histogram]) => [name, summaryOf(histogram)] as const,
+    );
     return {
       gauges: sorted(this.gauges),
       counters: sorted(this.counters),
-      histograms: Object.fromEntries(spreads),
+      histograms: Object.fromEntries(summaries),
     };
   }
 }
@@ -60,13 +65,13 @@
   return Object.fromEntries([...values].sort(([a], [b]) => a.localeCompare(b)));
 }
 
-function spread(h: RecordableHistogram): Spread {
+function summaryOf(histogram: RecordableHistogram): HistogramSummary {
   return {
-    count: h.count,
-    mean: Math.round(h.mean),
-    p50: h.percentile(50),
-    p90: h.percentile(90),
-    p99: h.percentile(99),
-    max: h.max,
+    count: histogram.count,
+    mean: Math.round(histogram.mean),
+    p50: histogram.percentile(50),
+    p90: histogram.percentile(90),
+    p99: histogram.percentile(99),
+    max: histogram.max,
   };
 }
--- a/packages/controller/src/state/state-store.ts
+++ b/packages/controller/src/state/state-store.ts
@@ -202,7 +202,7 @@
   private send(call: StateCall, onResult: (result: CallResult) => void): void {
     const { method, path, priority, body = null, writeCount = 0, timeout = CALL_TIMEOUT_MS } = call;
     this.runtime.call(
-      { target: 'state', to: '', method, path, body, priority, writes: writeCount, timeout },
+      { target: 'state', to: '', method, path, body, priority, writeCount, timeout },
       (result) => {
         this.recordOutcome(result);
         onResult(result);
--- a/packages/controller/src/term/direct-stops.ts
+++ b/packages/controller/src/term/direct-stops.ts
@@ -78,7 +78,7 @@
       path: COMMANDS_PATH,
       body: renderDirectCommands(this.term.fencingToken, machine.agentEpoch, orders),
       priority: PRIORITY.leader,
-      writes: 0,
+      writeCount: 0,
       timeout: TIMEOUT,
     };
     this.runtime.call(call, () => this.underWay--);
--- a/packages/testing/src/dependencies.test.ts
+++ b/packages/testing/src/dependencies.test.ts
@@ -46,7 +46,9 @@
 test('a predecessor whose last task is done, but not its key, does not release', () => {
   const cluster = settled({ runTime: 3000 });
   cluster.stateFault = (_node, call) =>
-    call.writes >= 2 && JSON.stringify(call.body).includes('ended/') ? 'lost_before' : undefined;
+    call.writeCount >= 2 && JSON.stringify(call.body).includes('ended/')
+      ? 'lost_before'
+      : undefined;
   submitted(cluster, 1);
   submitted(cluster, 2, after(1));
   assert.ok(cluster.runUntil(() => cluster.checker.doneTasks(A).size === 2, 30_000));
@@ -65,7 +67,9 @@
     4,
   );
   cluster.stateFault = (_node, call) =>
-    call.writes >= 2 && JSON.stringify(call.body).includes('"done"') ? 'lost_before' : undefined;
+    call.writeCount >= 2 && JSON.stringify(call.body).includes('"done"')
+      ? 'lost_before'
+      : undefined;
   // One after the other, so that they are completed in that order.
   const submit = (n: number, over: Record<string, unknown>) => {
     submitted(cluster, n, over);
--- a/packages/testing/src/fake-sockets.ts
+++ b/packages/testing/src/fake-sockets.ts
@@ -1,6 +1,11 @@
 /** The sockets of a simulated process. */
 import type { Settings } from '@tealdock/wire';
-import { CLOUD_SOCKETS, STATE_SOCKETS, WORKER_SOCKETS, socketShares } from '@tealdock/controller';
+import {
+  CLOUD_SOCKET_COUNT,
+  STATE_SOCKET_COUNT,
+  WORKER_SOCKET_COUNT,
+  socketShares,
+} from '@tealdock/controller';
 import { Connections, type Closable, type Holder } from '@tealdock/adapters';
 
 /** A client's end of a connection. */
@@ -32,8 +37,9 @@
   constructor(settings: Settings, now: () => number) {
     const shares = socketShares(settings);
     this.connections = new Connections(shares, settings.heartbeatInterval, now);
-    this.room = shares.clients + shares.turnedAway;
-    this.own = STATE_SOCKETS + CLOUD_SOCKETS + WORKER_SOCKETS + settings.peers.length * 2 + 2;
+    this.room = shares.clients + shares.rejected;
+    this.own =
+      STATE_SOCKET_COUNT + CLOUD_SOCKET_COUNT + WORKER_SOCKET_COUNT + settings.peers.length * 2 + 2;
   }
 
   tick(): void {
--- a/packages/testing/src/fleet.test.ts
+++ b/packages/testing/src/fleet.test.ts
@@ -124,7 +124,7 @@
   for (const all of [64, 100, 500, 1500, 20_000]) {
     const shares = socketShares({ maxConnections: all, peers: [] });
     assert.ok(shares.clients > 0 && shares.workers < shares.clients);
-    assert.ok(shares.clients + shares.turnedAway < all);
+    assert.ok(shares.clients + shares.rejected < all);
   }
 });
 
--- a/packages/testing/src/random-faults.ts
+++ b/packages/testing/src/random-faults.ts
@@ -93,7 +93,7 @@
 /** Transactions get no answer and are carried out after newer ones. */
 function lateWrites(cluster: SimulatedCluster): void {
   cluster.stateFault = (_node, call) =>
-    call.writes > 0 && cluster.random() < 0.3 ? 2000 + cluster.random() * 10_000 : undefined;
+    call.writeCount > 0 && cluster.random() < 0.3 ? 2000 + cluster.random() * 10_000 : undefined;
   cluster.at(cluster.random() * 15_000, () => (cluster.stateFault = null));
 }
 
--- a/packages/testing/src/scale.test.ts
+++ b/packages/testing/src/scale.test.ts
@@ -14,7 +14,7 @@
   return calls;
 }
 
-const sumWrites = (calls: Call[]): number => calls.reduce((n, c) => n + c.writes, 0);
+const sumWrites = (calls: Call[]): number => calls.reduce((n, c) => n + c.writeCount, 0);
 
 // One change for each machine took most of a minute of the state service's changes.
 test('a thousand machines join with few changes of the state service', () => {
--- a/packages/testing/src/scenarios.test.ts
+++ b/packages/testing/src/scenarios.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { StatsView } from '@tealdock/controller';
+import type { StatsSnapshot } from '@tealdock/controller';
 import { packBody } from '@tealdock/wire';
 import { job, SimulatedCluster } from './index.js';
 import { A, ask, finished, keepsRules, others, running, settled, status } from './scenario.js';
@@ -276,7 +276,7 @@
   cluster.submit(job(1, { batch: 4 }), 'n-0');
   assert.ok(finished(cluster, A));
   const reply = cluster.raw(cluster.leader()!, 'GET', '/metrics', Buffer.alloc(0));
-  const { counters, histograms } = reply?.body as StatsView;
+  const { counters, histograms } = reply?.body as StatsSnapshot;
   assert.ok(counters['reports.counted']! > 4);
   assert.equal(counters['bindings.ended.done'], 4);
   assert.equal(histograms['starts.booked_to_sent_ms']?.count, 4);
--- a/packages/testing/src/single-faults.test.ts
+++ b/packages/testing/src/single-faults.test.ts
@@ -181,7 +181,7 @@
   const cluster = settled({ capacity: 6, runTime: 4000 }, 2);
   let late = 0;
   cluster.stateFault = (_node, call) =>
-    call.writes > 0 && JSON.stringify(call.body).includes('tealdock/roster') && late++ === 0
+    call.writeCount > 0 && JSON.stringify(call.body).includes('tealdock/roster') && late++ === 0
       ? 'late'
       : undefined;
   cluster.cloud.add('a');
--- a/packages/testing/src/wire-trace/wire-trace.ts
+++ b/packages/testing/src/wire-trace/wire-trace.ts
@@ -40,7 +40,7 @@
   }
 
   call(at: number, node: string, id: number, call: Call): void {
-    const { target, to, method, path, priority, writes, timeout, body } = call;
+    const { target, to, method, path, priority, writeCount: writes, timeout, body } = call;
     const fields = ['call', at, node, id, target, to, method, path, priority, writes, timeout];
     this.add(fields, packBody(body));
   }
