--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -196,7 +196,7 @@
   }
 
   private endTerm(): void {
-    this.runtime.env.log('info', { fencingToken: this.term?.fencingToken }, 'leadership lost');
+    this.runtime.log('info', { fencingToken: this.term?.fencingToken }, 'leadership lost');
     this.term?.close();
     this.longPolls?.release();
     this.term = null;
--- a/packages/controller/src/index.ts
+++ b/packages/controller/src/index.ts
@@ -6,4 +6,4 @@
 export { Authority, type Knowledge, type StartTarget } from './authority/authority.js';
 export type { Decision } from './authority/decision.js';
 export { Runtime, type Environment } from './runtime/runtime.js';
-export { cancelLimitProblem } from './leadership/freshness.js';
+export { cancellationLimitProblem as cancelLimitProblem } from './leadership/freshness.js';
--- a/packages/controller/src/leadership/freshness.ts
+++ b/packages/controller/src/leadership/freshness.ts
@@ -27,7 +27,7 @@
  * Checks that cancellations can be carried out in time under these settings. Null if they
  * can, else a message for users that names the setting and its least value.
  */
-export function cancelLimitProblem(settings: CancellationSettings): string | null {
+export function cancellationLimitProblem(settings: CancellationSettings): string | null {
   if (timeLeftAfterLease(settings) >= MIN_MAX_STALENESS_MS) return null;
   const minLimit =
     maxOnOtherClock(settings.workerLeaseDuration) + STOP_MARGIN_MS + MIN_MAX_STALENESS_MS;
--- a/packages/controller/src/state/state-store.ts
+++ b/packages/controller/src/state/state-store.ts
@@ -15,7 +15,6 @@
   renewPath,
   watchPath,
   type Duration,
-  type Instant,
   type Precondition,
   type StateItem,
   type Write,
@@ -23,6 +22,7 @@
 import { parseOrNull, parseResponse } from '../runtime/call-results.js';
 import { PRIORITY, type CallPriority, type CallResult } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
+import { StateCalls, type StateCall } from './state-calls.js';
 import type {
   CompareAndSwapResult,
   CompareResult,
@@ -34,49 +34,36 @@
   WatchResult,
 } from './state-results.js';
 
-const CALL_TIMEOUT_MS = 1200;
 /** A commit without an answer for this long may still be carried out. */
 export const COMMIT_TIMEOUT_MS = 2000;
 /** How long after its time a watch may be answered. */
 const WATCH_TIMEOUT_MARGIN_MS = 2000;
 const PAGE_SIZE_LIMIT = 200;
-/** The service counts as unavailable once calls have been failing for this long. */
-const UNAVAILABLE_AFTER_MS = 2500;
-
-/** A call to the state service; it changes no key and has no body unless they are given. */
-interface StateCall {
-  method: 'GET' | 'POST' | 'DELETE';
-  path: string;
-  priority: CallPriority;
-  body?: unknown;
-  writeCount?: number;
-  timeout?: Duration;
-}
 
 /**
  * Calls the state service. No method throws or blocks: results come to the callback, in a
  * later batch of commands. A malformed response counts as a failed call.
  */
 export class StateStore {
-  private failingSince: Instant | null = null;
+  private readonly calls: StateCalls;
 
-  constructor(private readonly runtime: Runtime) {}
+  constructor(private readonly runtime: Runtime) {
+    this.calls = new StateCalls(runtime);
+  }
 
   /** False once calls have been refused or without an answer for some time. */
   get isAvailable(): boolean {
-    return (
-      this.failingSince === null || this.runtime.now - this.failingSince < UNAVAILABLE_AFTER_MS
-    );
+    return this.calls.isAvailable;
   }
 
   /** True as soon as the newest call has failed. */
   get lastCallFailed(): boolean {
-    return this.failingSince !== null;
+    return this.calls.lastCallFailed;
   }
 
   /** Reads one key. */
   get(key: string, priority: CallPriority, onResult: (read: ReadResult) => void): void {
-    this.send({ method: 'GET', path: keyPath(key), priority }, (result) => {
+    this.calls.send({ method: 'GET', path: keyPath(key), priority }, (result) => {
       if (result.kind === 'answer' && result.status === 404) return onResult({ kind: 'missing' });
       const item = parseResponse(result, parseItem);
       onResult(item ? { kind: 'found', item } : { kind: 'failed' });
@@ -111,7 +98,7 @@
     let firstRevision: number | null = null;
     const readPage = (afterKey: string) => {
       const path = pagePath(prefix, afterKey, PAGE_SIZE_LIMIT);
-      this.send({ method: 'GET', path, priority }, (result) => {
+      this.calls.send({ method: 'GET', path, priority }, (result) => {
         const page = parseResponse(result, parsePage);
         if (!page) return onResult({ kind: 'failed' });
         items.push(...page.items);
@@ -141,7 +128,7 @@
       writeCount: writes.length,
       timeout: COMMIT_TIMEOUT_MS,
     };
-    this.send(call, (result) => onResult(commitResult(result)));
+    this.calls.send(call, (result) => onResult(commitResult(result)));
   }
 
   /** Compares versions in a transaction without changes. */
@@ -152,7 +139,7 @@
   ): void {
     const body = renderTransaction(preconditions, []);
     const { user: priority } = PRIORITY;
-    this.send({ method: 'POST', path: COMMIT_PATH, priority, body, timeout }, (result) =>
+    this.calls.send({ method: 'POST', path: COMMIT_PATH, priority, body, timeout }, (result) =>
       onResult(compareResult(result)),
     );
   }
@@ -161,7 +148,7 @@
   grantLease(duration: Duration, onResult: (grant: LeaseGrantResult) => void): void {
     const body = { life_ms: Math.round(duration) };
     const { lease: priority } = PRIORITY;
-    this.send({ method: 'POST', path: LEASES_PATH, priority, body }, (result) => {
+    this.calls.send({ method: 'POST', path: LEASES_PATH, priority, body }, (result) => {
       const leaseId = parseResponse(result, parseLeaseId);
       onResult(leaseId === null ? { kind: 'failed' } : { kind: 'granted', leaseId });
     });
@@ -170,7 +157,7 @@
   /** Extends the lease by its duration. */
   renewLease(leaseId: number, onResult: (renewal: LeaseRenewalResult) => void): void {
     const { lease: priority } = PRIORITY;
-    this.send({ method: 'POST', path: renewPath(leaseId), priority }, (result) => {
+    this.calls.send({ method: 'POST', path: renewPath(leaseId), priority }, (result) => {
       if (result.kind !== 'answer') return onResult('failed');
       onResult(result.status === 200 ? 'ok' : result.status === 404 ? 'ended' : 'failed');
     });
@@ -179,7 +166,7 @@
   /** Ends the lease and removes the keys that were written on it; the result is ignored. */
   revokeLease(leaseId: number): void {
     const { lease: priority } = PRIORITY;
-    this.send({ method: 'DELETE', path: leasePath(leaseId), priority }, () => undefined);
+    this.calls.send({ method: 'DELETE', path: leasePath(leaseId), priority }, () => undefined);
   }
 
   /** Waits up to `waitTime` for changes of keys with the prefix after a revision. */
@@ -192,29 +179,12 @@
     const path = watchPath(prefix, afterRevision, waitTime);
     const { leader: priority } = PRIORITY;
     const timeout = waitTime + WATCH_TIMEOUT_MARGIN_MS;
-    this.send({ method: 'GET', path, priority, timeout }, (result) => {
+    this.calls.send({ method: 'GET', path, priority, timeout }, (result) => {
       if (result.kind === 'answer' && result.status === 410) return onResult({ kind: 'too_old' });
       const changes = parseResponse(result, parseChanges);
       onResult(changes ? { kind: 'events', ...changes } : { kind: 'failed' });
     });
   }
-
-  private send(call: StateCall, onResult: (result: CallResult) => void): void {
-    const { method, path, priority, body = null, writeCount = 0, timeout = CALL_TIMEOUT_MS } = call;
-    this.runtime.call(
-      { target: 'state', to: '', method, path, body, priority, writeCount, timeout },
-      (result) => {
-        this.recordOutcome(result);
-        onResult(result);
-      },
-    );
-  }
-
-  /** A refusal for want of capacity (429) says nothing about the service's health. */
-  private recordOutcome(result: CallResult): void {
-    if (result.kind !== 'answer' || result.status >= 500) this.failingSince ??= this.runtime.now;
-    else if (result.status !== 429) this.failingSince = null;
-  }
 }
 
 function commitResult(result: CallResult): CompareAndSwapResult {
