--- a/packages/adapters/src/call-rate-limiter.ts
+++ b/packages/adapters/src/call-rate-limiter.ts
@@ -42,7 +42,7 @@
       bucket.take({ cost, priority, timeout, run, drop });
     if (call.target === 'peer' || call.target === 'worker') send();
     else if (call.target === 'cloud') take(this.cloudCalls, 1, send);
-    else take(this.stateWrites, call.writes, () => take(this.stateCalls, 1, send));
+    else take(this.stateWrites, call.writeCount, () => take(this.stateCalls, 1, send));
   }
 
   private bucket(tokensPerSecond: number, minBurst = 1): TokenBucket {
--- a/packages/adapters/src/http-server.ts
+++ b/packages/adapters/src/http-server.ts
@@ -42,7 +42,7 @@
     this.server.keepAliveTimeout = 0;
     this.server.headersTimeout = REQUEST_TIMEOUT_MS;
     this.server.requestTimeout = REQUEST_TIMEOUT_MS;
-    this.server.maxConnections = shares.clients + shares.turnedAway;
+    this.server.maxConnections = shares.clients + shares.rejected;
     this.server.on('clientError', (_error, socket) => socket.destroy());
     this.server.on('connection', (socket) => {
       connections.connectionOpened(socket);
--- a/packages/adapters/src/outgoing-calls.ts
+++ b/packages/adapters/src/outgoing-calls.ts
@@ -1,9 +1,9 @@
 /** Calls of the state owner to everything outside its process. */
 import type { Settings } from '@tealdock/wire';
 import {
-  CLOUD_SOCKETS,
-  STATE_SOCKETS,
-  WORKER_SOCKETS,
+  CLOUD_SOCKET_COUNT,
+  STATE_SOCKET_COUNT,
+  WORKER_SOCKET_COUNT,
   type Call,
   type CallResult,
   type Log,
@@ -27,9 +27,9 @@
 
 /** Sends calls within the rate limits; each has exactly one result. */
 export class OutgoingCalls {
-  private readonly stateHttp = new HttpClient(STATE_SOCKETS);
-  private readonly cloudHttp = new HttpClient(CLOUD_SOCKETS);
-  private readonly workerHttp = new HttpClient(WORKER_SOCKETS, false);
+  private readonly stateHttp = new HttpClient(STATE_SOCKET_COUNT);
+  private readonly cloudHttp = new HttpClient(CLOUD_SOCKET_COUNT);
+  private readonly workerHttp = new HttpClient(WORKER_SOCKET_COUNT, false);
   private readonly limiter: CallRateLimiter;
 
   constructor(private readonly parts: OutgoingCallsParts) {
--- a/packages/adapters/src/resource-usage.ts
+++ b/packages/adapters/src/resource-usage.ts
@@ -20,7 +20,7 @@
   /** Measures and reports; the processor's share is that since the report before. */
   report(): void {
     const usage = { ...this.processor(), ...memory(), ...this.connections.counts() };
-    for (const [name, value] of Object.entries(usage)) this.stats.gauge(`usage.${name}`, value);
+    for (const [name, value] of Object.entries(usage)) this.stats.setGauge(`usage.${name}`, value);
     this.log('info', usage, 'resource usage');
   }
 
--- a/packages/adapters/src/service.ts
+++ b/packages/adapters/src/service.ts
@@ -118,7 +118,7 @@
     for (const effect of effects) this.carryOut(effect);
     this.parts.stats.record('batches.commands', batch.length);
     this.parts.stats.record('batches.took_ms', performance.now() - startedAt);
-    this.parts.stats.gauge('batches.left', this.queue.length);
+    this.parts.stats.setGauge('batches.left', this.queue.length);
     if (this.queue.length > 0) this.scheduleTurn();
     this.scheduleTick();
   }
--- a/packages/controller/src/shard-packing.test.ts
+++ b/packages/controller/src/state/shard-packing.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { ShardPacking, entryBytes, type PackingOptions } from './state/shard-packing.js';
+import { ShardPacking, entryBytes, type PackingOptions } from './shard-packing.js';
 
 const VALUE = 'x'.repeat(20);
 const ENTRY_BYTES = entryBytes('a', VALUE);
