--- a/packages/controller/src/authority/authority.ts
+++ b/packages/controller/src/authority/authority.ts
@@ -1,58 +1,57 @@
-/** The one place where a leader asks whether it may start tasks or renew leases. */
+/** The one place where a leader asks whether it may start tasks or renew worker leases. */
 import type { Duration, Instant } from '@tealdock/wire';
 import { maxStaleness } from '../leadership/freshness.js';
 import type { LeaderLease } from '../leadership/leadership.js';
 import type { Runtime } from '../runtime/runtime.js';
-import { evidenceFields, isFresh, refused, type Decision, type Evidence } from './decision.js';
+import { isFresh, refused, type Decision, type Evidence } from './decision.js';
 
-/** A start leaves only while the known cancellations are at most this old. */
-const MAX_STALENESS_OF_STARTS: Duration = 2000;
+/** A task is started only while the known cancellations are at most this old. */
+const MAX_START_STALENESS_MS: Duration = 2000;
 
-/** What of a term's knowledge its rights depend on. */
-export interface Knowledge {
+/** What a term knows, as far as decisions depend on it. */
+export interface TermKnowledge {
   /** The stored state has been read. */
   readonly stateLoaded: boolean;
   readonly closed: boolean;
-  /** Every cancellation committed before this is known. */
+  /** Every cancellation committed before this is known; -Infinity before the first read. */
   readonly cancellationsKnownUntil: Instant;
-  /** All that reports have shown is known by size and team. */
+  /** Resources and team of every task that a heartbeat has shown are known. */
   readonly observedJobsLoaded: boolean;
   isLive(job: string): boolean;
 }
 
-/** What of a machine a start depends on. */
+/** The properties of a machine that a start depends on. */
 export interface StartTarget {
   readonly registered: boolean;
   readonly reconciled: boolean;
   readonly returning: boolean;
 }
 
-/** The leader's lease. */
+/** Holder of the leader's lease. */
 export interface LeaseHolder {
+  /** Null unless the lease is certainly valid now. */
   validLease(): LeaderLease | null;
 }
 
 /**
- * Decides what a leader may do now (docs/safety.md, "What each path acts on"). It changes
- * nothing, so that it can be asked at any time; whoever acts on a decision logs it.
+ * Decides what a leader may do now (docs/safety.md, "What each path acts on"). Decisions change
+ * no state and write no log, so they can be asked for at any time; whoever acts on one logs it.
  */
 export class Authority {
-  private lastRenewal = '';
-
   constructor(
     private readonly runtime: Runtime,
     private readonly lease: LeaseHolder,
-    private readonly knowledge: Knowledge,
+    private readonly knowledge: TermKnowledge,
   ) {}
 
-  /** An answer with status 200 to a report: it renews the worker's lease. */
+  /** Whether a heartbeat may be answered with status 200, which renews the worker's lease. */
   renewal(): Decision {
     return this.decide(maxStaleness(this.runtime.settings));
   }
 
-  /** A start in the answer to the newest report of a machine. */
+  /** Whether the answer to the newest heartbeat of a machine may start tasks. */
   start(machine: StartTarget): Decision {
-    const decision = this.decide(MAX_STALENESS_OF_STARTS);
+    const decision = this.decide(MAX_START_STALENESS_MS);
     if (!decision.granted) return decision;
     if (!machine.registered) return refused('machine_not_registered', decision.evidence);
     if (!machine.reconciled) return refused('machine_unaccounted', decision.evidence);
@@ -62,32 +61,24 @@
   }
 
   /**
-   * A stop of a task that a report shows, whatever token the report carries. Its job was live
-   * when an older leader started it, so a term that has read the live jobs and does not find it
-   * there knows that it has ended, which is final.
+   * Whether a task that a heartbeat shows may be stopped, whatever fencing token the heartbeat
+   * carries. Its job was live when an older leader started it, so a term that has read the live
+   * jobs and does not find it there knows that it has ended, which is final.
    */
   mayStop(job: string): boolean {
     return this.knowledge.stateLoaded && !this.knowledge.isLive(job);
   }
 
-  /** Logs when the right to answer reports begins and ends, and why. */
-  noteRenewal(decision: Decision): void {
-    const outcome = decision.granted ? 'granted' : decision.reason;
-    if (outcome === this.lastRenewal) return;
-    this.lastRenewal = outcome;
-    const fields = { outcome, ...evidenceFields(decision.evidence) };
-    this.runtime.env.log('info', fields, 'renewal authority changed');
-  }
-
   private decide(limit: Duration): Decision {
-    const held = this.lease.validLease();
-    if (!held) return refused('no_lease');
+    const lease = this.lease.validLease();
+    if (!lease) return refused('no_lease');
     if (this.knowledge.closed) return refused('term_over');
     if (!this.knowledge.stateLoaded) return refused('jobs_not_read');
-    const { cancellationsKnownUntil: knownTo } = this.knowledge;
-    const evidence: Evidence = { source: 'job watch', age: this.runtime.now - knownTo, limit };
+    const { cancellationsKnownUntil } = this.knowledge;
+    const age = this.runtime.now - cancellationsKnownUntil;
+    const evidence: Evidence = { source: 'job watch', age, limit };
     if (!isFresh(evidence)) return refused('knowledge_stale', evidence);
-    const validUntil = Math.min(held.validUntil, knownTo + limit);
-    return { granted: true, fencingToken: held.fencingToken, validUntil, evidence };
+    const validUntil = Math.min(lease.validUntil, cancellationsKnownUntil + limit);
+    return { granted: true, fencingToken: lease.fencingToken, validUntil, evidence };
   }
 }
--- a/packages/controller/src/authority/decision.ts
+++ b/packages/controller/src/authority/decision.ts
@@ -1,30 +1,29 @@
-/** Typed answers to the question whether something may be done, and on what evidence. */
+/** Typed answers to the question whether a leader may do something, and on what evidence. */
 import type { Duration, Instant } from '@tealdock/wire';
 
-/** What a decision rests on. */
-export type EvidenceSource = 'job watch' | 'liveness proof' | 'ended key';
+/** Where the knowledge behind a decision comes from: the leader's watch on the live jobs. */
+export type EvidenceSource = 'job watch';
 
-/** Knowledge that a decision rests on: how old it is, and how old it may be. */
+/** The knowledge that a decision rests on, with its age and the greatest age allowed, in ms. */
 export interface Evidence {
   source: EvidenceSource;
+  /** Infinity as long as nothing has been read. */
   age: Duration;
   limit: Duration;
 }
 
-/** Why something may not be done. */
+/** Why something may not be done; part of the counters `starts.refused.<reason>`. */
 export type RefusalReason =
   | 'no_lease'
   | 'term_over'
   | 'jobs_not_read'
   | 'knowledge_stale'
-  | 'machine_gone'
-  | 'machine_hears_nothing'
   | 'machine_not_registered'
   | 'machine_unaccounted'
   | 'machine_returning'
   | 'sizes_unknown';
 
-/** It may be done under this token, up to that instant. */
+/** The action is allowed under this fencing token until `validUntil`. */
 export interface Granted {
   granted: true;
   fencingToken: number;
@@ -32,41 +31,41 @@
   evidence: Evidence;
 }
 
-/** It may not be done now. */
+/** The action is not allowed now. */
 export interface Refused {
   granted: false;
   reason: RefusalReason;
-  /** Null where no knowledge was looked at. */
+  /** Null if the refusal does not depend on the age of any knowledge. */
   evidence: Evidence | null;
 }
 
-/** Whether something may be done. */
+/** Whether an action is allowed. */
 export type Decision = Granted | Refused;
 
-/** A refusal that no knowledge could change. */
+/** Makes a refusal. */
 export const refused = (reason: RefusalReason, evidence: Evidence | null = null): Refused => ({
   granted: false,
   reason,
   evidence,
 });
 
-/** True while knowledge is young enough to act on. */
+/** True while the knowledge is recent enough to act on. */
 export const isFresh = ({ age, limit }: Evidence): boolean => age <= limit;
 
-/** Evidence as the log shows it; the times in whole ms. */
+/** Evidence as the log shows it, in whole milliseconds. */
 export interface EvidenceFields {
   evidence?: EvidenceSource;
+  /** Null if nothing has been read yet. */
   ageMs?: number | null;
   limitMs?: number;
 }
 
-/** The fields of a log line that tell what a decision rests on. */
+/** The log fields that describe what a decision rests on; empty without evidence. */
 export function evidenceFields(evidence: Evidence | null): EvidenceFields {
   if (!evidence) return {};
   const { source, age, limit } = evidence;
   return {
     evidence: source,
-    // Nothing has been read yet where the age is not finite.
     ageMs: Number.isFinite(age) ? Math.round(age) : null,
     limitMs: Math.round(limit),
   };
--- a/packages/controller/src/authority/invariants.ts
+++ b/packages/controller/src/authority/invariants.ts
@@ -1,43 +1,27 @@
-/** What must never happen, checked while the controller runs. */
-import type { Instant } from '@tealdock/wire';
+/** Reporting of safety invariants that are checked while the controller runs. */
 import type { Runtime } from '../runtime/runtime.js';
 import type { EvidenceSource } from './decision.js';
 
-/** A rule of docs/safety.md that the controller has seen broken. */
+/** A rule of docs/safety.md; part of the counters `violations.<invariant>`. */
 export type Invariant = 'started_ended_job' | 'renewed_without_stop' | 'ran_past_cancel_limit';
 
-/** What was seen, and what the controller acted on. */
+/** Where an invariant did not hold, and what the controller acted on. */
 export interface Violation {
   job: string;
   task: string;
   machine: string;
   fencingToken: number;
   evidence: EvidenceSource | 'none';
+  /** Age of the evidence in ms; null without evidence, or if nothing has been read yet. */
   ageMs: number | null;
 }
 
-/**
- * A task on a machine whose job is over. `goneBy` is when it must be gone by the protocol;
- * Infinity once its lateness has been reported.
- */
-export interface EndingTask {
-  terminationDeadline: Instant | null;
-}
-
-/** Reports violations in the log and in the counters, and lets the service go on. */
-export class Invariants {
-  constructor(private readonly runtime: Runtime) {}
-
-  violated(invariant: Invariant, violation: Violation): void {
-    this.runtime.stats.count(`violations.${invariant}`);
-    this.runtime.env.log('error', { invariant, ...violation }, 'invariant violated');
-  }
-
-  /** A newest report still shows the task; it must be gone once its limit has passed. */
-  checkGone(ending: EndingTask, describe: () => Violation): void {
-    if (ending.terminationDeadline === null || this.runtime.now <= ending.terminationDeadline)
-      return;
-    ending.terminationDeadline = Infinity;
-    this.violated('ran_past_cancel_limit', describe());
-  }
+/** Counts and logs a violation. The service goes on, so this never throws. */
+export function reportViolation(
+  runtime: Runtime,
+  invariant: Invariant,
+  violation: Violation,
+): void {
+  runtime.stats.count(`violations.${invariant}`);
+  runtime.env.log('error', { invariant, ...violation }, 'invariant violated');
 }
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -202,10 +202,7 @@
 
   /** What allows an answer that renews a lease, if anything does. */
   renewalGrant(): Granted | null {
-    if (!this.term) return null;
-    const decision = this.term.authority.renewal();
-    this.term.authority.noteRenewal(decision);
-    return decision.granted ? decision : null;
+    return this.term?.renewalGrant() ?? null;
   }
 
   private spreadCancellation(id: string): void {
--- a/packages/controller/src/index.ts
+++ b/packages/controller/src/index.ts
@@ -3,7 +3,7 @@
 export * from './controller.js';
 export * from './runtime/stats.js';
 export * from './runtime/sockets.js';
-export { Authority, type Knowledge, type StartTarget } from './authority/authority.js';
+export { Authority, type TermKnowledge, type StartTarget } from './authority/authority.js';
 export type { Decision } from './authority/decision.js';
 export { Runtime, type Environment } from './runtime/runtime.js';
 export { cancelLimitProblem as whyTooShort } from './leadership/freshness.js';
--- a/packages/controller/src/requests/long-polls.ts
+++ b/packages/controller/src/requests/long-polls.ts
@@ -58,7 +58,7 @@
     if (!held || this.term.closed) return this.runtime.reply(request, { status: 503, body: {} });
     const body = renderHeartbeatResponse(
       held.fencingToken,
-      this.term.workerCommands.commandsFor(machine),
+      this.term.workerCommands.dispatchCommands(machine),
     );
     this.runtime.reply(request, { status: 200, body, validUntil: held.validUntil });
   }
--- a/packages/controller/src/term/heartbeat-processor.ts
+++ b/packages/controller/src/term/heartbeat-processor.ts
@@ -48,7 +48,7 @@
     private readonly term: TermState,
     private readonly bindings: Bindings,
     private readonly lookup: EndedJobLookup,
-    private readonly orders: WorkerCommands,
+    private readonly workerCommands: WorkerCommands,
     private readonly membership: Membership,
   ) {}
 
@@ -64,7 +64,11 @@
     if (report.fencingToken !== this.term.fencingToken || !machine.isNewer(report))
       return this.uncounted(report);
     this.apply(report);
-    return { counted: true, answered: true, commands: this.orders.collectCommands(machine) };
+    return {
+      counted: true,
+      answered: true,
+      commands: this.workerCommands.dispatchCommands(machine.id),
+    };
   }
 
   /** It changes nothing, but the answer renews a lease: what is over has to stop. */
@@ -72,7 +76,7 @@
     return {
       counted: false,
       answered: true,
-      commands: this.orders.stopsForEndedJobs(machine, tasks),
+      commands: this.workerCommands.stopsForEndedJobs(machine, tasks),
     };
   }
 
--- a/packages/controller/src/term/term.ts
+++ b/packages/controller/src/term/term.ts
@@ -1,7 +1,9 @@
 /** One term of leadership. */
 import type { Instant } from '@tealdock/wire';
-import { Authority, type Knowledge } from '../authority/authority.js';
-import { Invariants } from '../authority/invariants.js';
+import { Authority, type TermKnowledge } from '../authority/authority.js';
+import type { Granted } from '../authority/decision.js';
+import { RenewalLog } from '../authority/renewal-log.js';
+import { BindingInvariants } from './binding-invariants.js';
 import type { LiveJob } from '../jobs/live-job.js';
 import type { Leadership } from '../leadership/leadership.js';
 import { LeaseExpiry } from '../machines/lease-expiry.js';
@@ -27,18 +29,19 @@
  * to which machine. It is rebuilt from the state service and from reports that
  * carry this term's token; a binding ends only on proof (docs/safety.md).
  */
-export class Term extends TermState implements Knowledge {
+export class Term extends TermState implements TermKnowledge {
   lastHeartbeatAt: Instant;
   readonly bindings: Bindings;
   readonly liveJobs: LiveJobs;
   readonly membership: Membership;
   readonly watch: JobWatch;
-  readonly authority: Authority;
+  private readonly authority: Authority;
   readonly workerCommands: WorkerCommands;
   readonly heartbeats: HeartbeatProcessor;
   readonly leaseExpiry: LeaseExpiry;
   private readonly lookup: EndedJobLookup;
   private readonly rebuild: Rebuild;
+  private readonly renewalLog: RenewalLog;
   private wasReady = false;
 
   constructor(
@@ -55,11 +58,12 @@
     this.watch = new JobWatch(runtime, state, this, this.liveJobs);
     this.lookup = new EndedJobLookup(runtime, state, this, this.liveJobs, this.bindings);
     this.authority = new Authority(runtime, leadership, this);
+    this.renewalLog = new RenewalLog(runtime);
     this.workerCommands = new WorkerCommands(
       runtime,
       this,
       this.authority,
-      new Invariants(runtime),
+      new BindingInvariants(runtime, this, this.authority),
     );
     this.heartbeats = new HeartbeatProcessor(
       runtime,
@@ -88,6 +92,13 @@
     return this.watch.cancellationsKnownUntil;
   }
 
+  /** What allows an answer that renews a worker's lease now; null if nothing does. */
+  renewalGrant(): Granted | null {
+    const decision = this.authority.renewal();
+    this.renewalLog.record(decision);
+    return decision.granted ? decision : null;
+  }
+
   isLive(job: string): boolean {
     return this.jobs.has(job);
   }
--- a/packages/controller/src/term/worker-commands.ts
+++ b/packages/controller/src/term/worker-commands.ts
@@ -1,4 +1,4 @@
-/** The orders that go to a worker in the answer to its report. */
+/** The commands that go to a worker in the answer to its heartbeat. */
 import {
   splitTaskId,
   type Duration,
@@ -8,35 +8,38 @@
 } from '@tealdock/wire';
 import { NO_RESOURCES, fits, minResources, resourcesOf, type Resources } from '@tealdock/scheduler';
 import type { Authority } from '../authority/authority.js';
-import { evidenceFields, type Decision } from '../authority/decision.js';
-import type { Invariant, Invariants, Violation } from '../authority/invariants.js';
+import { evidenceFields, type Evidence } from '../authority/decision.js';
 import type { Binding } from '../jobs/binding.js';
 import type { Machine } from '../machines/machine.js';
 import type { Runtime } from '../runtime/runtime.js';
+import type { BindingInvariants } from './binding-invariants.js';
 import type { TermState } from './term-state.js';
 
-/** Why a task is stopped that no binding of this term tells of. */
-const NOT_LIVE = 'job not live';
+/** Logged reason for stopping a task that this term has no binding for. */
+const JOB_NOT_LIVE_REASON = 'job not live';
 
-/** Starts, stops and forgets. Starts leave nowhere else (docs/safety.md, Starts). */
+/** Start, stop and forget commands. Nothing else starts a task (docs/safety.md, Starts). */
 export class WorkerCommands {
-  /** Less than this is asked for by no task of a live job. */
-  private smallest: Resources = NO_RESOURCES;
+  /** No task of a live job needs less of any resource than this. */
+  private smallestTask: Resources = NO_RESOURCES;
 
   constructor(
     private readonly runtime: Runtime,
     private readonly term: TermState,
     private readonly authority: Authority,
-    private readonly invariants: Invariants,
+    private readonly invariants: BindingInvariants,
   ) {}
 
-  /** Takes in what the smallest task of a live job needs. */
+  /** Computes the least resources that a task of any live job needs. */
   updateSmallestTask(): void {
-    const needs = [...this.term.jobs.values()].map((job) => resourcesOf(job.spec));
-    this.smallest = needs.length > 0 ? needs.reduce(minResources) : NO_RESOURCES;
+    const needed = [...this.term.jobs.values()].map((job) => resourcesOf(job.spec));
+    this.smallestTask = needed.length > 0 ? needed.reduce(minResources) : NO_RESOURCES;
   }
 
-  /** True if an answer to the machine's newest report would carry orders by now. */
+  /**
+   * True if an answer to the machine's newest heartbeat would carry a start or a stop now; true
+   * for an unknown machine too. Changes nothing.
+   */
   hasPendingCommands(machineId: string): boolean {
     const machine = this.term.machines.get(machineId);
     if (!machine) return true;
@@ -51,59 +54,60 @@
     return false;
   }
 
-  commandsFor(machineId: string): WorkerCommand[] {
-    const machine = this.term.machines.get(machineId);
-    return machine ? this.collectCommands(machine) : [];
-  }
-
   /**
-   * How long an answer without orders may be kept back: a machine with free room
-   * may get a start, while the end of a task on a full one should not wait for it.
+   * How long an answer without commands may be held back, in ms. Zero for a machine without
+   * capacity for the smallest task: it can get no start, and its next heartbeat, which may show
+   * the end of a task, should not be delayed.
    */
   longPollTimeoutOf(machineId: string, type: MachineType): Duration {
     const machine = this.term.machines.get(machineId);
     if (!machine || machine.returning || machine.preemptionDeadline !== null) return 0;
-    return fits(this.smallest, machine.free(type))
+    return fits(this.smallestTask, machine.free(type))
       ? this.runtime.operator.window.longPollTimeout
       : 0;
   }
 
-  /** Orders that the worker's newest report calls for; starts leave only here. */
-  collectCommands(machine: Machine): WorkerCommand[] {
-    const orders: WorkerCommand[] = [];
-    for (const t of machine.exitedTasks) {
-      if (this.forgettable(t)) orders.push({ op: 'forget', task: t.task, attempt: t.attempt });
+  /**
+   * The commands of the answer to the machine's newest heartbeat, to be sent at once: assigned
+   * tasks count as dispatched from now on. Empty for an unknown machine.
+   */
+  dispatchCommands(machineId: string): WorkerCommand[] {
+    const machine = this.term.machines.get(machineId);
+    if (!machine) return [];
+    const commands: WorkerCommand[] = [];
+    for (const { task, attempt, reason } of machine.exitedTasks) {
+      if (this.mayForget(task, reason)) commands.push({ op: 'forget', task, attempt });
     }
-    let booked = 0;
+    let assignedCount = 0;
     for (const binding of machine.bindings.values()) {
-      if (binding.phase === 'assigned') booked++;
-      else this.checkEnding(binding);
+      if (binding.phase === 'assigned') assignedCount++;
+      else this.invariants.checkRenewal(binding);
       const stop = this.stopCommandFor(binding);
-      if (stop) orders.push(stop);
+      if (stop) commands.push(stop);
     }
-    if (booked > 0) orders.push(...this.startsFor(machine));
-    return orders;
+    if (assignedCount > 0) commands.push(...this.dispatchStarts(machine));
+    return commands;
   }
 
   /**
-   * Stops for a report that changes nothing, since it is late or was made under another token.
-   * Its answer renews the worker's lease all the same, so it must stop what is over.
+   * Stops for a heartbeat that is not counted, since it is late or carries another fencing token.
+   * Its answer renews the worker's lease all the same, so tasks of ended jobs must be stopped.
    */
   stopsForEndedJobs(machine: string, tasks: TaskStatus[]): WorkerCommand[] {
     return tasks
-      .filter((t) => t.state !== 'exited' && this.authority.mayStop(jobOf(t.task)))
+      .filter(({ task, state }) => state !== 'exited' && this.authority.mayStop(jobOf(task)))
       .map(({ task, attempt }) => {
         this.runtime.stats.count('stops.uncounted');
         this.runtime.env.log(
           'debug',
-          { task, attempt, machine, reason: NOT_LIVE },
+          { task, attempt, machine, reason: JOB_NOT_LIVE_REASON },
           'stop dispatched',
         );
         return { op: 'stop', task, attempt, gracePeriod: 0 };
       });
   }
 
-  private startsFor(machine: Machine): WorkerCommand[] {
+  private dispatchStarts(machine: Machine): WorkerCommand[] {
     const decision = this.authority.start(machine);
     if (!decision.granted) {
       this.runtime.stats.count(`starts.refused.${decision.reason}`);
@@ -113,15 +117,15 @@
       return [];
     }
     this.runtime.stats.record('evidence.start_age_ms', decision.evidence.age);
-    const orders: WorkerCommand[] = [];
+    const starts: WorkerCommand[] = [];
     for (const binding of machine.bindings.values()) {
-      if (binding.phase !== 'assigned' || this.startsEndedJob(binding)) continue;
-      orders.push(this.dispatchStart(machine, binding, decision));
+      if (binding.phase !== 'assigned' || this.invariants.violatesStart(binding)) continue;
+      starts.push(this.dispatchStart(machine, binding, decision.evidence));
     }
-    return orders;
+    return starts;
   }
 
-  private dispatchStart(machine: Machine, binding: Binding, decision: Decision): WorkerCommand {
+  private dispatchStart(machine: Machine, binding: Binding, evidence: Evidence): WorkerCommand {
     binding.phase = 'dispatched';
     binding.dispatchedAgentEpoch = machine.agentEpoch;
     binding.dispatchedSequenceNumber = machine.sequenceNumber;
@@ -133,14 +137,15 @@
         task: binding.task,
         attempt: binding.attempt,
         machine: machine.id,
-        ...evidenceFields(decision.evidence),
+        ...evidenceFields(evidence),
       },
       'start dispatched',
     );
     return { op: 'start', task: binding.task, attempt: binding.attempt };
   }
 
-  stopCommandFor(binding: Binding): WorkerCommand | null {
+  /** Null unless the task is to be stopped now; one that saves its state is left to finish. */
+  private stopCommandFor(binding: Binding): WorkerCommand | null {
     if (!binding.stopRequest || binding.phase !== 'observed') return null;
     if (binding.state === 'saving' && binding.stopRequest.gracePeriod > 0) return null;
     return {
@@ -151,38 +156,12 @@
     };
   }
 
-  // --- invariants --------------------------------------------------------------
-
-  /** Bookings of a job go with it, so none can be left for a job that has ended. */
-  private startsEndedJob(binding: Binding): boolean {
-    const job = this.term.jobs.get(binding.job);
-    if (job && !job.predecessorCancelled && job.releasedAt !== null) return false;
-    this.report('started_ended_job', binding);
-    return true;
-  }
-
-  /** A task of a job that is not live is being stopped, and is gone in time. */
-  private checkEnding(binding: Binding): void {
-    if (!binding.stopRequest && binding.phase === 'observed' && this.authority.mayStop(binding.job))
-      this.report('renewed_without_stop', binding);
-    this.invariants.checkGone(binding, () => this.violationOf(binding));
-  }
-
-  private report(invariant: Invariant, binding: Binding): void {
-    this.invariants.violated(invariant, this.violationOf(binding));
-  }
-
-  private violationOf({ job, task, machine }: Binding): Violation {
-    const { evidence } = this.authority.renewal();
-    const { evidence: source = 'none', ageMs = null } = evidenceFields(evidence);
-    return { job, task, machine, fencingToken: this.term.fencingToken, evidence: source, ageMs };
-  }
-
-  private forgettable(t: TaskStatus): boolean {
-    const at = splitTaskId(t.task);
-    const job = at ? this.term.jobs.get(at.job) : undefined;
-    if (!job || !at || t.reason !== 'done') return true;
-    return job.isDone(at.index) && !job.uncommittedTasks.has(at.index);
+  /** A task that is done may be forgotten once the state service has it, any other at once. */
+  private mayForget(task: string, reason: TaskStatus['reason']): boolean {
+    const parsed = splitTaskId(task);
+    const job = parsed ? this.term.jobs.get(parsed.job) : undefined;
+    if (!job || !parsed || reason !== 'done') return true;
+    return job.isDone(parsed.index) && !job.uncommittedTasks.has(parsed.index);
   }
 
   private mayStart(machine: Machine): boolean {
@@ -190,4 +169,5 @@
   }
 }
 
+/** The job of a task; an identifier that can't be parsed stands for itself. */
 const jobOf = (task: string): string => splitTaskId(task)?.job ?? task;
--- a/packages/testing/src/authority.test.ts
+++ b/packages/testing/src/authority.test.ts
@@ -6,8 +6,8 @@
   Runtime,
   Stats,
   type Decision,
-  type Knowledge,
   type StartTarget,
+  type TermKnowledge,
 } from '@tealdock/controller';
 import { job } from './index.js';
 import { settingsFor } from './cluster-options.js';
@@ -17,7 +17,7 @@
 const READY: StartTarget = { registered: true, reconciled: true, returning: false };
 
 interface Given {
-  knowledge?: Partial<Knowledge>;
+  knowledge?: Partial<TermKnowledge>;
   /** How long the leader's lease still holds; null where it is in doubt. */
   lease?: number | null;
 }
@@ -68,7 +68,7 @@
 });
 
 test('a start needs fresher knowledge, and a machine that is accounted for', () => {
-  const start = (knowledge: Partial<Knowledge>, machine: Partial<StartTarget> = {}) =>
+  const start = (knowledge: Partial<TermKnowledge>, machine: Partial<StartTarget> = {}) =>
     reasonOf(authority({ knowledge }).start({ ...READY, ...machine }));
   assert.equal(start({}), 'granted');
   assert.equal(start({ cancellationsKnownUntil: NOW - 2000 }), 'granted');
