--- a/packages/controller/src/autoscaling/autoscaler.ts
+++ b/packages/controller/src/autoscaling/autoscaler.ts
@@ -132,7 +132,7 @@
   }
 
   private latest(job: LiveJob, guaranteed: boolean): Instant {
-    const ratio = this.term.runTimeRatios.get(job.spec.jobClass) ?? 1;
+    const ratio = this.term.runTimeRatios.ratioOf(job.spec.jobClass);
     const latest = latestStart(job, ratio, guaranteed, this.runtime.settings);
     return latest === Infinity ? job.startableAt + AIMLESS_WAIT : latest;
   }
--- a/packages/controller/src/autoscaling/cloud-calls.ts
+++ b/packages/controller/src/autoscaling/cloud-calls.ts
@@ -1,7 +1,7 @@
 /** Calls to the cloud on behalf of one term. */
 import type { CallPriority, CallResult } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
-import type { TermState } from '../term/term-state.js';
+import type { TermStatus } from '../term/term-view.js';
 
 /** How long the cloud may take for an answer. */
 export const CLOUD_CALL_TIMEOUT_MS = 4000;
@@ -10,7 +10,7 @@
 export class CloudCalls {
   constructor(
     private readonly runtime: Runtime,
-    private readonly term: TermState,
+    private readonly term: TermStatus,
   ) {}
 
   send(
--- a/packages/controller/src/autoscaling/machine-returns.ts
+++ b/packages/controller/src/autoscaling/machine-returns.ts
@@ -60,7 +60,7 @@
         { machine: machine.id, type: machine.type, spot: machine.spot },
         'scale-in requested',
       );
-      this.term.membership.markReturning(machine);
+      this.term.machineRegistry.markReturning(machine);
     }
     if (this.returning) return;
     const ids = [...new Set([...this.marked(), ...this.neverUsed()])].slice(0, MAX_RETURN);
@@ -77,7 +77,7 @@
   private neverUsed(): string[] {
     const ids: string[] = [];
     for (const [id, machine] of this.inventory.listed) {
-      const unknown = !this.term.machines.has(id) && !this.term.membership.isTerminated(id);
+      const unknown = !this.term.machines.has(id) && !this.term.machineRegistry.isTerminated(id);
       if (machine.state === 'failed' && unknown) ids.push(id);
     }
     for (const [id, c] of this.inventory.provisioning) if (this.neverCame(c)) ids.push(id);
@@ -91,7 +91,7 @@
       if (result.kind !== 'answer' || result.status !== 200) return;
       this.runtime.env.log('info', { machines: ids }, 'scale-in confirmed');
       for (const id of ids) {
-        this.term.membership.recordTerminated(id);
+        this.term.machineRegistry.recordTerminated(id);
         this.inventory.provisioning.delete(id);
         this.inventory.listed.delete(id);
       }
--- a/packages/controller/src/autoscaling/rental-requests.ts
+++ b/packages/controller/src/autoscaling/rental-requests.ts
@@ -10,7 +10,7 @@
 import { PRIORITY, type CallResult } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
 import { parseOrNull } from '../state/state-store.js';
-import type { TermState } from '../term/term-state.js';
+import type { TermStatus } from '../term/term-view.js';
 import { CLOUD_CALL_TIMEOUT_MS, type CloudCalls } from './cloud-calls.js';
 import type { MachineInventory } from './machine-inventory.js';
 
@@ -37,7 +37,7 @@
 
   constructor(
     private readonly runtime: Runtime,
-    private readonly term: TermState,
+    private readonly term: TermStatus,
     private readonly types: () => MachineType[],
     private readonly cloud: CloudCalls,
     private readonly inventory: MachineInventory,
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -15,7 +15,7 @@
 import { DirectStops } from './term/direct-stops.js';
 import { Autoscaler } from './autoscaling/autoscaler.js';
 import { LongPolls } from './requests/long-polls.js';
-import { hintsOf, useHints } from './term/successor-hints.js';
+import { applyHints, collectHints } from './term/successor-hints.js';
 import { DelegatedRenewal } from './leadership/delegated-renewal.js';
 import { Leadership } from './leadership/leadership.js';
 import { Peers } from './peers/peers.js';
@@ -158,7 +158,7 @@
   /** What a successor may start from; nothing depends on its being right. */
   private broadcastHints(): void {
     if (!this.term?.allMachinesReconciled || !this.leadership.validLease()) return;
-    this.broadcast({ kind: 'hints', ...hintsOf(this.term) });
+    this.broadcast({ kind: 'hints', ...collectHints(this.term) });
   }
 
   private broadcast(message: LeaderBroadcast): void {
@@ -172,7 +172,7 @@
     this.term?.close();
     this.longPolls?.release();
     const term = new Term(this.runtime, this.state, this.leadership, token);
-    if (this.peers.hints) useHints(this.peers.hints, term);
+    if (this.peers.hints) applyHints(this.peers.hints, term);
     this.term = term;
     this.longPolls = new LongPolls(this.runtime, term, () => this.renewalGrant());
     const types = () => this.catalog.types;
@@ -187,7 +187,11 @@
     );
     term.start();
     new JobCompletion(this.runtime, this.state, this.leadership, term).start();
-    new DirectStops(this.runtime, term, () => this.renewalGrant() !== null).start();
+    new DirectStops(this.runtime, {
+      term,
+      hasEnded: (job) => term.liveJobs.hasEnded(job),
+      mayRenew: () => this.renewalGrant() !== null,
+    }).start();
     scheduler.start();
     autoscaler.start();
   }
--- a/packages/controller/src/jobs/dependency-graph.ts
+++ b/packages/controller/src/jobs/dependency-graph.ts
@@ -21,7 +21,7 @@
 /** What it has to know of a term. */
 interface Jobs {
   readonly jobs: ReadonlyMap<string, LiveJob>;
-  readonly runTimeRatios: ReadonlyMap<string, number>;
+  readonly runTimeRatios: { ratioOf(jobClass: string): number };
   readonly closed: boolean;
 }
 
@@ -94,7 +94,7 @@
       predecessors: predecessorsOf(job.accepted),
       priority,
       finishBy: job.ownFinishBy,
-      run: estimate * (this.term.runTimeRatios.get(jobClass) ?? 1),
+      run: estimate * this.term.runTimeRatios.ratioOf(jobClass),
     };
   }
 
--- a/packages/controller/src/placement/drain.ts
+++ b/packages/controller/src/placement/drain.ts
@@ -23,7 +23,7 @@
     const job = this.term.jobs.get(b.job);
     if (!job || b.stopRequest || b.phase !== 'observed') return;
     const ran = this.runtime.now - (b.runningSince ?? this.runtime.now);
-    const ratio = this.term.runTimeRatios.get(job.spec.jobClass) ?? 1;
+    const ratio = this.term.runTimeRatios.ratioOf(job.spec.jobClass);
     const left = job.spec.estimate * ratio - ran;
     const notice = (machine.preemptionDeadline ?? Infinity) - this.runtime.now;
     if (b.state === 'running' && left < notice) return;
--- a/packages/controller/src/placement/job-urgency.ts
+++ b/packages/controller/src/placement/job-urgency.ts
@@ -53,7 +53,7 @@
   }
 
   private dueOf(job: LiveJob, guaranteed: boolean): Instant {
-    const ratio = this.term.runTimeRatios.get(job.spec.jobClass) ?? 1;
+    const ratio = this.term.runTimeRatios.ratioOf(job.spec.jobClass);
     return nextDue(job, ratio, guaranteed, this.runtime.settings, this.runtime.now);
   }
 
--- a/packages/controller/src/requests/heartbeat-requests.ts
+++ b/packages/controller/src/requests/heartbeat-requests.ts
@@ -68,7 +68,7 @@
     const { term, longPolls } = this.leader;
     this.leadership.observeHigherToken(heartbeat.fencingToken);
     // Also while it may not answer: a leader that an outage kept from answering is reachable.
-    if (term) term.lastHeartbeatAt = this.runtime.now;
+    term?.recordHeartbeat();
     const held = this.leader.renewalGrant();
     if (!held || !term) return this.redirect(request, heartbeat);
     const { counted, answered, commands: orders } = term.heartbeats.process(heartbeat);
--- a/packages/controller/src/term/direct-stops.ts
+++ b/packages/controller/src/term/direct-stops.ts
@@ -1,4 +1,4 @@
-/** Stops that are sent to workers directly. */
+/** Stop commands that are sent to workers directly, not in an answer to a heartbeat. */
 import {
   COMMANDS_PATH,
   renderDirectCommands,
@@ -8,79 +8,92 @@
 import type { Machine } from '../machines/machine.js';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
-import type { Term } from './term.js';
+import type { TermView } from './term-view.js';
 
-const LOOK_EVERY = 500;
-const TIMEOUT = 2000;
-/** A machine is told again after this long, while the task is still on it. */
-const AGAIN = 4000;
-const MOST_UNDER_WAY = 12;
-/** Reports that are late by this much may not come at all. */
-const MISSED_REPORTS = 2;
+const CHECK_INTERVAL_MS = 500;
+const CALL_TIMEOUT_MS = 2000;
+/** Pause before the commands are sent again while the task is still on the machine. */
+const RESEND_DELAY_MS = 4000;
+const MAX_CALLS_IN_FLIGHT_COUNT = 12;
+/** A machine without heartbeats for this many intervals may not send any more. */
+const MISSED_HEARTBEAT_COUNT = 2;
+
+/** What direct stops depend on. */
+export interface DirectStopsOptions {
+  readonly term: TermView;
+  /** True if the job is known to have ended. */
+  readonly hasEnded: (job: string) => boolean;
+  /** True while this node may answer heartbeats. */
+  readonly mayRenew: () => boolean;
+}
 
 /**
- * Stops tasks of jobs that have ended by a command to their worker, where no answer to a
- * report does it: this node may not answer just now, or the worker's reports don't come.
- * The end of a job is final, so such a stop is right also late, and from a leader of the
- * past. The rule does not rest on it: leases end in time anyway (docs/safety.md).
+ * Stops tasks of ended jobs by a call to their worker where no answer to a heartbeat can do it:
+ * this node may not answer now, or the worker's heartbeats don't arrive. The end of a job is
+ * final, so a stop that arrives late or from a former leader is right too. Safety does not depend
+ * on these calls, since worker leases expire in time anyway (docs/safety.md).
  */
 export class DirectStops {
-  private readonly told = new Map<string, Instant>();
-  private underWay = 0;
+  private readonly lastSentAt = new Map<string, Instant>();
+  private callsInFlight = 0;
 
   constructor(
     private readonly runtime: Runtime,
-    private readonly term: Term,
-    private readonly answers: () => boolean,
+    private readonly options: DirectStopsOptions,
   ) {}
 
+  /** Runs until the term closes. */
   start(): void {
-    this.runtime.every(LOOK_EVERY, () => {
-      if (!this.term.closed) this.look();
-      return !this.term.closed;
+    const { term } = this.options;
+    this.runtime.every(CHECK_INTERVAL_MS, () => {
+      if (!term.closed) this.sendDue();
+      return !term.closed;
     });
   }
 
-  private look(): void {
-    const answers = this.answers();
-    for (const machine of this.term.machines.values()) {
-      if (this.underWay >= MOST_UNDER_WAY) return;
+  private sendDue(): void {
+    const mayRenew = this.options.mayRenew();
+    for (const machine of this.options.term.machines.values()) {
+      if (this.callsInFlight >= MAX_CALLS_IN_FLIGHT_COUNT) return;
       if (machine.address === '' || machine.bindings.size === 0) continue;
-      if (answers && !this.misses(machine)) continue;
-      if (this.runtime.now - (this.told.get(machine.id) ?? -Infinity) < AGAIN) continue;
-      const orders = this.stopsFor(machine);
-      if (orders.length > 0) this.send(machine, orders);
+      if (mayRenew && !this.missesHeartbeats(machine)) continue;
+      const lastSentAt = this.lastSentAt.get(machine.id) ?? -Infinity;
+      if (this.runtime.now - lastSentAt < RESEND_DELAY_MS) continue;
+      const stops = this.stopsFor(machine);
+      if (stops.length > 0) this.send(machine, stops);
     }
   }
 
-  private misses(machine: Machine): boolean {
-    const heard = machine.lastHeartbeatAt ?? this.term.electedAt;
-    return this.runtime.now - heard > this.runtime.settings.heartbeatInterval * MISSED_REPORTS;
+  private missesHeartbeats(machine: Machine): boolean {
+    const lastHeartbeatAt = machine.lastHeartbeatAt ?? this.options.term.electedAt;
+    const limitMs = this.runtime.settings.heartbeatInterval * MISSED_HEARTBEAT_COUNT;
+    return this.runtime.now - lastHeartbeatAt > limitMs;
   }
 
   private stopsFor(machine: Machine): WorkerCommand[] {
-    const orders: WorkerCommand[] = [];
+    const stops: WorkerCommand[] = [];
     for (const binding of machine.bindings.values()) {
-      if (binding.phase === 'assigned' || !this.term.liveJobs.hasEnded(binding)) continue;
-      orders.push({ op: 'stop', task: binding.task, attempt: binding.attempt, gracePeriod: 0 });
+      if (binding.phase === 'assigned' || !this.options.hasEnded(binding.job)) continue;
+      stops.push({ op: 'stop', task: binding.task, attempt: binding.attempt, gracePeriod: 0 });
     }
-    return orders;
+    return stops;
   }
 
-  private send(machine: Machine, orders: WorkerCommand[]): void {
-    this.told.set(machine.id, this.runtime.now);
-    this.underWay++;
-    this.runtime.stats.count('stops.direct', orders.length);
+  private send(machine: Machine, stops: WorkerCommand[]): void {
+    this.lastSentAt.set(machine.id, this.runtime.now);
+    this.callsInFlight++;
+    this.runtime.stats.count('stops.direct', stops.length);
+    const { fencingToken } = this.options.term;
     const call = {
       target: 'worker' as const,
       to: machine.address,
       method: 'POST',
       path: COMMANDS_PATH,
-      body: renderDirectCommands(this.term.fencingToken, machine.agentEpoch, orders),
+      body: renderDirectCommands(fencingToken, machine.agentEpoch, stops),
       priority: PRIORITY.leader,
       writes: 0,
-      timeout: TIMEOUT,
+      timeout: CALL_TIMEOUT_MS,
     };
-    this.runtime.call(call, () => this.underWay--);
+    this.runtime.call(call, () => this.callsInFlight--);
   }
 }
--- a/packages/controller/src/term/ended-job-lookup.ts
+++ b/packages/controller/src/term/ended-job-lookup.ts
@@ -1,4 +1,4 @@
-/** Sizes and teams of tasks whose jobs have ended, which reports may still show. */
+/** Resources and teams of tasks that heartbeats still show although their jobs have ended. */
 import type { JobSpec } from '@tealdock/wire';
 import { resourcesOf } from '@tealdock/scheduler';
 import { bindingKey, type Binding } from '../jobs/binding.js';
@@ -11,14 +11,15 @@
 import type { LiveJobs } from './live-jobs.js';
 import type { TermState } from './term-state.js';
 
-const RETRY = 400;
+/** Pause after a read that failed. */
+const RETRY_DELAY_MS = 400;
 
 /**
- * Looks ended jobs up by their keys. Until what is bound is known by size and team, limits
- * can't be kept, so nothing is placed (docs/safety.md, rule `quota`).
+ * Reads the ended keys of jobs that are not live. Quotas can't be kept until the resources and
+ * teams of all bound tasks are known, so nothing is placed before (docs/safety.md, rule `quota`).
  */
 export class EndedJobLookup {
-  /** Tasks of each job that is being looked up. */
+  /** Bindings of each job whose ended key is being read. */
   private readonly lookups = new Map<string, Binding[]>();
 
   constructor(
@@ -29,31 +30,31 @@
     private readonly bindings: Bindings,
   ) {}
 
-  /** Everything that reports have shown so far is known by size and team. */
+  /** True while the resources and team of every task that a heartbeat has shown are known. */
   get isComplete(): boolean {
     return this.term.stateLoaded && this.lookups.size === 0;
   }
 
-  /** What an ended job's task takes has to be known before anything is placed. */
+  /** Reads the ended key of the binding's job, and completes the binding from it. */
   lookUp(binding: Binding): void {
-    const asked = this.lookups.get(binding.job);
-    if (asked) return void asked.push(binding);
+    const pending = this.lookups.get(binding.job);
+    if (pending) return void pending.push(binding);
     this.lookups.set(binding.job, [binding]);
-    this.askFor(binding.job);
+    this.readEnd(binding.job);
   }
 
-  private askFor(job: string): void {
+  private readEnd(job: string): void {
     this.state.getValue(endedKey(job), readEnded, PRIORITY.leader, (got) => {
       if (this.term.closed) return;
-      if (got.kind === 'failed') return this.runtime.after(RETRY, () => this.askFor(job));
+      if (got.kind === 'failed') return this.runtime.after(RETRY_DELAY_MS, () => this.readEnd(job));
       const bindings = this.lookups.get(job) ?? [];
       this.lookups.delete(job);
       if (got.kind === 'found') {
         this.liveJobs.recordEnded(job);
         this.fill(bindings, got.value.spec);
-        if (got.value.state === 'cancelled') this.noteCancelled(bindings, got.value.at);
+        if (got.value.state === 'cancelled') this.setTerminationDeadlines(bindings, got.value.at);
       }
-      if (this.isComplete) this.markBookedDirty();
+      if (this.isComplete) this.markUndispatchedDirty();
     });
   }
 
@@ -69,18 +70,21 @@
     }
   }
 
-  /** By the time of day that the ended key carries, which is off by the clocks' bound. */
-  private noteCancelled(bindings: Binding[], at: number | undefined): void {
-    const { wallClock: today, settings, now } = this.runtime;
-    const age = at === undefined ? 0 : today.getTime() - at - 2 * settings.maxClockError;
-    // The user is told up to a commit's time after the key was written.
-    const since = now - Math.max(0, age - COMMIT_TIMEOUT_MS);
-    for (const binding of bindings) this.bindings.setTerminationDeadline(binding, since);
+  /** `cancelledAt` is wall-clock time of another node; undefined in values of older versions. */
+  private setTerminationDeadlines(bindings: Binding[], cancelledAt: number | undefined): void {
+    const { wallClock, settings, now } = this.runtime;
+    const ageMs =
+      cancelledAt === undefined
+        ? 0
+        : wallClock.getTime() - cancelledAt - 2 * settings.maxClockError;
+    // The user may get the confirmation up to one commit timeout after the key was written.
+    const confirmedAt = now - Math.max(0, ageMs - COMMIT_TIMEOUT_MS);
+    for (const binding of bindings) this.bindings.setTerminationDeadline(binding, confirmedAt);
   }
 
-  /** Starts that had to wait may leave now. */
-  private markBookedDirty(): void {
-    for (const machine of this.term.machines.values())
-      if (this.bindings.hasUndispatched(machine.id)) this.term.dirtyMachines.add(machine.id);
+  /** Starts were refused until all resources were known: they may leave now. */
+  private markUndispatchedDirty(): void {
+    for (const id of this.term.machines.keys())
+      if (this.bindings.hasUndispatched(id)) this.term.dirtyMachines.add(id);
   }
 }
--- a/packages/controller/src/term/heartbeat-processor.ts
+++ b/packages/controller/src/term/heartbeat-processor.ts
@@ -8,13 +8,15 @@
 import { NO_RESOURCES, resourcesOf } from '@tealdock/scheduler';
 import type { LiveJob } from '../jobs/live-job.js';
 import { bindingKey, type Binding } from '../jobs/binding.js';
+import type { FetchSharing } from '../machines/image-fetches.js';
 import type { Machine } from '../machines/machine.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { Bindings } from './bindings.js';
 import type { EndedJobLookup } from './ended-job-lookup.js';
-import type { Membership } from './membership.js';
+import type { MachineRegistry } from './machine-registry.js';
+import type { RunTimeRatios } from './run-time-ratios.js';
 import type { WorkerCommands } from './worker-commands.js';
-import type { TermState } from './term-state.js';
+import type { TermView } from './term-view.js';
 
 /** A machine on which so many tasks in a row failed is quarantined; so is a job. */
 const MAX_FAILURES = 3;
@@ -27,9 +29,6 @@
 const MAX_BACKOFF = 60_000;
 /** A worker learns the token from the first answer that it hears. */
 const MISSED_ANSWERS_PATIENCE = 8000;
-/** Weight of the newest task in the learnt ratio of run times, and what it may tell at most. */
-const RATIO_WEIGHT = 0.1;
-const MAX_RATIO = 10;
 
 /** What came of a report. */
 export interface HeartbeatOutcome {
@@ -41,21 +40,28 @@
 }
 const UNANSWERED: HeartbeatOutcome = { counted: false, answered: false, commands: [] };
 
+/** The parts of a term that heartbeats change. */
+export interface HeartbeatTargets {
+  readonly bindings: Bindings;
+  readonly lookup: EndedJobLookup;
+  readonly workerCommands: WorkerCommands;
+  readonly machineRegistry: MachineRegistry;
+  readonly runTimeRatios: RunTimeRatios;
+  readonly fetchSharing: FetchSharing;
+}
+
 /** Takes reports in. What a late one says, or one under another token, changes nothing. */
 export class HeartbeatProcessor {
   constructor(
     private readonly runtime: Runtime,
-    private readonly term: TermState,
-    private readonly bindings: Bindings,
-    private readonly lookup: EndedJobLookup,
-    private readonly workerCommands: WorkerCommands,
-    private readonly membership: Membership,
+    private readonly term: TermView,
+    private readonly targets: HeartbeatTargets,
   ) {}
 
   /** Takes in a report; its answer may carry the orders. */
   process(report: WorkerHeartbeat): HeartbeatOutcome {
-    if (this.membership.isTerminated(report.machine)) return UNANSWERED;
-    const machine = this.machineOf(report);
+    if (this.targets.machineRegistry.isTerminated(report.machine)) return UNANSWERED;
+    const machine = this.targets.machineRegistry.getOrAdd(report.machine, report);
     if (this.missesAnswers(machine, report)) return UNANSWERED;
     // Its lease is renewed by the answer, whatever the report is worth otherwise.
     machine.lastLeaseRenewalAt = this.runtime.now;
@@ -67,7 +73,7 @@
     return {
       counted: true,
       answered: true,
-      commands: this.workerCommands.dispatchCommands(machine.id),
+      commands: this.targets.workerCommands.dispatchCommands(machine.id),
     };
   }
 
@@ -76,7 +82,7 @@
     return {
       counted: false,
       answered: true,
-      commands: this.workerCommands.stopsForEndedJobs(machine, tasks),
+      commands: this.targets.workerCommands.stopsForEndedJobs(machine, tasks),
     };
   }
 
@@ -91,22 +97,10 @@
     return this.runtime.now - machine.firstLeaseRenewalAt > MISSED_ANSWERS_PATIENCE;
   }
 
-  private machineOf(report: WorkerHeartbeat): Machine {
-    let machine = this.term.machines.get(report.machine);
-    if (!machine) {
-      machine = this.membership.newMachine(report.machine, report);
-      // Not in the machine registry, so no term has ever sent a start to it.
-      machine.reconciled = true;
-      this.term.machines.set(machine.id, machine);
-    }
-    machine.firstSeenAt = Math.min(machine.firstSeenAt, this.runtime.now);
-    return machine;
-  }
-
   private apply(report: WorkerHeartbeat): void {
-    const machine = this.machineOf(report);
+    const machine = this.targets.machineRegistry.getOrAdd(report.machine, report);
     if (report.agentEpoch > machine.agentEpoch)
-      this.bindings.endDispatched(machine, 'session ended');
+      this.targets.bindings.endDispatched(machine, 'session ended');
     machine.agentEpoch = report.agentEpoch;
     machine.sequenceNumber = report.sequenceNumber;
     machine.address = report.address;
@@ -118,7 +112,7 @@
     machine.exitedTasks = report.tasks.filter((t) => t.state === 'exited');
     for (const t of report.tasks) this.absorbTask(machine, t);
     this.endMissing(machine, report);
-    this.membership.registerIfNew(machine);
+    this.targets.machineRegistry.registerIfNew(machine);
   }
 
   private endMissing(machine: Machine, report: WorkerHeartbeat): void {
@@ -127,7 +121,7 @@
     for (const [key, binding] of [...machine.bindings]) {
       if (binding.phase === 'assigned' || listed.has(key)) continue;
       lost ||= binding.phase === 'dispatched';
-      this.bindings.end(binding, 'not on the machine');
+      this.targets.bindings.end(binding, 'not on the machine');
     }
     if (lost) this.noteLostStart(machine);
   }
@@ -147,7 +141,7 @@
       { machine: machine.id, lostStarts: machine.consecutiveLostStarts, quarantineMs: quarantine },
       'start lost',
     );
-    this.bindings.releaseUndispatched(machine);
+    this.targets.bindings.releaseUndispatched(machine);
   }
 
   private absorbTask(machine: Machine, t: TaskStatus): void {
@@ -179,7 +173,7 @@
 
   private noteImage(machine: Machine, image: string, gb: number): void {
     const fetch = machine.fetches.end(image, this.runtime.now);
-    if (fetch) this.term.fetchSharing.note(fetch);
+    if (fetch) this.targets.fetchSharing.note(fetch);
     machine.recordImage(image, gb);
   }
 
@@ -190,7 +184,7 @@
     if (!job || !at || at.index >= job.spec.taskCount || t.reason !== 'done') return;
     job.markDone(at.index);
     const other = job.bindings.get(at.index);
-    if (other) this.bindings.discard(other, 'done elsewhere');
+    if (other) this.targets.bindings.discard(other, 'done elsewhere');
   }
 
   private endExited(machine: Machine, binding: Binding, t: TaskStatus): void {
@@ -202,18 +196,14 @@
       this.noteFailure(machine, job, t);
     }
     if (job && t.reason === 'done') job.markDone(binding.index);
-    this.bindings.end(binding, t.reason ?? 'exited');
+    this.targets.bindings.end(binding, t.reason ?? 'exited');
   }
 
   private learn(job: LiveJob, binding: Binding): void {
     job.consecutiveFailures = 0;
     if (binding.runningSince === null || job.spec.estimate <= 0) return;
     const ratio = (this.runtime.now - binding.runningSince) / job.spec.estimate;
-    const known = this.term.runTimeRatios.get(job.spec.jobClass) ?? 1;
-    this.term.runTimeRatios.set(
-      job.spec.jobClass,
-      known * (1 - RATIO_WEIGHT) + Math.min(ratio, MAX_RATIO) * RATIO_WEIGHT,
-    );
+    this.targets.runTimeRatios.recordCompletion(job.spec.jobClass, ratio);
   }
 
   /** Mostly the machine is at fault; a job with a mistake fails on every machine. */
@@ -258,12 +248,12 @@
       orphaned: !wanted,
       terminationDeadline: null,
     };
-    this.bindings.bind(machine, binding);
+    this.targets.bindings.bind(machine, binding);
     if (wanted) {
       job.bindings.set(binding.index, binding);
       job.openTasks.delete(binding.index);
     }
-    if (!job) this.lookup.lookUp(binding);
+    if (!job) this.targets.lookup.lookUp(binding);
     return binding;
   }
 }
--- a/packages/controller/src/term/job-completion.ts
+++ b/packages/controller/src/term/job-completion.ts
@@ -1,23 +1,33 @@
-/** Commits ends of jobs and progress of tasks. */
+/** Commits the ends of jobs and the progress of their tasks. */
 import type { Precondition, Write } from '@tealdock/wire';
 import { priorityRank } from '@tealdock/scheduler';
 import { endOf, type JobEnd } from '../jobs/dependency-graph.js';
-import { endedKey, endedValue, progressEntry, specKey, type EndedValue } from '../state/keys.js';
+import { endedKey, endedValue, specKey, type EndedValue } from '../state/keys.js';
 import type { Leadership } from '../leadership/leadership.js';
 import type { LiveJob } from '../jobs/live-job.js';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { StateStore } from '../state/state-store.js';
 import { readEnded } from '../state/stored-values.js';
-import type { Term } from './term.js';
+import type { LiveJobs } from './live-jobs.js';
+import type { StrayKeys } from './stray-keys.js';
+import type { TermStatus } from './term-view.js';
 
-const FLUSH_EVERY = 250;
-/** Progress of jobs that go on: one change holds that of many jobs, so it is gathered. */
-const PROGRESS_EVERY = 1000;
-const MAX_STRAY_KEYS = 4;
+/** How often completed jobs are looked for. */
+const FLUSH_INTERVAL_MS = 250;
+/** How often progress of jobs that go on is queued: one write holds that of many jobs. */
+const PROGRESS_INTERVAL_MS = 1000;
+/** An end puts the ended key and removes the live one. */
+const WRITES_PER_END_COUNT = 2;
+
+/** What the completion of jobs needs of a term. */
+export interface CompletionTerm extends TermStatus {
+  readonly liveJobs: LiveJobs;
+  readonly strayKeys: StrayKeys;
+}
 
 /** The end of one job, to be committed. */
-interface Ending {
+interface JobEndCommit {
   job: LiveJob;
   value: EndedValue;
   guard: Precondition;
@@ -25,13 +35,12 @@
 }
 
 /**
- * Commits what tasks have completed, in batches, before it is told to users and
- * before a worker is told to forget. A job whose tasks are all done moves from
- * the live keys to the ended ones in one transaction; the version of its spec
- * decides between that and a cancellation.
+ * Commits completed tasks in batches; only then users see them as done and workers get a forget
+ * command. A job whose tasks are all done moves from the live keys to the ended ones in one
+ * transaction; the version of its live key decides between that and a cancellation.
  */
 export class JobCompletion {
-  private busy = false;
+  private commitInFlight = false;
   /** Jobs whose tasks are all done, in the order in which that was seen. */
   private readonly completed = new Set<LiveJob>();
 
@@ -39,46 +48,51 @@
     private readonly runtime: Runtime,
     private readonly state: StateStore,
     private readonly leadership: Leadership,
-    private readonly term: Term,
+    private readonly term: CompletionTerm,
   ) {}
 
+  /** Runs until the term closes. */
   start(): void {
-    this.repeat(FLUSH_EVERY, () => this.flush());
-    this.repeat(PROGRESS_EVERY, () => this.noteProgress());
+    this.repeat(FLUSH_INTERVAL_MS, () => this.flush());
+    this.repeat(PROGRESS_INTERVAL_MS, () => this.storeProgress());
   }
 
-  private repeat(period: number, run: () => void): void {
-    this.runtime.every(period, () => {
+  private repeat(intervalMs: number, run: () => void): void {
+    this.runtime.every(intervalMs, () => {
       if (!this.term.closed && this.term.stateLoaded && this.leadership.validLease()) run();
       return !this.term.closed;
     });
   }
 
   private flush(): void {
-    if (this.busy) return;
-    const batch = this.endings();
+    if (this.commitInFlight) return;
+    const batch = this.nextBatch();
     if (batch.length === 0) return this.removeStrayKeys();
-    this.busy = true;
-    const guards = [this.leadership.leaderPrecondition(), ...batch.map((e) => e.guard)];
-    const writes = batch.flatMap((e) => e.writes);
-    this.state.compareAndSwap(guards, writes, PRIORITY.leader, (committed) => {
-      this.busy = false;
-      if (committed.kind === 'conflict') this.reconcile(batch);
+    this.commitInFlight = true;
+    const preconditions = [
+      this.leadership.leaderPrecondition(),
+      ...batch.map(({ guard }) => guard),
+    ];
+    const writes = batch.flatMap(({ writes }) => writes);
+    this.state.compareAndSwap(preconditions, writes, PRIORITY.leader, (committed) => {
+      this.commitInFlight = false;
+      if (committed.kind === 'conflict') this.applyEndsByOthers(batch);
       if (committed.kind !== 'ok') return;
       for (const { job, value } of batch) {
-        this.ended(job, { ...value, revision: committed.revision });
+        this.applyEnd(job, { ...value, revision: committed.revision });
       }
-      // Others may wait for the next end.
+      // More jobs may be complete than one transaction takes.
       if (!this.term.closed && this.leadership.validLease()) this.flush();
     });
   }
 
-  /** As many as one transaction takes. */
-  private endings(): Ending[] {
-    const most = Math.floor(this.runtime.settings.state.maxTransactionWrites / 2);
+  /** The next ends, as many as one transaction takes. */
+  private nextBatch(): JobEndCommit[] {
+    const { maxTransactionWrites } = this.runtime.settings.state;
+    const maxEndCount = Math.floor(maxTransactionWrites / WRITES_PER_END_COUNT);
     return this.jobsToEnd()
-      .slice(0, most)
-      .map((job) => this.ending(job));
+      .slice(0, maxEndCount)
+      .map((job) => this.commitFor(job));
   }
 
   /**
@@ -89,66 +103,52 @@
    */
   private jobsToEnd(): LiveJob[] {
     const cancelled: LiveJob[] = [];
-    for (const job of this.term.jobs.values()) {
+    for (const job of this.term.liveJobs.jobs.values()) {
       if (job.predecessorCancelled) cancelled.push(job);
       else if (job.complete) this.completed.add(job);
     }
     const awaited: LiveJob[] = [];
     const others: LiveJob[] = [];
     for (const job of this.completed) {
-      if (this.term.jobs.get(job.id) !== job) this.completed.delete(job);
+      if (this.term.liveJobs.jobs.get(job.id) !== job) this.completed.delete(job);
       else if (this.term.liveJobs.graph.isAwaited(job.id)) awaited.push(job);
       else others.push(job);
     }
     return [...awaited.sort(byUrgency), ...others, ...cancelled];
   }
 
-  private ended(job: LiveJob, end: JobEnd): void {
-    for (const chunk of job.chunks())
-      this.term.liveJobs.progress.delete(progressEntry(job.id, chunk));
+  private applyEnd(job: LiveJob, end: JobEnd): void {
+    this.term.liveJobs.deleteProgress(job);
     this.term.liveJobs.endJob(job.id, end);
   }
 
-  private noteProgress(): void {
-    for (const job of this.term.jobs.values()) {
-      if (job.complete) continue;
-      for (const chunk of job.dirtyChunks()) {
-        this.term.liveJobs.progress.set(progressEntry(job.id, chunk), job.chunkBits(chunk));
-      }
+  private storeProgress(): void {
+    for (const job of this.term.liveJobs.jobs.values()) {
+      if (!job.complete) this.term.liveJobs.storeProgress(job);
     }
   }
 
-  /** Keys that belong to no job, a few at a time when nothing else is to be done. */
+  /** A few at a time, while there is nothing else to commit. */
   private removeStrayKeys(): void {
-    const keys = this.term.strayKeys.splice(0, MAX_STRAY_KEYS);
-    if (keys.length === 0) return;
-    this.busy = true;
-    const writes = keys.map((key) => ({ remove: key }));
-    this.state.compareAndSwap(
-      [this.leadership.leaderPrecondition()],
-      writes,
-      PRIORITY.background,
-      (committed) => {
-        this.busy = false;
-        if (committed.kind !== 'ok') this.term.strayKeys.push(...keys);
-      },
-    );
+    if (this.term.strayKeys.isEmpty) return;
+    this.commitInFlight = true;
+    this.term.strayKeys.removeBatch(() => (this.commitInFlight = false));
   }
 
   /**
-   * Some job of the batch has ended, or leadership is gone. Whoever ended the
-   * job wrote its ended key, also when an earlier commit of ours got no answer.
+   * Some job of the batch has ended already, or leadership is lost. Whoever ended a job wrote its
+   * ended key; that may have been an earlier commit of this leader that got no answer.
    */
-  private reconcile(batch: Ending[]): void {
+  private applyEndsByOthers(batch: JobEndCommit[]): void {
     for (const { job } of batch) {
       this.state.getValue(endedKey(job.id), readEnded, PRIORITY.leader, (got) => {
-        if (got.kind === 'found') this.ended(job, endOf(got));
+        if (got.kind === 'found') this.applyEnd(job, endOf(got));
       });
     }
   }
 
-  /** A job whose tasks are all done, or one that needs a cancelled job and never started. */
-  private ending(job: LiveJob): Ending {
+  /** The end of a job whose tasks are all done, or which depends on a cancelled job. */
+  private commitFor(job: LiveJob): JobEndCommit {
     const { maxValueBytes } = this.runtime.settings.state;
     const state = job.predecessorCancelled ? 'cancelled' : 'done';
     const value = endedValue(state, job.accepted, this.runtime.wallClock, maxValueBytes);
--- a/packages/controller/src/term/job-watch.ts
+++ b/packages/controller/src/term/job-watch.ts
@@ -1,4 +1,4 @@
-/** Submissions and cancellations on all nodes, and how fresh the knowledge of them is. */
+/** Follows submissions and cancellations on all nodes, and knows how fresh that knowledge is. */
 import type { Instant, StateEvent, StateItem } from '@tealdock/wire';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
@@ -6,84 +6,99 @@
 import type { StateStore } from '../state/state-store.js';
 import { WriteShare } from '../state/write-share.js';
 import type { LiveJobs } from './live-jobs.js';
-import type { TermState } from './term-state.js';
+import type { TermStatus } from './term-view.js';
 
-const RETRY = 400;
-/** Short, since the send of an answered watch is how far this term surely knows what was cancelled. */
-const WATCH_HOLD = 1000;
+/** Pause after a call to the state service that failed. */
+const RETRY_DELAY_MS = 400;
+/** Short, since cancellations are known only up to the sending of an answered watch request. */
+const WATCH_TIMEOUT_MS = 1000;
 
 /**
- * Watches the keys of live jobs. Answers that renew leases rest on how fresh this is
+ * Watches the keys of live jobs. Answers that renew leases depend on how fresh this knowledge is
  * (docs/safety.md, Freshness of cancellations).
  */
 export class JobWatch {
-  /** Every cancellation committed before this is known here. */
-  cancellationsKnownUntil: Instant = -Infinity;
+  private knownUntil: Instant = -Infinity;
   private readonly writeShare: WriteShare;
 
   constructor(
     private readonly runtime: Runtime,
     private readonly state: StateStore,
-    private readonly term: TermState,
+    private readonly term: TermStatus,
     private readonly liveJobs: LiveJobs,
   ) {
     this.writeShare = new WriteShare(runtime, () => !term.closed);
   }
 
+  /** Every cancellation committed before this is known here; -Infinity before the first read. */
+  get cancellationsKnownUntil(): Instant {
+    return this.knownUntil;
+  }
+
+  /** Starts to adjust the leader's share of the writes. */
   start(): void {
     this.writeShare.start();
   }
 
-  /** Follows the changes after this revision, from now on. */
-  follow(revision: number): void {
+  /** All live jobs were read by a request that was sent at this time. */
+  recordRead(requestedAt: Instant): void {
+    this.knownUntil = requestedAt;
+  }
+
+  /** Watches for the changes after this revision until the term closes. */
+  watchFrom(revision: number): void {
     if (this.term.closed) return;
-    const asked = this.runtime.now;
-    this.state.watch(LIVE_PREFIX, revision, WATCH_HOLD, (watched) => {
+    const requestedAt = this.runtime.now;
+    this.state.watch(LIVE_PREFIX, revision, WATCH_TIMEOUT_MS, (watched) => {
       if (this.term.closed) return;
-      if (watched.kind === 'failed') return this.runtime.after(RETRY, () => this.follow(revision));
+      if (watched.kind === 'failed')
+        return this.runtime.after(RETRY_DELAY_MS, () => this.watchFrom(revision));
       if (watched.kind === 'too_old') return this.reread();
-      this.cancellationsKnownUntil = asked;
-      this.noteRead(watched.revision, watched.events.length);
-      for (const event of watched.events) this.jobEvent(event);
-      this.follow(watched.revision);
+      this.recordRead(requestedAt);
+      this.logChanges(watched.revision, watched.events.length);
+      for (const event of watched.events) this.applyEvent(event);
+      this.watchFrom(watched.revision);
     });
   }
 
-  /** The watch fell too far behind: compare with everything that is live now. */
+  /** The watch fell too far behind: compares the live jobs with all that are stored now. */
   private reread(): void {
     if (this.term.closed) return;
-    const asked = this.runtime.now;
+    const requestedAt = this.runtime.now;
     this.state.readAll(LIVE_PREFIX, PRIORITY.leader, (live) => {
       if (this.term.closed) return;
-      if (!live) return this.runtime.after(RETRY, () => this.reread());
-      this.cancellationsKnownUntil = asked;
-      const specs = new Map<string, StateItem>();
-      for (const item of live.items) {
-        const at = splitLiveKey(item.key);
-        if (at?.rest === 'spec') specs.set(at.job, item);
-      }
-      for (const id of [...this.term.jobs.keys()]) if (!specs.has(id)) this.liveJobs.endJob(id);
-      for (const [id, { value, version }] of specs) this.liveJobs.addJob(id, value, version);
-      this.follow(live.revision);
+      if (!live) return this.runtime.after(RETRY_DELAY_MS, () => this.reread());
+      this.recordRead(requestedAt);
+      this.replaceLiveJobs(live.items);
+      this.watchFrom(live.revision);
     });
   }
 
-  /** Shows in the log what was known of jobs, and since when. */
-  private noteRead(revision: number, changes: number): void {
-    const ageMs = Math.round(this.runtime.now - this.cancellationsKnownUntil);
+  private replaceLiveJobs(items: StateItem[]): void {
+    const specs = new Map<string, StateItem>();
+    for (const item of items) {
+      const key = splitLiveKey(item.key);
+      if (key?.rest === 'spec') specs.set(key.job, item);
+    }
+    for (const id of [...this.liveJobs.jobs.keys()]) if (!specs.has(id)) this.liveJobs.endJob(id);
+    for (const [id, { value, version }] of specs) this.liveJobs.addJob(id, value, version);
+  }
+
+  private logChanges(revision: number, changes: number): void {
+    const ageMs = Math.round(this.runtime.now - this.knownUntil);
     this.runtime.stats.record('evidence.watch_age_ms', ageMs);
     if (changes > 0)
       this.runtime.env.log('debug', { revision, changes, ageMs }, 'job changes received');
   }
 
-  private jobEvent(event: StateEvent): void {
-    const at = splitLiveKey(event.key);
-    if (at?.rest !== 'spec') return;
-    const known = this.term.jobs.get(at.job);
+  private applyEvent(event: StateEvent): void {
+    const key = splitLiveKey(event.key);
+    if (key?.rest !== 'spec') return;
+    const job = this.liveJobs.jobs.get(key.job);
     // A job that this leader ends is removed by its own commit.
-    const byOthers = !event.removed || (known && !known.complete && !known.predecessorCancelled);
+    const byOthers = !event.removed || (job && !job.complete && !job.predecessorCancelled);
     if (byOthers) this.writeShare.note(event);
-    if (event.removed) this.liveJobs.endJob(at.job);
-    else this.liveJobs.addJob(at.job, event.value, event.version);
+    if (event.removed) this.liveJobs.endJob(key.job);
+    else this.liveJobs.addJob(key.job, event.value, event.version);
   }
 }
--- a/packages/controller/src/term/live-jobs.ts
+++ b/packages/controller/src/term/live-jobs.ts
@@ -1,56 +1,90 @@
-/** The live jobs of a term, what they wait for and what of them is stored as done. */
-import type { Leadership } from '../leadership/leadership.js';
+/** The live jobs of a term, their dependencies, and the progress of them that is stored. */
+import type { StateItem } from '@tealdock/wire';
 import { DependencyGraph, type JobEnd } from '../jobs/dependency-graph.js';
 import { LiveJob } from '../jobs/live-job.js';
-import type { Binding } from '../jobs/binding.js';
+import type { Leadership } from '../leadership/leadership.js';
 import { BoundedSet } from '../runtime/bounded.js';
 import type { Runtime } from '../runtime/runtime.js';
-import { PROGRESS_PREFIX, splitProgressEntry } from '../state/keys.js';
+import { PROGRESS_PREFIX, progressEntry, splitProgressEntry } from '../state/keys.js';
 import { readLive } from '../state/stored-values.js';
 import { ShardedTable } from '../state/sharded-table.js';
 import type { StateStore } from '../state/state-store.js';
-import type { Bindings } from './bindings.js';
-import type { TermState } from './term-state.js';
+import type { RunTimeRatioView } from './run-time-ratios.js';
+import type { TermStatus } from './term-view.js';
 
 /** Ended jobs that are remembered. */
-const MAX_ENDED = 5000;
+const MAX_ENDED_JOB_COUNT = 5000;
+
+/** What live jobs depend on, and whom they inform. */
+export interface LiveJobsOptions {
+  term: TermStatus;
+  runTimeRatios: RunTimeRatioView;
+  /** Called with each job that is no longer live, before the jobs that depend on it. */
+  onEnded: (job: LiveJob) => void;
+}
 
-/** Takes jobs in as their keys appear, and out as they end on any node. */
+/**
+ * Owner of the term's live jobs: they are added as their keys appear, and removed as they end on
+ * any node.
+ */
 export class LiveJobs {
   readonly graph: DependencyGraph;
-  readonly progress: ShardedTable<string>;
+  private readonly byId = new Map<string, LiveJob>();
+  private readonly progress: ShardedTable<string>;
   /** Jobs that have ended. The event of their submission may still be on its way. */
-  private readonly endedJobs = new BoundedSet<string>(MAX_ENDED);
+  private readonly endedJobs = new BoundedSet<string>(MAX_ENDED_JOB_COUNT);
 
   constructor(
     private readonly runtime: Runtime,
     state: StateStore,
     leadership: Leadership,
-    private readonly term: TermState,
-    private readonly bindings: Bindings,
+    private readonly options: LiveJobsOptions,
   ) {
-    this.graph = new DependencyGraph(runtime, state, term);
+    const { term, runTimeRatios } = options;
+    this.graph = new DependencyGraph(runtime, state, {
+      jobs: this.byId,
+      runTimeRatios,
+      get closed() {
+        return term.closed;
+      },
+    });
     this.progress = new ShardedTable(runtime, state, leadership, PROGRESS_PREFIX, {
       gather: 0,
       lazy: true,
-      stored: (entries) => this.progressStored(entries),
+      stored: (entries) => this.applyStoredProgress(entries),
     });
   }
 
-  /** Its end was read: it is over for good. */
+  /** By identifier, in the order in which they became known. */
+  get jobs(): ReadonlyMap<string, LiveJob> {
+    return this.byId;
+  }
+
+  /** Stops writing progress. */
+  close(): void {
+    this.progress.close();
+  }
+
+  /** The ended key of the job was read: it will never be live again. */
   recordEnded(id: string): void {
     this.endedJobs.add(id);
   }
 
+  /** True if the job is known to have ended, which is final; false also if that is unknown. */
+  hasEnded(id: string): boolean {
+    return this.endedJobs.has(id);
+  }
+
+  /** Adds a job as stored under its live key; no effect if it is known already or has ended. */
   addJob(id: string, stored: unknown, version: number): void {
-    if (this.term.jobs.has(id) || this.endedJobs.has(id)) return;
+    if (this.byId.has(id) || this.endedJobs.has(id)) return;
     const value = readLive(stored);
     if (!value) return this.runtime.env.log('error', { job: id }, 'stored job unreadable');
-    const age = Math.max(0, this.runtime.wallClock.getTime() - value.submitted);
-    const job = new LiveJob(value.spec, version, this.runtime.now - age);
-    this.term.jobs.set(id, job);
+    const ageMs = Math.max(0, this.runtime.wallClock.getTime() - value.submitted);
+    const job = new LiveJob(value.spec, version, this.runtime.now - ageMs);
+    this.byId.set(id, job);
     this.graph.add(job);
-    if (this.term.stateLoaded) this.graph.readEnds(job);
+    if (this.options.term.stateLoaded) this.graph.readEnds(job);
     const { jobClass, taskCount, image, imageGb } = value.spec;
     this.runtime.env.log(
       'debug',
@@ -59,39 +93,50 @@
     );
   }
 
-  /** The node that committed a cancellation says so, sooner than the watch or without it. */
+  /** A node reports a cancellation that it has committed; the watch may show it later or never. */
   cancellationReceived(id: string): void {
-    const live = this.term.jobs.has(id);
+    const live = this.byId.has(id);
     this.runtime.env.log('debug', { job: id, live }, 'cancellation received');
     this.endedJobs.add(id);
     this.endJob(id);
   }
 
-  /** A job that is no longer live: by its own end, or cancelled on any node. */
+  /**
+   * Removes a job that is no longer live. Without `end` the graph reads how it ended, where other
+   * jobs depend on it. No effect if the job is not live here.
+   */
   endJob(id: string, end: JobEnd | null = null): void {
-    const job = this.term.jobs.get(id);
+    const job = this.byId.get(id);
     if (!job) return;
-    this.term.jobs.delete(id);
+    this.byId.delete(id);
     this.endedJobs.add(id);
     this.runtime.env.log('info', { job: id, done: job.doneCount }, 'job ended');
-    for (const binding of job.bindings.values()) {
-      this.bindings.discard(binding, 'job ended');
-      this.bindings.setTerminationDeadline(binding, this.runtime.now);
-    }
+    this.options.onEnded(job);
     this.graph.ended(job, end);
   }
 
-  /** Its job has ended, for good: known from an event, by word, or from a read of its end. */
-  hasEnded(binding: Binding): boolean {
-    return this.endedJobs.has(binding.job);
+  /** Starts from the stored progress that an earlier leader has written. */
+  loadProgress(items: StateItem[]): void {
+    this.applyStoredProgress(this.progress.load(items));
+  }
+
+  /** Queues completed tasks of a job that are not stored yet for writing. */
+  storeProgress(job: LiveJob): void {
+    for (const chunk of job.dirtyChunks())
+      this.progress.set(progressEntry(job.id, chunk), job.chunkBits(chunk));
+  }
+
+  /** Drops the stored progress of a job whose ended key is stored. */
+  deleteProgress(job: LiveJob): void {
+    for (const chunk of job.chunks()) this.progress.delete(progressEntry(job.id, chunk));
   }
 
-  /** What the progress table says is done; entries of jobs that have ended are dropped. */
-  progressStored(entries: [string, string][]): void {
+  /** Entries of jobs that have ended are dropped. */
+  private applyStoredProgress(entries: [string, string][]): void {
     for (const [entry, bits] of entries) {
-      const at = splitProgressEntry(entry);
-      const job = this.term.jobs.get(at.job);
-      if (job) job.applyStoredProgress(at.chunk, bits);
+      const { job: id, chunk } = splitProgressEntry(entry);
+      const job = this.byId.get(id);
+      if (job) job.applyStoredProgress(chunk, bits);
       else this.progress.delete(entry);
     }
   }
--- /dev/null
+++ b/packages/controller/src/term/machine-registry.ts
@@ -0,0 +1,154 @@
+/** The stored registry of machines that may have tasks, and the machines that have left it. */
+import type { Place } from '@tealdock/scheduler';
+import type { StateItem } from '@tealdock/wire';
+import type { Leadership } from '../leadership/leadership.js';
+import { Machine } from '../machines/machine.js';
+import { BoundedSet } from '../runtime/bounded.js';
+import type { Runtime } from '../runtime/runtime.js';
+import { REGISTRY_PREFIX, type RegistryEntry } from '../state/keys.js';
+import { ShardedTable } from '../state/sharded-table.js';
+import type { StateStore } from '../state/state-store.js';
+import type { Bindings } from './bindings.js';
+import type { DirtyMachines } from './dirty-machines.js';
+import type { Fleet } from './fleet.js';
+
+/** Machines that join within this time share a commit. */
+const JOIN_BATCH_DELAY_MS = 150;
+/** Terminated machines that are remembered. */
+const MAX_TERMINATED_COUNT = 5000;
+const MS_PER_SECOND = 1000;
+
+/** An image that a machine is expected to have in its cache. */
+export interface CachedImage {
+  image: string;
+  gb: number;
+}
+
+/** The parts of a term that the registry changes. */
+export interface RegistryTargets {
+  readonly fleet: Fleet;
+  readonly bindings: Bindings;
+  readonly dirtyMachines: DirtyMachines;
+}
+
+/**
+ * A machine is stored in the registry before its first start, so that a later leader waits for
+ * each machine that may have tasks (docs/safety.md, Rebuild).
+ */
+export class MachineRegistry {
+  private readonly table: ShardedTable<RegistryEntry>;
+  private readonly terminated = new BoundedSet<string>(MAX_TERMINATED_COUNT);
+  private readonly hintedImages = new Map<string, CachedImage[]>();
+
+  constructor(
+    private readonly runtime: Runtime,
+    state: StateStore,
+    leadership: Leadership,
+    private readonly targets: RegistryTargets,
+  ) {
+    this.table = new ShardedTable(runtime, state, leadership, REGISTRY_PREFIX, {
+      gather: JOIN_BATCH_DELAY_MS,
+      lazy: false,
+      stored: (entries) => this.markRegistered(entries),
+    });
+  }
+
+  /** Stops writing the registry. */
+  close(): void {
+    this.table.close();
+  }
+
+  /** Adds the machines that an earlier leader has stored to the fleet. */
+  load(items: StateItem[]): void {
+    for (const [id, entry] of this.table.load(items)) this.loadMachine(id, entry);
+  }
+
+  /** The last leader knew of these images on a machine; used when the machine is first seen. */
+  hintImages(machineId: string, images: CachedImage[]): void {
+    this.hintedImages.set(machineId, images);
+  }
+
+  /** Returns the machine; adds it if its heartbeat is the first that this term gets of it. */
+  getOrAdd(id: string, place: Place): Machine {
+    let machine = this.targets.fleet.get(id);
+    if (!machine) {
+      machine = this.newMachine(id, place);
+      // It is not in the registry, so no term has ever sent a start to it.
+      machine.reconciled = true;
+      this.targets.fleet.add(machine);
+    }
+    machine.firstSeenAt = Math.min(machine.firstSeenAt, this.runtime.now);
+    return machine;
+  }
+
+  /** Stores the machine unless that is done or under way. */
+  registerIfNew(machine: Machine): void {
+    if (!machine.registered && this.table.get(machine.id) === undefined) this.store(machine);
+  }
+
+  /** The machine gets no more work, in this term and, as that is stored, in later ones. */
+  markReturning(machine: Machine): void {
+    if (machine.returning) return;
+    machine.returning = true;
+    this.targets.bindings.releaseUndispatched(machine);
+    this.store(machine);
+  }
+
+  /** The cloud has confirmed with status 200 that the machine is gone, with all tasks on it. */
+  recordTerminated(id: string): void {
+    const { fleet, bindings } = this.targets;
+    const machine = fleet.get(id);
+    this.terminated.add(id);
+    if (!machine) return;
+    bindings.releaseUndispatched(machine);
+    bindings.endDispatched(machine, 'returned to the cloud');
+    fleet.remove(id);
+    this.table.remove(id);
+  }
+
+  /** True for a machine that this term has returned to the cloud. */
+  isTerminated(id: string): boolean {
+    return this.terminated.has(id);
+  }
+
+  private newMachine(id: string, place: Place): Machine {
+    const machine = new Machine(id, place.type, place.zone, place.spot);
+    for (const { image, gb } of this.hintedImages.get(id) ?? []) machine.recordImage(image, gb);
+    return machine;
+  }
+
+  private loadMachine(id: string, entry: RegistryEntry): void {
+    const [type, zone, spot, returning, firstSeenSeconds] = entry;
+    const place = { type, zone, spot: spot === 1 };
+    const machine = this.targets.fleet.get(id) ?? this.newMachine(id, place);
+    machine.registered = true;
+    machine.returning = machine.returnCommitted = returning === 1;
+    const ageMs = this.runtime.wallClock.getTime() - firstSeenSeconds * MS_PER_SECOND;
+    machine.firstSeenAt = this.runtime.now - Math.max(0, ageMs);
+    machine.reconciled = machine.lastHeartbeatAt !== null;
+    this.targets.fleet.add(machine);
+  }
+
+  private store(machine: Machine): void {
+    const ageMs = this.runtime.now - Math.min(machine.firstSeenAt, this.runtime.now);
+    const firstSeenAtMs = this.runtime.wallClock.getTime() - ageMs;
+    this.table.set(machine.id, [
+      machine.type,
+      machine.zone,
+      machine.spot ? 1 : 0,
+      machine.returning ? 1 : 0,
+      Math.round(firstSeenAtMs / MS_PER_SECOND),
+    ]);
+  }
+
+  private markRegistered(entries: [string, RegistryEntry][]): void {
+    const { fleet, bindings, dirtyMachines } = this.targets;
+    for (const [id, [, , , returning]] of entries) {
+      const machine = fleet.get(id);
+      if (!machine) continue;
+      machine.registered = true;
+      if (returning === 1) machine.returnCommitted = true;
+      if (bindings.hasUndispatched(id)) dirtyMachines.add(id);
+    }
+  }
+}
--- a/packages/controller/src/term/rebuild.ts
+++ b/packages/controller/src/term/rebuild.ts
@@ -2,95 +2,91 @@
 import type { StateItem } from '@tealdock/wire';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
-import {
-  LIVE_PREFIX,
-  PROGRESS_PREFIX,
-  REGISTRY_PREFIX,
-  splitLiveKey,
-  type RegistryEntry,
-} from '../state/keys.js';
+import { LIVE_PREFIX, PROGRESS_PREFIX, REGISTRY_PREFIX, splitLiveKey } from '../state/keys.js';
 import type { StateStore } from '../state/state-store.js';
 import type { JobWatch } from './job-watch.js';
 import type { LiveJobs } from './live-jobs.js';
-import type { Membership } from './membership.js';
-import type { TermState } from './term-state.js';
+import type { MachineRegistry } from './machine-registry.js';
+import type { StrayKeys } from './stray-keys.js';
+import type { TermView } from './term-view.js';
 
-const RETRY = 400;
+/** Pause after a read that failed; all is read again then. */
+const RETRY_DELAY_MS = 400;
+
+/** The parts of a term that are filled from the stored state. */
+export interface RebuildTargets {
+  readonly machineRegistry: MachineRegistry;
+  readonly liveJobs: LiveJobs;
+  readonly strayKeys: StrayKeys;
+  readonly watch: JobWatch;
+}
+
+/** The two sharded tables, as stored. */
+interface StoredTables {
+  registry: StateItem[];
+  progress: StateItem[];
+}
 
 /** Reads machines, live jobs and progress once, as a term begins (docs/safety.md, Rebuild). */
 export class Rebuild {
   constructor(
     private readonly runtime: Runtime,
     private readonly state: StateStore,
-    private readonly term: TermState,
-    private readonly membership: Membership,
-    private readonly liveJobs: LiveJobs,
-    private readonly watch: JobWatch,
+    private readonly term: TermView,
+    private readonly targets: RebuildTargets,
+    /** Called once, when all that is stored has been taken over. */
+    private readonly onLoaded: () => void,
   ) {}
 
+  /** Reads until it succeeds or the term closes, then starts the watch on live jobs. */
   load(): void {
     if (this.term.closed) return;
-    const retry = () => this.runtime.after(RETRY, () => this.load());
-    this.readTables((registry, progress) => {
-      if (!registry || !progress) return retry();
-      const asked = this.runtime.now;
+    const retry = () => this.runtime.after(RETRY_DELAY_MS, () => this.load());
+    this.readTables((tables) => {
+      if (!tables) return retry();
+      const requestedAt = this.runtime.now;
       this.state.readAll(LIVE_PREFIX, PRIORITY.leader, (live) => {
         if (!live) return retry();
         if (this.term.closed) return;
-        this.watch.cancellationsKnownUntil = asked;
-        for (const [id, entry] of this.membership.registry.load(registry))
-          this.loadMachine(id, entry);
-        this.loadJobs(live.items);
-        for (const job of this.term.jobs.values()) this.liveJobs.graph.readEnds(job);
-        this.liveJobs.progressStored(this.liveJobs.progress.load(progress));
-        this.finishLoad(live.revision);
+        this.targets.watch.recordRead(requestedAt);
+        this.apply(tables, live.items);
+        this.onLoaded();
+        this.logLoaded();
+        this.targets.watch.watchFrom(live.revision);
       });
     });
   }
 
-  private readTables(
-    done: (registry: StateItem[] | null, progress: StateItem[] | null) => void,
-  ): void {
+  /** Calls back with null if one of the reads fails. */
+  private readTables(onRead: (tables: StoredTables | null) => void): void {
     this.state.readAll(REGISTRY_PREFIX, PRIORITY.leader, (registry) => {
-      if (!registry) return done(null, null);
+      if (!registry) return onRead(null);
       this.state.readAll(PROGRESS_PREFIX, PRIORITY.leader, (progress) =>
-        done(registry.items, progress?.items ?? null),
+        onRead(progress && { registry: registry.items, progress: progress.items }),
       );
     });
   }
 
-  private finishLoad(revision: number): void {
-    this.term.stateLoaded = true;
-    this.runtime.stats.record('takeover.load_ms', this.runtime.now - this.term.electedAt);
-    this.runtime.env.log(
-      'info',
-      {
-        fencingToken: this.term.fencingToken,
-        jobs: this.term.jobs.size,
-        machines: this.term.machines.size,
-      },
-      'stored state loaded',
-    );
-    this.watch.follow(revision);
+  private apply({ registry, progress }: StoredTables, live: StateItem[]): void {
+    const { machineRegistry, liveJobs } = this.targets;
+    machineRegistry.load(registry);
+    this.addJobs(live);
+    for (const job of liveJobs.jobs.values()) liveJobs.graph.readEnds(job);
+    liveJobs.loadProgress(progress);
   }
 
-  private loadMachine(id: string, [type, zone, spot, returning, since]: RegistryEntry): void {
-    const machine =
-      this.term.machines.get(id) ??
-      this.membership.newMachine(id, { type, zone, spot: spot === 1 });
-    machine.registered = true;
-    machine.returning = machine.returnCommitted = returning === 1;
-    machine.firstSeenAt =
-      this.runtime.now - Math.max(0, this.runtime.wallClock.getTime() - since * 1000);
-    machine.reconciled = machine.lastHeartbeatAt !== null;
-    this.term.machines.set(id, machine);
-  }
-
-  private loadJobs(items: StateItem[]): void {
+  private addJobs(items: StateItem[]): void {
     for (const item of items) {
-      const at = splitLiveKey(item.key);
-      if (at?.rest === 'spec') this.liveJobs.addJob(at.job, item.value, item.version);
-      else this.term.strayKeys.push(item.key);
+      const key = splitLiveKey(item.key);
+      if (key?.rest === 'spec') this.targets.liveJobs.addJob(key.job, item.value, item.version);
+      else this.targets.strayKeys.add(item.key);
     }
   }
+
+  private logLoaded(): void {
+    const { fencingToken, jobs, machines, electedAt } = this.term;
+    this.runtime.stats.record('takeover.load_ms', this.runtime.now - electedAt);
+    const fields = { fencingToken, jobs: jobs.size, machines: machines.size };
+    this.runtime.env.log('info', fields, 'stored state loaded');
+  }
 }
--- a/packages/controller/src/term/successor-hints.ts
+++ b/packages/controller/src/term/successor-hints.ts
@@ -1,33 +1,33 @@
-/** What a leader tells its successor. */
+/** What a leader passes on to its successor beside the stored state; nothing depends on it. */
 import type { Hints } from '@tealdock/wire';
 import type { Term } from './term.js';
 
-/** What this term has learnt that a successor can't read anywhere. */
-export function hintsOf(term: Term): Hints {
-  const images = new Map<string, { at: number; gb: number }>();
+/** Collects what this term has learnt and the state service does not hold. */
+export function collectHints(term: Term): Hints {
+  const images = new Map<string, { index: number; gb: number }>();
   const machines = [...term.machines.values()].map((machine) => {
     const held: number[] = [];
     for (const [image, gb] of machine.images) {
-      const known = images.get(image) ?? { at: images.size, gb };
-      images.set(image, known);
-      held.push(known.at);
+      const entry = images.get(image) ?? { index: images.size, gb };
+      images.set(image, entry);
+      held.push(entry.index);
     }
     return { id: machine.id, held };
   });
   return {
-    ratios: [...term.runTimeRatios].map(([jobClass, ratio]) => ({ jobClass, ratio })),
+    ratios: term.runTimeRatios.entries().map(([jobClass, ratio]) => ({ jobClass, ratio })),
     images: [...images].map(([image, { gb }]) => ({ image, gb })),
-    machines: machines.filter((m) => m.held.length > 0),
+    machines: machines.filter(({ held }) => held.length > 0),
     fetchSharing: term.fetchSharing.likely,
   };
 }
 
 /** Starts a term from what the last leader had learnt. */
-export function useHints(hints: Hints, term: Term): void {
-  for (const { jobClass, ratio } of hints.ratios) term.runTimeRatios.set(jobClass, ratio);
+export function applyHints(hints: Hints, term: Term): void {
+  for (const { jobClass, ratio } of hints.ratios) term.runTimeRatios.restore(jobClass, ratio);
   term.fetchSharing.likely = hints.fetchSharing;
   for (const { id, held } of hints.machines) {
-    const images = held.map((at) => hints.images[at]).filter((i) => i !== undefined);
-    term.hintedImages.set(id, images);
+    const images = held.map((index) => hints.images[index]).filter((i) => i !== undefined);
+    term.machineRegistry.hintImages(id, images);
   }
 }
--- a/packages/controller/src/term/term.ts
+++ b/packages/controller/src/term/term.ts
@@ -3,91 +3,131 @@
 import { Authority, type TermKnowledge } from '../authority/authority.js';
 import type { Granted } from '../authority/decision.js';
 import { RenewalLog } from '../authority/renewal-log.js';
-import { BindingInvariants } from './binding-invariants.js';
 import type { LiveJob } from '../jobs/live-job.js';
 import type { Leadership } from '../leadership/leadership.js';
+import { FetchSharing } from '../machines/image-fetches.js';
 import { LeaseExpiry } from '../machines/lease-expiry.js';
 import type { Machine } from '../machines/machine.js';
+import { UsageLedger } from '../machines/usage-ledger.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { StateStore } from '../state/state-store.js';
+import { BindingInvariants } from './binding-invariants.js';
 import { Bindings } from './bindings.js';
+import { DirtyMachines } from './dirty-machines.js';
 import { EndedJobLookup } from './ended-job-lookup.js';
+import { Fleet } from './fleet.js';
+import { HeartbeatProcessor } from './heartbeat-processor.js';
 import { JobWatch } from './job-watch.js';
 import { LiveJobs } from './live-jobs.js';
-import { Membership } from './membership.js';
-import { WorkerCommands } from './worker-commands.js';
+import { MachineRegistry } from './machine-registry.js';
 import { Rebuild } from './rebuild.js';
-import { HeartbeatProcessor } from './heartbeat-processor.js';
-import { TermState } from './term-state.js';
+import { RunTimeRatios } from './run-time-ratios.js';
+import { StrayKeys } from './stray-keys.js';
+import type { TermView } from './term-view.js';
+import { WorkerCommands } from './worker-commands.js';
 
-const SWEEP_EVERY = 1000;
-/** A booking that the machine does not come for is given to another one after so many reports. */
-const BOOKING_PATIENCE = 1.8;
+const SWEEP_INTERVAL_MS = 1000;
+/** Tasks are taken back from a machine without heartbeats for this many intervals. */
+const UNDISPATCHED_TIMEOUT_FACTOR = 1.8;
 
 /**
- * What one term of leadership knows: live jobs, machines and which task is bound
- * to which machine. It is rebuilt from the state service and from reports that
- * carry this term's token; a binding ends only on proof (docs/safety.md).
+ * The leader's knowledge in one term of leadership: live jobs, machines, and which task is bound
+ * to which machine. It is rebuilt from the state service and from heartbeats that carry this
+ * term's fencing token; a binding ends only on proof (docs/safety.md).
+ *
+ * Each part owns its state, and the other parts see a read-only view of it: live jobs are added
+ * and removed by `LiveJobs`, machines by `Fleet`, sums over bindings change through `Bindings`.
  */
-export class Term extends TermState implements TermKnowledge {
-  lastHeartbeatAt: Instant;
-  readonly bindings: Bindings;
+export class Term implements TermView, TermKnowledge {
+  readonly electedAt: Instant;
+  readonly ledger = new UsageLedger();
+  readonly fetchSharing = new FetchSharing();
+  readonly runTimeRatios = new RunTimeRatios();
+  readonly dirtyMachines = new DirtyMachines();
+  readonly strayKeys: StrayKeys;
   readonly liveJobs: LiveJobs;
-  readonly membership: Membership;
-  readonly watch: JobWatch;
-  private readonly authority: Authority;
+  readonly bindings: Bindings;
+  readonly machineRegistry: MachineRegistry;
   readonly workerCommands: WorkerCommands;
   readonly heartbeats: HeartbeatProcessor;
   readonly leaseExpiry: LeaseExpiry;
+  private readonly fleet = new Fleet();
+  private readonly watch: JobWatch;
   private readonly lookup: EndedJobLookup;
-  private readonly rebuild: Rebuild;
+  private readonly authority: Authority;
   private readonly renewalLog: RenewalLog;
-  private wasReady = false;
+  private readonly rebuild: Rebuild;
+  private isStateLoaded = false;
+  private isClosed = false;
+  private wasReconciled = false;
+  private newestHeartbeatAt: Instant;
 
   constructor(
     private readonly runtime: Runtime,
     state: StateStore,
     private readonly leadership: Leadership,
-    fencingToken: number,
+    readonly fencingToken: number,
   ) {
-    super(runtime.now, fencingToken);
-    this.lastHeartbeatAt = runtime.now;
+    this.electedAt = this.newestHeartbeatAt = runtime.now;
+    this.strayKeys = new StrayKeys(state, leadership);
+    this.liveJobs = new LiveJobs(runtime, state, leadership, {
+      term: this,
+      runTimeRatios: this.runTimeRatios,
+      onEnded: (job) => this.discardBindingsOf(job),
+    });
     this.bindings = new Bindings(runtime, leadership, this);
-    this.liveJobs = new LiveJobs(runtime, state, leadership, this, this.bindings);
-    this.membership = new Membership(runtime, state, leadership, this, this.bindings);
+    this.machineRegistry = new MachineRegistry(runtime, state, leadership, {
+      fleet: this.fleet,
+      bindings: this.bindings,
+      dirtyMachines: this.dirtyMachines,
+    });
     this.watch = new JobWatch(runtime, state, this, this.liveJobs);
     this.lookup = new EndedJobLookup(runtime, state, this, this.liveJobs, this.bindings);
     this.authority = new Authority(runtime, leadership, this);
     this.renewalLog = new RenewalLog(runtime);
-    this.workerCommands = new WorkerCommands(
-      runtime,
-      this,
-      this.authority,
-      new BindingInvariants(runtime, this, this.authority),
-    );
-    this.heartbeats = new HeartbeatProcessor(
-      runtime,
-      this,
-      this.bindings,
-      this.lookup,
-      this.workerCommands,
-      this.membership,
-    );
-    this.rebuild = new Rebuild(runtime, state, this, this.membership, this.liveJobs, this.watch);
+    const invariants = new BindingInvariants(runtime, this, this.authority);
+    this.workerCommands = new WorkerCommands(runtime, this, this.authority, invariants);
+    this.heartbeats = this.newHeartbeatProcessor();
+    this.rebuild = this.newRebuild(state);
     this.leaseExpiry = new LeaseExpiry(runtime, state, this, (expired) => this.endExpired(expired));
   }
 
-  /** All machines of the registry are accounted for. */
+  /** By identifier, in the order in which they became known. */
+  get jobs(): ReadonlyMap<string, LiveJob> {
+    return this.liveJobs.jobs;
+  }
+
+  /** By identifier, in the order in which they became known. */
+  get machines(): ReadonlyMap<string, Machine> {
+    return this.fleet.machines;
+  }
+
+  /** True once the stored state has been read. */
+  get stateLoaded(): boolean {
+    return this.isStateLoaded;
+  }
+
+  /** True once leadership is lost. */
+  get closed(): boolean {
+    return this.isClosed;
+  }
+
+  /** When the last heartbeat of any worker arrived, counted or not; at first, the election. */
+  get lastHeartbeatAt(): Instant {
+    return this.newestHeartbeatAt;
+  }
+
+  /** True once it is known of every registered machine which tasks run there. */
   get allMachinesReconciled(): boolean {
     return this.observedJobsLoaded && this.unreconciledMachines().length === 0;
   }
 
-  /** Everything that reports have shown so far is known by size and team. */
+  /** True while the resources and team of every task that a heartbeat has shown are known. */
   get observedJobsLoaded(): boolean {
     return this.lookup.isComplete;
   }
 
-  /** Every cancellation committed before this is known. */
+  /** Every cancellation committed before this is known; -Infinity before the first read. */
   get cancellationsKnownUntil(): Instant {
     return this.watch.cancellationsKnownUntil;
   }
@@ -99,73 +139,113 @@
     return decision.granted ? decision : null;
   }
 
+  /** Machines of which it is not known yet whether tasks of older terms run there. */
+  unreconciledMachines(): Machine[] {
+    return this.fleet.unreconciledMachines();
+  }
+
+  /** False for a job that has ended, and for one that this term has not read yet. */
   isLive(job: string): boolean {
     return this.jobs.has(job);
   }
 
   /**
-   * Placing waits until all machines are accounted for. A job that was committed, or of which a
-   * predecessor ended, after this term's token is an exception: no older term can have
-   * started any of it (docs/safety.md, Rebuild).
+   * Placement waits until all machines are reconciled. A job that was committed, or of which a
+   * predecessor ended, after this term's fencing token is an exception: no older term can have
+   * started any of its tasks (docs/safety.md, Rebuild).
    */
-  mayPlace(job: LiveJob, ready: boolean): boolean {
-    return ready || (this.observedJobsLoaded && job.startableSinceRevision > this.fencingToken);
+  mayPlace(job: LiveJob, allMachinesReconciled: boolean): boolean {
+    return (
+      allMachinesReconciled ||
+      (this.observedJobsLoaded && job.startableSinceRevision > this.fencingToken)
+    );
   }
 
+  /** Reads the stored state and begins the periodic checks; to be called once. */
   start(): void {
     this.rebuild.load();
     this.watch.start();
-    this.runtime.every(SWEEP_EVERY, () => {
+    this.runtime.every(SWEEP_INTERVAL_MS, () => {
       if (!this.closed) this.sweep();
       return !this.closed;
     });
   }
 
+  /** Leadership is lost: timers end at their next turn, and answers that come late are dropped. */
   close(): void {
-    this.closed = true;
-    this.membership.registry.close();
-    this.liveJobs.progress.close();
-  }
-
-  /** Notes when all machines are accounted for, which is when all work may be placed. */
-  private noteReady(): void {
-    if (this.wasReady || !this.allMachinesReconciled) return;
-    this.wasReady = true;
-    const took = this.runtime.now - this.electedAt;
-    this.runtime.stats.record('takeover.ready_ms', took);
-    this.runtime.env.log(
-      'info',
-      { fencingToken: this.fencingToken, tookMs: Math.round(took) },
-      'machine registry reconciled',
-    );
+    this.isClosed = true;
+    this.machineRegistry.close();
+    this.liveJobs.close();
+  }
+
+  /** A heartbeat of some worker has arrived, whether or not it may be answered. */
+  recordHeartbeat(): void {
+    this.newestHeartbeatAt = this.runtime.now;
+  }
+
+  private newHeartbeatProcessor(): HeartbeatProcessor {
+    return new HeartbeatProcessor(this.runtime, this, {
+      bindings: this.bindings,
+      lookup: this.lookup,
+      workerCommands: this.workerCommands,
+      machineRegistry: this.machineRegistry,
+      runTimeRatios: this.runTimeRatios,
+      fetchSharing: this.fetchSharing,
+    });
+  }
+
+  private newRebuild(state: StateStore): Rebuild {
+    const { machineRegistry, liveJobs, strayKeys, watch } = this;
+    const targets = { machineRegistry, liveJobs, strayKeys, watch };
+    return new Rebuild(this.runtime, state, this, targets, () => (this.isStateLoaded = true));
+  }
+
+  /** The tasks of an ended job must be gone from their machines within the cancellation limit. */
+  private discardBindingsOf(job: LiveJob): void {
+    for (const binding of job.bindings.values()) {
+      this.bindings.discard(binding, 'job ended');
+      this.bindings.setTerminationDeadline(binding, this.runtime.now);
+    }
   }
 
   private sweep(): void {
-    // While the lease is in doubt nothing is heard, so missing reports mean nothing.
+    // While the lease is in doubt no heartbeat is answered, so missing ones prove nothing.
     if (!this.leadership.validLease()) return;
-    this.noteReady();
+    this.logReconciled();
     this.workerCommands.updateSmallestTask();
     if (this.stateLoaded) this.leaseExpiry.check();
-    for (const machine of this.machines.values()) {
-      machine.accumulateComputeTime(SWEEP_EVERY);
-      const patience = this.runtime.settings.heartbeatInterval * BOOKING_PATIENCE;
-      const late = this.runtime.now - (machine.lastHeartbeatAt ?? this.electedAt) > patience;
-      if (late || machine.returning || machine.preemptionDeadline !== null)
-        this.bindings.releaseUndispatched(machine);
-      const idle = machine.bindings.size === 0;
-      machine.idleSince = idle ? (machine.idleSince ?? this.runtime.now) : null;
-    }
+    for (const machine of this.machines.values()) this.sweepMachine(machine);
+  }
+
+  private sweepMachine(machine: Machine): void {
+    machine.accumulateComputeTime(SWEEP_INTERVAL_MS);
+    const timeoutMs = this.runtime.settings.heartbeatInterval * UNDISPATCHED_TIMEOUT_FACTOR;
+    const silenceMs = this.runtime.now - (machine.lastHeartbeatAt ?? this.electedAt);
+    if (silenceMs > timeoutMs || machine.returning || machine.preemptionDeadline !== null)
+      this.bindings.releaseUndispatched(machine);
+    const isIdle = machine.bindings.size === 0;
+    machine.idleSince = isIdle ? (machine.idleSince ?? this.runtime.now) : null;
+  }
+
+  /** Logs once that all machines are reconciled, so that every job may be placed. */
+  private logReconciled(): void {
+    if (this.wasReconciled || !this.allMachinesReconciled) return;
+    this.wasReconciled = true;
+    const tookMs = this.runtime.now - this.electedAt;
+    this.runtime.stats.record('takeover.ready_ms', tookMs);
+    const fields = { fencingToken: this.fencingToken, tookMs: Math.round(tookMs) };
+    this.runtime.env.log('info', fields, 'machine registry reconciled');
   }
 
-  /** Their leases are surely over: the workers have killed all they had. */
+  /** The leases of these machines are certainly over: their workers have killed all tasks. */
   private endExpired(expired: Machine[]): void {
-    const machines = expired.map((m) => m.id);
+    const machines = expired.map(({ id }) => id);
     this.runtime.env.log('info', { machines }, 'worker leases expired');
     for (const machine of expired) {
       this.bindings.endDispatched(machine, 'lease ran out');
       machine.reconciled = true;
-      // Never enrolled, so without tasks: what a late copy of a report told of.
-      if (!machine.registered && machine.bindings.size === 0) this.machines.delete(machine.id);
+      // Known by a late heartbeat only and never registered, so it had no tasks.
+      if (!machine.registered && machine.bindings.size === 0) this.fleet.remove(machine.id);
     }
   }
 }
--- a/packages/controller/src/term/worker-commands.ts
+++ b/packages/controller/src/term/worker-commands.ts
@@ -13,7 +13,7 @@
 import type { Machine } from '../machines/machine.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { BindingInvariants } from './binding-invariants.js';
-import type { TermState } from './term-state.js';
+import type { TermView } from './term-view.js';
 
 /** Logged reason for stopping a task that this term has no binding for. */
 const JOB_NOT_LIVE_REASON = 'job not live';
@@ -25,7 +25,7 @@
 
   constructor(
     private readonly runtime: Runtime,
-    private readonly term: TermState,
+    private readonly term: TermView,
     private readonly authority: Authority,
     private readonly invariants: BindingInvariants,
   ) {}
