--- a/packages/controller/src/requests/heartbeat-requests.ts
+++ b/packages/controller/src/requests/heartbeat-requests.ts
@@ -71,8 +71,10 @@
     term?.recordHeartbeat();
     const held = this.leader.renewalGrant();
     if (!held || !term) return this.redirect(request, heartbeat);
-    const { counted, answered, commands: orders } = term.heartbeats.process(heartbeat);
-    if (!answered) return this.redirectTo(request.id, null);
+    const outcome = term.heartbeats.process(heartbeat);
+    if (outcome.kind === 'unanswered') return this.redirectTo(request.id, null);
+    const { commands: orders } = outcome;
+    const counted = outcome.kind === 'counted';
     this.runtime.stats.record('evidence.renewal_age_ms', held.evidence.age);
     this.runtime.stats.count(counted ? 'reports.counted' : 'reports.ignored');
     // Only a newer report shows that the one before was given up; a late copy does not.
--- a/packages/controller/src/term/term.ts
+++ b/packages/controller/src/term/term.ts
@@ -23,6 +23,7 @@
 import { Rebuild } from './rebuild.js';
 import { RunTimeRatios } from './run-time-ratios.js';
 import { StrayKeys } from './stray-keys.js';
+import { TaskObserver } from './task-observer.js';
 import type { TermView } from './term-view.js';
 import { WorkerCommands } from './worker-commands.js';
 
@@ -184,14 +185,11 @@
   }
 
   private newHeartbeatProcessor(): HeartbeatProcessor {
-    return new HeartbeatProcessor(this.runtime, this, {
-      bindings: this.bindings,
-      lookup: this.lookup,
-      workerCommands: this.workerCommands,
-      machineRegistry: this.machineRegistry,
-      runTimeRatios: this.runTimeRatios,
-      fetchSharing: this.fetchSharing,
-    });
+    const { bindings, lookup, runTimeRatios, fetchSharing, machineRegistry, workerCommands } = this;
+    const observed = { bindings, lookup, runTimeRatios, fetchSharing };
+    const taskObserver = new TaskObserver(this.runtime, this, observed);
+    const targets = { bindings, machineRegistry, taskObserver, workerCommands };
+    return new HeartbeatProcessor(this.runtime, this, targets);
   }
 
   private newRebuild(state: StateStore): Rebuild {
