--- a/packages/controller/src/term/job-completion.ts
+++ b/packages/controller/src/term/job-completion.ts
@@ -18,7 +18,7 @@
 /** How often progress of jobs that go on is queued: one write holds that of many jobs. */
 const PROGRESS_INTERVAL_MS = 1000;
 /** An end puts the ended key and removes the live one. */
-const WRITES_PER_END_COUNT = 2;
+const END_WRITE_COUNT = 2;
 
 /** What the completion of jobs needs of a term. */
 export interface CompletionTerm extends TermStatus {
@@ -35,9 +35,9 @@
 }
 
 /**
- * Commits completed tasks in batches; only then users see them as done and workers get a forget
- * command. A job whose tasks are all done moves from the live keys to the ended ones in one
- * transaction; the version of its live key decides between that and a cancellation.
+ * Commits completed tasks in batches. Until then a job does not show as done, and no worker is
+ * told to forget such a task. A job whose tasks are all done moves from the live keys to the ended
+ * ones in one transaction; the version of its live key decides between that and a cancellation.
  */
 export class JobCompletion {
   private commitInFlight = false;
@@ -89,7 +89,7 @@
   /** The next ends, as many as one transaction takes. */
   private nextBatch(): JobEndCommit[] {
     const { maxTransactionWrites } = this.runtime.settings.state;
-    const maxEndCount = Math.floor(maxTransactionWrites / WRITES_PER_END_COUNT);
+    const maxEndCount = Math.floor(maxTransactionWrites / END_WRITE_COUNT);
     return this.jobsToEnd()
       .slice(0, maxEndCount)
       .map((job) => this.commitFor(job));
