--- a/packages/controller/src/requests/leader-heartbeats.ts
+++ b/packages/controller/src/requests/leader-heartbeats.ts
@@ -27,14 +27,16 @@
   answer(requestId: number, heartbeat: WorkerHeartbeat): boolean {
     const { term, longPolls } = this.leader;
     // Also while it may not answer: a leader that an outage kept from answering is reachable.
-    if (term) term.lastHeartbeatAt = this.runtime.now;
+    term?.recordHeartbeat();
     const grant = this.leader.renewalGrant();
     if (!grant || !term) return false;
-    const { counted, answered, commands } = term.heartbeats.process(heartbeat);
-    if (!answered) {
+    const outcome = term.heartbeats.process(heartbeat);
+    if (outcome.kind === 'unanswered') {
       replyRedirect(this.runtime, requestId, null);
       return true;
     }
+    const { commands } = outcome;
+    const counted = outcome.kind === 'counted';
     this.runtime.stats.record('evidence.renewal_age_ms', grant.evidence.age);
     this.runtime.stats.count(counted ? 'reports.counted' : 'reports.ignored');
     // Only a newer heartbeat shows that the one before was given up; a late copy does not.
--- a/packages/controller/src/requests/long-polls.ts
+++ b/packages/controller/src/requests/long-polls.ts
@@ -58,7 +58,7 @@
     if (!grant || this.term.closed) {
       return this.runtime.reply(requestId, { status: 503, body: {} });
     }
-    const commands = this.term.workerCommands.commandsFor(machine);
+    const commands = this.term.workerCommands.dispatchCommands(machine);
     const body = renderHeartbeatResponse(grant.fencingToken, commands);
     this.runtime.reply(requestId, { status: 200, body, validUntil: grant.validUntil });
   }
