--- a/packages/controller/src/jobs/dependency-graph.ts
+++ b/packages/controller/src/jobs/dependency-graph.ts
@@ -10,7 +10,7 @@
 interface LiveJobsView {
   readonly jobs: ReadonlyMap<string, LiveJob>;
   /** Ratio of actual to estimated run time by class. */
-  readonly runTimeRatios: ReadonlyMap<string, number>;
+  readonly runTimeRatios: { ratioOf(jobClass: string): number };
   readonly closed: boolean;
 }
 
@@ -95,7 +95,7 @@
       predecessors: predecessorsOf(job.acceptedSpec),
       priority,
       finishBy: job.ownFinishBy,
-      run: estimate * (this.term.runTimeRatios.get(jobClass) ?? 1),
+      run: estimate * this.term.runTimeRatios.ratioOf(jobClass),
     };
   }
 
