--- a/packages/controller/src/autoscaling/autoscaler.ts
+++ b/packages/controller/src/autoscaling/autoscaler.ts
@@ -139,7 +139,7 @@
   }
 
   private latest(job: LiveJob, guaranteed: boolean): Instant {
-    const ratio = this.term.runTimeRatios.get(job.spec.jobClass) ?? 1;
+    const ratio = this.term.runTimeRatios.ratioOf(job.spec.jobClass);
     const { settings } = this.runtime;
     const conditions = { settings, runTimeRatio: ratio, isGuaranteed: guaranteed };
     const latest = latestStart(job, conditions);
--- a/packages/controller/src/placement/drain.ts
+++ b/packages/controller/src/placement/drain.ts
@@ -36,7 +36,7 @@
     if (binding.taskState !== 'running') return false;
     const { now } = this.runtime;
     const elapsed = now - (binding.runningSince ?? now);
-    const ratio = this.term.runTimeRatios.get(job.spec.jobClass) ?? 1;
+    const ratio = this.term.runTimeRatios.ratioOf(job.spec.jobClass);
     return job.spec.estimate * ratio - elapsed < preemptionDeadline - now;
   }
 }
--- a/packages/controller/src/placement/job-urgency.ts
+++ b/packages/controller/src/placement/job-urgency.ts
@@ -90,7 +90,7 @@
 
   private startDeadline(job: LiveJob, isGuaranteed: boolean): Instant {
     const { settings, now } = this.runtime;
-    const runTimeRatio = this.term.runTimeRatios.get(job.spec.jobClass) ?? 1;
+    const runTimeRatio = this.term.runTimeRatios.ratioOf(job.spec.jobClass);
     return nextStartDeadline(job, { settings, runTimeRatio, isGuaranteed }, now);
   }
 }
--- /dev/null
+++ b/packages/controller/src/term/task-observer.ts
@@ -0,0 +1,121 @@
+/** What the tasks in a heartbeat change: bindings, progress, and what is learnt from them. */
+import { splitTaskId, type TaskStatus } from '@tealdock/wire';
+import { bindingKey, type Binding } from '../jobs/binding.js';
+import type { ActiveTaskState } from '../jobs/binding-phase.js';
+import type { LiveJob } from '../jobs/live-job.js';
+import type { FetchSharing } from '../machines/fetch-sharing.js';
+import type { Machine } from '../machines/machine.js';
+import type { Runtime } from '../runtime/runtime.js';
+import type { Bindings } from './bindings.js';
+import type { EndedJobLookup } from './ended-job-lookup.js';
+import { Quarantine } from './quarantine.js';
+import type { RunTimeRatios } from './run-time-ratios.js';
+import type { TermView } from './term-view.js';
+
+/** The parts of a term that observed tasks change. */
+export interface ObservationTargets {
+  readonly bindings: Bindings;
+  readonly lookup: EndedJobLookup;
+  readonly runTimeRatios: RunTimeRatios;
+  readonly fetchSharing: FetchSharing;
+}
+
+/** Brings the bindings of a machine in line with the tasks that its newest heartbeat lists. */
+export class TaskObserver {
+  private readonly quarantine: Quarantine;
+
+  constructor(
+    private readonly runtime: Runtime,
+    private readonly term: TermView,
+    private readonly targets: ObservationTargets,
+  ) {
+    this.quarantine = new Quarantine(runtime);
+  }
+
+  /** Applies a counted heartbeat: what it lists is on the machine, and nothing else is. */
+  observe(machine: Machine, tasks: TaskStatus[]): void {
+    for (const status of tasks) this.observeTask(machine, status);
+    this.endMissing(machine, tasks);
+  }
+
+  private observeTask(machine: Machine, status: TaskStatus): void {
+    const bound = machine.bindings.get(bindingKey(status.task, status.attempt));
+    const { state } = status;
+    if (state === 'exited') return this.observeExit(machine, status, bound);
+    if (bound?.taskState === state) return;
+    const wasRunning = bound !== undefined && bound.runningSince !== null;
+    const binding = bound ?? this.adopt(machine, { ...status, state });
+    this.quarantine.recordObservedTask(machine);
+    bound?.observe(state, this.runtime.now);
+    if (state !== 'fetching') {
+      if (binding.image !== null) this.recordImageFetched(machine, binding.image, binding.imageGb);
+      if (!wasRunning) this.recordRunning(machine, binding);
+    } else if (this.term.jobs.get(binding.job)?.spec.kind === 'array') {
+      machine.recordImageMissing(binding, this.runtime.now);
+    }
+  }
+
+  /** A task found on a machine without a binding of this term. */
+  private adopt(machine: Machine, status: TaskStatus & { state: ActiveTaskState }): Binding {
+    const binding = this.targets.bindings.adopt(machine, status);
+    if (!this.term.jobs.has(binding.job)) this.targets.lookup.lookUp(binding);
+    return binding;
+  }
+
+  private recordRunning(machine: Machine, binding: Binding): void {
+    if (binding.isDispatchedByThisTerm) {
+      this.runtime.stats.record(
+        'starts.booked_to_running_ms',
+        this.runtime.now - binding.assignedAt,
+      );
+    }
+    this.runtime.env.log('debug', { task: binding.task, machine: machine.id }, 'task running');
+  }
+
+  private recordImageFetched(machine: Machine, image: string, sizeGb: number): void {
+    const fetch = machine.recordImageFetched(image, sizeGb, this.runtime.now);
+    if (fetch) this.targets.fetchSharing.record(fetch);
+  }
+
+  private observeExit(machine: Machine, status: TaskStatus, bound: Binding | undefined): void {
+    if (bound) this.endExited(machine, bound, status);
+    const parsed = splitTaskId(status.task);
+    const job = parsed ? this.term.jobs.get(parsed.job) : undefined;
+    if (!job || !parsed || parsed.index >= job.spec.taskCount || status.reason !== 'done') return;
+    job.markDone(parsed.index);
+    const duplicate = job.bindings.get(parsed.index);
+    if (duplicate) this.targets.bindings.discard(duplicate, 'done elsewhere');
+  }
+
+  private endExited(machine: Machine, binding: Binding, status: TaskStatus): void {
+    const job = binding.isOrphaned ? undefined : this.term.jobs.get(binding.job);
+    if (status.reason === 'done') {
+      this.quarantine.recordCompletion(machine, job);
+      if (job) this.recordRunTime(job, binding);
+      job?.markDone(binding.index);
+    } else if (status.reason === 'error' || status.reason === 'unknown') {
+      this.quarantine.recordFailure(machine, job, status);
+    }
+    this.targets.bindings.end(binding, status.reason ?? 'exited');
+  }
+
+  private recordRunTime(job: LiveJob, binding: Binding): void {
+    if (binding.runningSince === null || job.spec.estimate <= 0) return;
+    const ratio = (this.runtime.now - binding.runningSince) / job.spec.estimate;
+    this.targets.runTimeRatios.recordCompletion(job.spec.jobClass, ratio);
+  }
+
+  /** A heartbeat lists all tasks of its machine: what it lacks has ended, or never arrived. */
+  private endMissing(machine: Machine, tasks: TaskStatus[]): void {
+    const listed = new Set(tasks.map(({ task, attempt }) => bindingKey(task, attempt)));
+    let isStartLost = false;
+    for (const [key, binding] of [...machine.bindings]) {
+      if (binding.isAssigned || listed.has(key)) continue;
+      isStartLost ||= binding.isDispatched;
+      this.targets.bindings.end(binding, 'not on the machine');
+    }
+    if (!isStartLost) return;
+    this.quarantine.recordLostStart(machine);
+    this.targets.bindings.releaseUndispatched(machine);
+  }
+}
