--- /dev/null
+++ b/packages/controller/src/autoscaling/fleet-capacity.ts
@@ -0,0 +1,66 @@
+/** Free capacity of the fleet, with that of machines still to come. */
+import type { FreeCapacity, MachinePool, Resources } from '@tealdock/scheduler';
+import type { Machine } from '../machines/machine.js';
+import type { MachineTypes } from '../placement/fleet.js';
+import type { Runtime } from '../runtime/runtime.js';
+import { socketShares } from '../runtime/sockets.js';
+import type { Term } from '../term/term.js';
+import type { MachineInventory } from './machine-inventory.js';
+import type { RentalRequests } from './rental-requests.js';
+import type { ReturnRules } from './return-rules.js';
+
+/** What the capacity is summed up from. */
+export interface FleetCapacityParts {
+  readonly runtime: Runtime;
+  readonly term: Term;
+  readonly catalog: MachineTypes;
+  readonly inventory: MachineInventory;
+  readonly rentals: RentalRequests;
+  readonly returnRules: ReturnRules;
+}
+
+/** Counts machines that work, that are being provisioned, and that have been requested. */
+export class FleetCapacity {
+  constructor(private readonly parts: FleetCapacityParts) {}
+
+  /** One entry for each machine with free capacity. */
+  list(): FreeCapacity[] {
+    const { term, catalog, inventory, rentals } = this.parts;
+    const types = new Map(catalog.types.map((type) => [type.name, type]));
+    const capacities: FreeCapacity[] = [];
+    const add = ({ type, zone, spot }: MachinePool, free: Resources | undefined) => {
+      if (free && free.cpus > 0 && free.memoryGb > 0) capacities.push({ type, zone, spot, free });
+    };
+    for (const machine of term.machines.values()) {
+      const type = types.get(machine.type);
+      if (type && this.isUsable(machine)) add(machine, machine.free(type));
+    }
+    for (const machine of inventory.provisioning.values()) add(machine, types.get(machine.type));
+    for (const rental of rentals.pending) {
+      for (let i = 0; i < rental.count; i++) add(rental, types.get(rental.type));
+    }
+    return capacities;
+  }
+
+  /**
+   * How many machines may be rented. One node holds a connection for each worker: a machine
+   * beyond that would be paid for without being reached, at the cost of those that are.
+   */
+  unusedWorkerSocketCount(): number {
+    const { runtime, term, inventory, rentals } = this.parts;
+    let used = term.machines.size + inventory.provisioning.size;
+    for (const { count } of rentals.pending) used += count;
+    const left = socketShares(runtime.settings).workers - used;
+    runtime.stats.setGauge('fleet.places_left', left);
+    return Math.max(0, left);
+  }
+
+  /** Those not reconciled yet count as usable, so that they are not replaced too early. */
+  private isUsable(machine: Machine): boolean {
+    const { registration, heartbeats, health } = machine;
+    if (registration.isReturning || heartbeats.preemptionDeadline !== null) return false;
+    if (health.isQuarantined(this.parts.runtime.now)) return false;
+    if (!registration.isReconciled) return true;
+    return heartbeats.lastCountedAt !== null && !this.parts.returnRules.isLongSilent(machine);
+  }
+}
--- a/packages/controller/src/autoscaling/machine-inventory.ts
+++ b/packages/controller/src/autoscaling/machine-inventory.ts
@@ -1,35 +1,48 @@
-/** What machines there are by the word of the cloud, and which of them the operator owns. */
-import { listPath, parseList, type Instant, type ListedMachine } from '@tealdock/wire';
+/** The machines that the cloud lists, and which of them the operator owns. */
+import {
+  listPath,
+  parseList,
+  type Instant,
+  type ListedMachine,
+  type OperatorSettings,
+} from '@tealdock/wire';
 import type { MachinePool } from '@tealdock/scheduler';
 import type { Leadership } from '../leadership/leadership.js';
+import { parseResponse } from '../runtime/call-results.js';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
-import { parseResponse } from '../runtime/call-results.js';
 import { OWNED_KEY } from '../state/keys.js';
 import type { StateStore } from '../state/state-store.js';
 import { readOwned } from '../state/stored-values.js';
 import type { Term } from '../term/term.js';
 import type { CloudCalls } from './cloud-calls.js';
 
-const LIST_EVERY = 5000;
-const RETRY = 1000;
+const LIST_INTERVAL_MS = 5000;
+const STATE_READ_RETRY_MS = 1000;
+/** The list may lag by this many times what the settings say, to be on the safe side. */
+const LIST_LAG_FACTOR = 2;
 
-/** A machine that was rented, or is listed, and has not reported yet. */
+/** `frugal`: price first. `fast`: starts first. */
+export type ScalingPolicy = Exclude<OperatorSettings['fleet']['policy'], 'auto'>;
+
+/** A machine that was rented, or is listed, and has not sent a heartbeat yet. */
 export interface Provisioning extends MachinePool {
-  /** When it was asked for. */
   requestedAt: Instant;
 }
 
-/** Keeps the newest machine list, which lags, and the machines that are on their way. */
+/** Keeps the newest machine list, which lags, and the machines that are being provisioned. */
 export class MachineInventory {
+  /** By machine id. */
   readonly provisioning = new Map<string, Provisioning>();
-  /** The newest machine list. */
-  listed = new Map<string, ListedMachine>();
-  /** When that list was asked for. */
-  listAsked: Instant | null = null;
-  /** Last machine that was there before the first rental; null while unknown, '' if none was. */
-  owned: string | null = null;
-  private listBegun: Instant | null = null;
+  private listed = new Map<string, ListedMachine>();
+  /** When the newest complete list was requested; null before the first. */
+  private listRequestedAt: Instant | null = null;
+  /**
+   * The last machine that was there before the first rental, by the order of ids; null while
+   * unknown, '' if there was none.
+   */
+  private lastOwnedId: string | null = null;
+  private lastListingAt: Instant = -Infinity;
 
   constructor(
     private readonly runtime: Runtime,
@@ -39,79 +52,113 @@
     private readonly cloud: CloudCalls,
   ) {}
 
+  /** Reads which machines are owned. */
   start(): void {
     this.readOwned();
   }
 
-  policy(): 'frugal' | 'fast' {
-    const set = this.runtime.operator.fleet.policy;
-    if (set !== 'auto') return set;
-    return this.owned !== null && this.owned !== '' ? 'fast' : 'frugal';
+  /** As the operator set it, or `fast` where machines are owned. */
+  get policy(): ScalingPolicy {
+    const { policy } = this.runtime.operator.fleet;
+    if (policy !== 'auto') return policy;
+    return this.lastOwnedId ? 'fast' : 'frugal';
+  }
+
+  /** Whether it is known which machines are owned; without that, nothing is rented. */
+  get isOwnershipKnown(): boolean {
+    return this.lastOwnedId !== null;
   }
 
   /** Machines that were there before the first rental are the operator's own. */
   isOwned(id: string): boolean {
-    return this.owned !== null && this.owned !== '' && id <= this.owned;
+    return !!this.lastOwnedId && id <= this.lastOwnedId;
   }
 
-  private readOwned(): void {
-    if (this.term.closed) return;
-    this.state.getValue(OWNED_KEY, readOwned, PRIORITY.leader, (got) => {
-      if (got.kind === 'failed') return this.runtime.after(RETRY, () => this.readOwned());
-      if (got.kind === 'found') this.owned = got.value.last;
-    });
+  /** The newest machine list, by id. */
+  get listedMachines(): ReadonlyMap<string, ListedMachine> {
+    return this.listed;
   }
 
-  private noteOwned(machines: ListedMachine[]): void {
-    if (this.owned !== null) return;
-    const heard = [...this.term.machines.keys()];
-    const last = [...machines.map((m) => m.id), ...heard].sort().at(-1) ?? '';
-    const guards = [this.leadership.leaderPrecondition(), { key: OWNED_KEY, version: 0 }];
-    const write = { put: OWNED_KEY, value: { last } };
-    this.state.compareAndSwap(guards, [write], PRIORITY.leader, (committed) => {
-      if (committed.kind === 'ok') this.owned = last;
-      else this.readOwned();
-    });
+  /** The list would show any machine observed before this; null before the first list. */
+  get listCompleteUntil(): Instant | null {
+    if (this.listRequestedAt === null) return null;
+    return this.listRequestedAt - this.maxListLag;
   }
 
+  /** The machine has been returned. */
+  remove(id: string): void {
+    this.provisioning.delete(id);
+    this.listed.delete(id);
+  }
+
+  /** Requests the list; seldom once all machines are reconciled. */
   refreshList(): void {
-    const fresh = this.runtime.now - (this.listBegun ?? -Infinity) < LIST_EVERY;
-    if (fresh && this.term.stateLoaded && this.term.allMachinesReconciled) return;
-    this.listBegun = this.runtime.now;
-    this.list('', new Map(), this.runtime.now);
+    const { now } = this.runtime;
+    const isRecent = now - this.lastListingAt < LIST_INTERVAL_MS;
+    if (isRecent && this.term.stateLoaded && this.term.allMachinesReconciled) return;
+    this.lastListingAt = now;
+    this.requestPage('', new Map(), now);
   }
 
-  private list(after: string, found: Map<string, ListedMachine>, asked: Instant): void {
-    this.cloud.send('GET', listPath(after), null, PRIORITY.leader, (result) => {
+  private get maxListLag(): number {
+    return this.runtime.settings.cloud.listLag * LIST_LAG_FACTOR;
+  }
+
+  private requestPage(
+    after: string,
+    machines: Map<string, ListedMachine>,
+    requestedAt: Instant,
+  ): void {
+    const path = listPath(after);
+    const call = { method: 'GET', path, body: null, priority: PRIORITY.leader };
+    this.cloud.send(call, (result) => {
       const page = parseResponse(result, parseList);
       if (!page) return;
-      for (const m of page.machines) found.set(m.id, m);
+      for (const machine of page.machines) machines.set(machine.id, machine);
       const last = page.machines.at(-1);
-      if (page.more && last) return this.list(last.id, found, asked);
-      this.listed = found;
-      this.listAsked = asked;
-      this.noteOwned([...found.values()]);
-      this.seeList(asked);
+      if (page.more && last) return this.requestPage(last.id, machines, requestedAt);
+      this.listed = machines;
+      this.listRequestedAt = requestedAt;
+      this.storeOwned();
+      this.addListedProvisioning();
+      this.removeEndedProvisioning(requestedAt - this.maxListLag);
     });
   }
 
-  private seeList(asked: Instant): void {
-    for (const [id, machine] of this.listed) {
-      const known = this.term.machines.has(id);
-      if (machine.state === 'booting' && !known && !this.provisioning.has(id)) {
-        this.provisioning.set(id, {
-          type: machine.type,
-          zone: machine.zone,
-          spot: machine.spot,
-          requestedAt: this.runtime.now - machine.age,
-        });
-      }
+  private addListedProvisioning(): void {
+    for (const [id, { type, zone, spot, state, age }] of this.listed) {
+      if (state !== 'booting' || this.term.machines.has(id) || this.provisioning.has(id)) continue;
+      this.provisioning.set(id, { type, zone, spot, requestedAt: this.runtime.now - age });
     }
-    // Taken before it ever reported: no longer listed, nor coming.
-    const lag = this.runtime.settings.cloud.listLag * 2;
+  }
+
+  /** Some have sent a heartbeat; others were taken before, and are no longer listed. */
+  private removeEndedProvisioning(listCompleteUntil: Instant): void {
     for (const [id, machine] of this.provisioning) {
-      const old = asked - lag > machine.requestedAt + lag;
-      if (this.term.machines.has(id) || (old && !this.listed.has(id))) this.provisioning.delete(id);
+      const mustBeListed = listCompleteUntil > machine.requestedAt + this.maxListLag;
+      const isGone = mustBeListed && !this.listed.has(id);
+      if (this.term.machines.has(id) || isGone) this.provisioning.delete(id);
     }
   }
+
+  private readOwned(): void {
+    if (this.term.closed) return;
+    this.state.getValue(OWNED_KEY, readOwned, PRIORITY.leader, (result) => {
+      if (result.kind === 'failed')
+        return this.runtime.after(STATE_READ_RETRY_MS, () => this.readOwned());
+      if (result.kind === 'found') this.lastOwnedId = result.value.last;
+    });
+  }
+
+  /** With the first list, before any rental: all machines known now are owned. */
+  private storeOwned(): void {
+    if (this.lastOwnedId !== null) return;
+    const last = [...this.listed.keys(), ...this.term.machines.keys()].sort().at(-1) ?? '';
+    const preconditions = [this.leadership.leaderPrecondition(), { key: OWNED_KEY, version: 0 }];
+    const write = { put: OWNED_KEY, value: { last } };
+    this.state.compareAndSwap(preconditions, [write], PRIORITY.leader, (result) => {
+      if (result.kind === 'ok') this.lastOwnedId = last;
+      else this.readOwned();
+    });
+  }
 }
--- a/packages/controller/src/autoscaling/rental-requests.ts
+++ b/packages/controller/src/autoscaling/rental-requests.ts
@@ -1,111 +1,114 @@
 /** Requests for machines, each repeated under its name until the cloud has answered. */
-import {
-  MACHINES_PATH,
-  parseRented,
-  renderRent,
-  type Instant,
-  type MachineType,
-} from '@tealdock/wire';
-import { listOfferings, type Offering, type MachinePool } from '@tealdock/scheduler';
+import { MACHINES_PATH, parseRented, renderRent, type Instant } from '@tealdock/wire';
+import { listOfferings, type MachinePool, type Offering } from '@tealdock/scheduler';
+import type { MachineTypes } from '../placement/fleet.js';
+import { parseOrNull } from '../runtime/call-results.js';
 import { PRIORITY, type CallResult } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
-import { parseOrNull } from '../runtime/call-results.js';
 import type { TermStatus } from '../term/term-view.js';
 import { CLOUD_CALL_TIMEOUT_MS, type CloudCalls } from './cloud-calls.js';
 import type { MachineInventory } from './machine-inventory.js';
 
-/** A kind of machine that was refused is left alone for this long. */
-const REFUSED_FOR = 15_000;
+/** A pool that was refused is not asked for again for this long. */
+const REFUSAL_TTL_MS = 15_000;
 /** A request without an answer is sent again this long after its call has timed out. */
-const REPEAT_AFTER_TIMEOUT = 1000;
+const REPEAT_DELAY_MS = 1000;
+const REPEAT_INTERVAL_MS = CLOUD_CALL_TIMEOUT_MS + REPEAT_DELAY_MS;
 
-/** A request for machines of one kind; its name makes it idempotent. */
-interface ProvisioningRequest extends MachinePool {
+/** A request for machines of one pool; its name makes it idempotent. */
+interface RentalRequest extends MachinePool {
   request: string;
   count: number;
+  /** When it was last sent. */
   requestedAt: Instant;
 }
 
-/** The same for machines of one type, zone and kind. */
-export const poolKey = (p: MachinePool): string => `${p.type} ${p.zone} ${p.spot}`;
+/** What rental requests work with. */
+export interface RentalRequestsParts {
+  readonly runtime: Runtime;
+  readonly term: TermStatus;
+  readonly catalog: MachineTypes;
+  readonly cloud: CloudCalls;
+  readonly inventory: MachineInventory;
+  /** Called once all requests are answered: what was refused may be rented elsewhere. */
+  readonly onAllAnswered: () => void;
+}
+
+/** The same for machines of one pool. */
+export const poolKey = ({ type, zone, spot }: MachinePool): string => `${type} ${zone} ${spot}`;
 
-/** Rents machines. One request of a kind is under way at a time. */
+/** Rents machines. One request for a pool is under way at a time. */
 export class RentalRequests {
-  readonly requests = new Map<string, ProvisioningRequest>();
-  private readonly refused = new Map<string, Instant>();
-  private lastRequest = 0;
-
-  constructor(
-    private readonly runtime: Runtime,
-    private readonly term: TermStatus,
-    private readonly types: () => MachineType[],
-    private readonly cloud: CloudCalls,
-    private readonly inventory: MachineInventory,
-    /** Called once all requests are answered: what was not rented may be asked for elsewhere. */
-    private readonly onAllAnswered: () => void,
-  ) {}
+  private readonly requests = new Map<string, RentalRequest>();
+  /** Until when pools are not asked for, by pool key. */
+  private readonly refusedUntil = new Map<string, Instant>();
+  private lastRequestNumber = 0;
 
-  offers(): Offering[] {
-    return listOfferings(
-      this.types(),
-      (p) => (this.refused.get(poolKey(p)) ?? 0) > this.runtime.now,
-    );
-  }
+  constructor(private readonly parts: RentalRequestsParts) {}
 
-  /** Whether anything can be rented at all just now. */
-  rentable(): boolean {
-    return this.offers().length > 0;
+  /** Requests without an answer yet. */
+  get pending(): readonly Readonly<RentalRequest>[] {
+    return [...this.requests.values()];
   }
 
-  /** One request a kind at a time: its answer tells whether there is more. */
-  asked(place: MachinePool): boolean {
-    return [...this.requests.values()].some((r) => poolKey(r) === poolKey(place));
+  /** What may be rented just now. */
+  offerings(): Offering[] {
+    const { catalog, runtime } = this.parts;
+    const isRefused = (pool: MachinePool) =>
+      (this.refusedUntil.get(poolKey(pool)) ?? 0) > runtime.now;
+    return listOfferings(catalog.types, isRefused);
   }
 
-  ask({ type, zone, spot }: MachinePool, count: number): void {
-    const request = `${this.term.fencingToken}-${++this.lastRequest}`;
-    this.requests.set(request, { request, type, zone, spot, count, requestedAt: this.runtime.now });
-    this.askRental(request);
+  /** Rents machines, unless a request for the pool is under way: its answer says if there are more. */
+  request({ type, zone, spot }: MachinePool, count: number): void {
+    const key = poolKey({ type, zone, spot });
+    if (this.pending.some((pending) => poolKey(pending) === key)) return;
+    const request = `${this.parts.term.fencingToken}-${++this.lastRequestNumber}`;
+    const requestedAt = this.parts.runtime.now;
+    const rental = { request, type, zone, spot, count, requestedAt };
+    this.requests.set(request, rental);
+    this.send(rental);
   }
 
-  /** Without an answer the same name is asked for again, so nothing is rented twice. */
-  repeatRentals(): void {
-    const patience = CLOUD_CALL_TIMEOUT_MS + REPEAT_AFTER_TIMEOUT;
-    for (const [request, { requestedAt: asked }] of this.requests) {
-      if (this.runtime.now - asked > patience) this.askRental(request);
+  /** Repeats requests without an answer, under the same name, so that none is rented twice. */
+  repeatUnanswered(): void {
+    const { now } = this.parts.runtime;
+    for (const rental of this.requests.values()) {
+      if (now - rental.requestedAt > REPEAT_INTERVAL_MS) this.send(rental);
     }
   }
 
-  private askRental(request: string): void {
-    const rental = this.requests.get(request);
-    if (!rental) return;
-    rental.requestedAt = this.runtime.now;
-    this.cloud.send('POST', MACHINES_PATH, renderRent(rental), PRIORITY.leader, (result) =>
-      this.rented(rental, result),
-    );
+  private send(rental: RentalRequest): void {
+    rental.requestedAt = this.parts.runtime.now;
+    const body = renderRent(rental);
+    const call = { method: 'POST', path: MACHINES_PATH, body, priority: PRIORITY.leader };
+    this.parts.cloud.send(call, (result) => this.receiveResult(rental, result));
   }
 
-  private rented(rental: ProvisioningRequest, result: CallResult): void {
+  private receiveResult(rental: RentalRequest, result: CallResult): void {
     if (result.kind !== 'answer' || !this.requests.has(rental.request)) return;
-    const { status } = result;
-    const hosts = rentedHosts(result);
+    const hosts = rentedMachines(result);
     if (hosts === null) return;
+    const { runtime, inventory, onAllAnswered } = this.parts;
     this.requests.delete(rental.request);
     const { type, zone, spot } = rental;
     for (const id of hosts) {
-      this.inventory.provisioning.set(id, { type, zone, spot, requestedAt: this.runtime.now });
+      inventory.provisioning.set(id, { type, zone, spot, requestedAt: runtime.now });
     }
     if (hosts.length < rental.count) {
-      this.refused.set(poolKey(rental), this.runtime.now + REFUSED_FOR);
+      this.refusedUntil.set(poolKey(rental), runtime.now + REFUSAL_TTL_MS);
     }
-    if (this.requests.size === 0) this.runtime.after(0, () => this.onAllAnswered());
-    this.runtime.env.log('info', { ...rental, hosts, status }, 'scale-out answered');
+    if (this.requests.size === 0) runtime.after(0, onAllAnswered);
+    runtime.log('info', { ...rental, hosts, status: result.status }, 'scale-out answered');
   }
 }
 
-/** The machines rented, none where the request was refused; null where it has to be repeated. */
-function rentedHosts({ status, body }: Extract<CallResult, { kind: 'answer' }>): string[] | null {
+/** Ids of the machines rented, none where refused; null where the request has to be repeated. */
+function rentedMachines({
+  status,
+  body,
+}: Extract<CallResult, { kind: 'answer' }>): string[] | null {
   if (status === 200) return parseOrNull(() => parseRented(body));
-  const noCapacity = status === 503 && /capacity/.test(JSON.stringify(body));
-  return noCapacity || status === 400 ? [] : null;
+  const lacksCapacity = status === 503 && /capacity/.test(JSON.stringify(body));
+  return lacksCapacity || status === 400 ? [] : null;
 }
