--- /dev/null
+++ b/packages/controller/src/machines/machine-health.test.ts
@@ -0,0 +1,33 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { MachineHealth } from './machine-health.js';
+
+test('three failures in a row of its own quarantine a machine', () => {
+  const health = new MachineHealth();
+  health.recordTaskFailure(true, 0);
+  health.recordTaskFailure(false, 0);
+  health.recordTaskFailure(true, 0);
+  assert.ok(!health.isQuarantined(0));
+  health.recordTaskFailure(true, 0);
+  assert.deepEqual([health.isQuarantined(119_999), health.isQuarantined(120_000)], [true, false]);
+});
+
+test('a completed task ends the row of failures', () => {
+  const health = new MachineHealth();
+  health.recordTaskFailure(true, 0);
+  health.recordTaskFailure(true, 0);
+  health.recordTaskSuccess();
+  health.recordTaskFailure(true, 0);
+  assert.ok(!health.isQuarantined(0));
+});
+
+test('each lost start in a row quarantines for longer, until a task is observed', () => {
+  const health = new MachineHealth();
+  const quarantines = [1, 2, 3, 4].map(() => health.recordLostStart(0));
+  assert.deepEqual(quarantines, [3000, 12_000, 48_000, 120_000]);
+  assert.equal(health.consecutiveLostStartCount, 4);
+  health.recordTaskObserved();
+  assert.equal(health.consecutiveLostStartCount, 0);
+  assert.equal(health.recordLostStart(0), 3000);
+  assert.ok(health.isQuarantined(119_999));
+});
