--- a/packages/controller/src/authority/authority.ts
+++ b/packages/controller/src/authority/authority.ts
@@ -22,9 +22,9 @@
 
 /** The properties of a machine that a start depends on. */
 export interface StartTarget {
-  readonly registered: boolean;
-  readonly reconciled: boolean;
-  readonly returning: boolean;
+  readonly isRegistered: boolean;
+  readonly isReconciled: boolean;
+  readonly isReturning: boolean;
 }
 
 /** Holder of the leader's lease. */
@@ -53,9 +53,9 @@
   start(machine: StartTarget): Decision {
     const decision = this.decide(MAX_START_STALENESS_MS);
     if (!decision.granted) return decision;
-    if (!machine.registered) return refused('machine_not_registered', decision.evidence);
-    if (!machine.reconciled) return refused('machine_unaccounted', decision.evidence);
-    if (machine.returning) return refused('machine_returning', decision.evidence);
+    if (!machine.isRegistered) return refused('machine_not_registered', decision.evidence);
+    if (!machine.isReconciled) return refused('machine_unaccounted', decision.evidence);
+    if (machine.isReturning) return refused('machine_returning', decision.evidence);
     if (!this.knowledge.observedJobsLoaded) return refused('sizes_unknown', decision.evidence);
     return decision;
   }
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -74,7 +74,7 @@
       this.state,
       this.leadership,
       this.peers,
-      (job, done) => lookup.prove(job, done),
+      (job, done) => lookup.proveLiveness(job, done),
     );
     this.heartbeatRequests = new HeartbeatRequests(this.runtime, {
       state: this.state,
@@ -152,7 +152,7 @@
     if (!this.term || !this.leadership.validLease()) return;
     const jobs = [...this.term.jobs.values()].slice(0, MOST_COUNTS).map((job) => ({
       id: job.id,
-      done: job.doneCount,
+      done: job.progress.doneTaskCount,
       running: job.countRunning(),
     }));
     this.broadcast({ kind: 'counts', jobs });
@@ -273,7 +273,7 @@
    */
   private healthy(): boolean {
     const starting = this.runtime.now - (this.startedAt ?? 0) < START_PATIENCE;
-    if (starting && !this.catalog.known) return false;
+    if (starting && !this.catalog.isKnown) return false;
     return this.state.isAvailable || this.peers.anyAlive;
   }
 }
--- a/packages/controller/src/term/binding-invariants.ts
+++ b/packages/controller/src/term/binding-invariants.ts
@@ -27,19 +27,18 @@
    */
   violatesStart(binding: Binding): boolean {
     const job = this.term.jobs.get(binding.job);
-    if (job && !job.predecessorCancelled && job.releasedAt !== null) return false;
+    if (job?.dependencies.isReleased && !job.dependencies.hasCancelledPredecessor) return false;
     this.report('started_ended_job', binding);
     return true;
   }
 
   /** Checks that a task whose job is not live is being stopped, and is gone by its deadline. */
   checkRenewal(binding: Binding): void {
-    if (!binding.stopRequest && binding.phase === 'observed' && this.authority.mayStop(binding.job))
+    if (!binding.stopRequest && binding.isObserved && this.authority.mayStop(binding.job))
       this.report('renewed_without_stop', binding);
     const deadline = binding.terminationDeadline;
     if (deadline === null || this.runtime.now <= deadline) return;
-    // Reported once for each binding.
-    binding.terminationDeadline = Infinity;
+    binding.markOverdueReported();
     this.report('ran_past_cancel_limit', binding);
   }
 
--- a/packages/controller/src/term/direct-stops.ts
+++ b/packages/controller/src/term/direct-stops.ts
@@ -55,7 +55,7 @@
     const mayRenew = this.options.mayRenew();
     for (const machine of this.options.term.machines.values()) {
       if (this.callsInFlight >= MAX_CALLS_IN_FLIGHT_COUNT) return;
-      if (machine.address === '' || machine.bindings.size === 0) continue;
+      if (machine.heartbeats.address === '' || machine.bindings.size === 0) continue;
       if (mayRenew && !this.missesHeartbeats(machine)) continue;
       const lastSentAt = this.lastSentAt.get(machine.id) ?? -Infinity;
       if (this.runtime.now - lastSentAt < RESEND_DELAY_MS) continue;
@@ -65,7 +65,7 @@
   }
 
   private missesHeartbeats(machine: Machine): boolean {
-    const lastHeartbeatAt = machine.lastHeartbeatAt ?? this.options.term.electedAt;
+    const lastHeartbeatAt = machine.heartbeats.lastCountedAt ?? this.options.term.electedAt;
     const limitMs = this.runtime.settings.heartbeatInterval * MISSED_HEARTBEAT_COUNT;
     return this.runtime.now - lastHeartbeatAt > limitMs;
   }
@@ -73,7 +73,7 @@
   private stopsFor(machine: Machine): WorkerCommand[] {
     const stops: WorkerCommand[] = [];
     for (const binding of machine.bindings.values()) {
-      if (binding.phase === 'assigned' || !this.options.hasEnded(binding.job)) continue;
+      if (binding.isAssigned || !this.options.hasEnded(binding.job)) continue;
       stops.push({ op: 'stop', task: binding.task, attempt: binding.attempt, gracePeriod: 0 });
     }
     return stops;
@@ -86,10 +86,10 @@
     const { fencingToken } = this.options.term;
     const call = {
       target: 'worker' as const,
-      to: machine.address,
+      to: machine.heartbeats.address,
       method: 'POST',
       path: COMMANDS_PATH,
-      body: renderDirectCommands(fencingToken, machine.agentEpoch, stops),
+      body: renderDirectCommands(fencingToken, machine.heartbeats.agentEpoch, stops),
       priority: PRIORITY.leader,
       writes: 0,
       timeout: CALL_TIMEOUT_MS,
--- a/packages/controller/src/term/fleet.ts
+++ b/packages/controller/src/term/fleet.ts
@@ -27,6 +27,6 @@
 
   /** Machines of which it is not known yet whether tasks of older terms run there. */
   unreconciledMachines(): Machine[] {
-    return [...this.byId.values()].filter((machine) => !machine.reconciled);
+    return [...this.byId.values()].filter((machine) => !machine.registration.isReconciled);
   }
 }
--- a/packages/controller/src/term/heartbeat-processor.ts
+++ b/packages/controller/src/term/heartbeat-processor.ts
@@ -44,7 +44,7 @@
     const machine = machineRegistry.getOrAdd(heartbeat.machine, heartbeat);
     if (this.missesAnswers(machine, heartbeat)) return { kind: 'unanswered' };
     // The answer renews the lease, whether or not the heartbeat counts.
-    machine.lastLeaseRenewalAt = this.runtime.now;
+    machine.heartbeats.recordLeaseRenewal(this.runtime.now);
     if (!this.isCurrent(machine, heartbeat)) {
       const commands = workerCommands.stopsForEndedJobs(machine.id, heartbeat.tasks);
       return { kind: 'ignored', commands };
@@ -58,7 +58,9 @@
    * outdated by a start of the last term, those of a late one by a newer heartbeat.
    */
   private isCurrent(machine: Machine, heartbeat: WorkerHeartbeat): boolean {
-    return heartbeat.fencingToken === this.term.fencingToken && machine.isNewer(heartbeat);
+    return (
+      heartbeat.fencingToken === this.term.fencingToken && machine.heartbeats.isNewer(heartbeat)
+    );
   }
 
   /**
@@ -67,22 +69,17 @@
    * renewed, and all placement would wait for it. Without answers its lease expires.
    */
   private missesAnswers(machine: Machine, heartbeat: WorkerHeartbeat): boolean {
-    if (machine.reconciled || heartbeat.fencingToken === this.term.fencingToken) return false;
-    machine.firstLeaseRenewalAt ??= this.runtime.now;
-    return this.runtime.now - machine.firstLeaseRenewalAt > MISSED_ANSWERS_TIMEOUT_MS;
+    if (machine.registration.isReconciled) return false;
+    if (heartbeat.fencingToken === this.term.fencingToken) return false;
+    return machine.heartbeats.recordOlderToken(this.runtime.now) > MISSED_ANSWERS_TIMEOUT_MS;
   }
 
   private apply(machine: Machine, heartbeat: WorkerHeartbeat): void {
     const { bindings, machineRegistry, taskObserver } = this.targets;
-    if (heartbeat.agentEpoch > machine.agentEpoch) bindings.endDispatched(machine, 'session ended');
-    machine.agentEpoch = heartbeat.agentEpoch;
-    machine.sequenceNumber = heartbeat.sequenceNumber;
-    machine.address = heartbeat.address;
-    machine.lastHeartbeatAt = this.runtime.now;
-    machine.preemptionDeadline =
-      heartbeat.preemptionNotice === null ? null : this.runtime.now + heartbeat.preemptionNotice;
-    machine.reconciled = true;
-    machine.exitedTasks = heartbeat.tasks.filter(({ state }) => state === 'exited');
+    if (heartbeat.agentEpoch > machine.heartbeats.agentEpoch)
+      bindings.endDispatched(machine, 'session ended');
+    machine.heartbeats.record(heartbeat, this.runtime.now);
+    machine.registration.markReconciled();
     taskObserver.observe(machine, heartbeat.tasks);
     machineRegistry.registerIfNew(machine);
   }
--- a/packages/controller/src/term/job-completion.ts
+++ b/packages/controller/src/term/job-completion.ts
@@ -1,7 +1,7 @@
 /** Commits the ends of jobs and the progress of their tasks. */
 import type { Precondition, Write } from '@tealdock/wire';
 import { priorityRank } from '@tealdock/scheduler';
-import { endOf, type JobEnd } from '../jobs/dependency-graph.js';
+import { endOf, type JobEnd } from '../jobs/job-end-reader.js';
 import { endedKey, specKey } from '../state/keys.js';
 import type { Leadership } from '../leadership/leadership.js';
 import type { LiveJob } from '../jobs/live-job.js';
@@ -104,8 +104,8 @@
   private jobsToEnd(): LiveJob[] {
     const cancelled: LiveJob[] = [];
     for (const job of this.term.liveJobs.jobs.values()) {
-      if (job.predecessorCancelled) cancelled.push(job);
-      else if (job.complete) this.completed.add(job);
+      if (job.dependencies.hasCancelledPredecessor) cancelled.push(job);
+      else if (job.progress.isComplete) this.completed.add(job);
     }
     const awaited: LiveJob[] = [];
     const others: LiveJob[] = [];
@@ -124,7 +124,7 @@
 
   private storeProgress(): void {
     for (const job of this.term.liveJobs.jobs.values()) {
-      if (!job.complete) this.term.liveJobs.storeProgress(job);
+      if (!job.progress.isComplete) this.term.liveJobs.storeProgress(job);
     }
   }
 
@@ -150,8 +150,8 @@
   /** The end of a job whose tasks are all done, or which depends on a cancelled job. */
   private commitFor(job: LiveJob): JobEndCommit {
     const { maxValueBytes } = this.runtime.settings.state;
-    const state = job.predecessorCancelled ? 'cancelled' : 'done';
-    const value = endedValue(state, job.accepted, this.runtime.wallClock, maxValueBytes);
+    const state = job.dependencies.hasCancelledPredecessor ? 'cancelled' : 'done';
+    const value = endedValue(state, job.acceptedSpec, this.runtime.wallClock, maxValueBytes);
     return {
       job,
       value,
--- a/packages/controller/src/term/live-jobs.ts
+++ b/packages/controller/src/term/live-jobs.ts
@@ -1,6 +1,7 @@
 /** The live jobs of a term, their dependencies, and the progress of them that is stored. */
 import type { StateItem } from '@tealdock/wire';
-import { DependencyGraph, type JobEnd } from '../jobs/dependency-graph.js';
+import { DependencyGraph } from '../jobs/dependency-graph.js';
+import type { JobEnd } from '../jobs/job-end-reader.js';
 import { LiveJob } from '../jobs/live-job.js';
 import type { Leadership } from '../leadership/leadership.js';
 import { BoundedSet } from '../runtime/bounded.js';
@@ -85,7 +86,7 @@
     const job = new LiveJob(value.spec, version, this.runtime.now - ageMs);
     this.byId.set(id, job);
     this.graph.add(job);
-    if (this.options.term.stateLoaded) this.graph.readEnds(job);
+    if (this.options.term.stateLoaded) this.graph.readPredecessorEnds(job);
     const { jobClass, taskCount, image, imageGb } = value.spec;
     this.runtime.env.log(
       'debug',
@@ -111,9 +112,9 @@
     if (!job) return;
     this.byId.delete(id);
     this.endedJobs.add(id);
-    this.runtime.env.log('info', { job: id, done: job.doneCount }, 'job ended');
+    this.runtime.env.log('info', { job: id, done: job.progress.doneTaskCount }, 'job ended');
     this.options.onEnded(job);
-    this.graph.ended(job, end);
+    this.graph.remove(job, end);
   }
 
   /** Starts from the stored progress that an earlier leader has written. */
@@ -123,13 +124,13 @@
 
   /** Queues completed tasks of a job that are not stored yet for writing. */
   storeProgress(job: LiveJob): void {
-    for (const chunk of job.dirtyChunks())
-      this.progress.set(progressEntry(job.id, chunk), job.chunkBits(chunk));
+    for (const chunk of job.progress.uncommittedChunks())
+      this.progress.set(progressEntry(job.id, chunk), job.progress.encodeChunk(chunk));
   }
 
   /** Drops the stored progress of a job whose ended key is stored. */
   deleteProgress(job: LiveJob): void {
-    for (const chunk of job.chunks()) this.progress.forget(progressEntry(job.id, chunk));
+    for (const chunk of job.progress.chunks()) this.progress.forget(progressEntry(job.id, chunk));
   }
 
   /** Entries of jobs that have ended are dropped. */
--- a/packages/controller/src/term/machine-maintenance.ts
+++ b/packages/controller/src/term/machine-maintenance.ts
@@ -58,13 +58,13 @@
   }
 
   private checkMachine(machine: Machine): void {
-    machine.accumulateComputeTime(CHECK_INTERVAL_MS);
+    machine.usage.accumulateComputeTime(CHECK_INTERVAL_MS);
     const timeoutMs = this.runtime.settings.heartbeatInterval * UNDISPATCHED_TIMEOUT_FACTOR;
-    const silenceMs = this.runtime.now - (machine.lastHeartbeatAt ?? this.term.electedAt);
-    if (silenceMs > timeoutMs || machine.returning || machine.preemptionDeadline !== null)
-      this.targets.bindings.releaseUndispatched(machine);
-    const isIdle = machine.bindings.size === 0;
-    machine.idleSince = isIdle ? (machine.idleSince ?? this.runtime.now) : null;
+    const silenceMs = this.runtime.now - (machine.heartbeats.lastCountedAt ?? this.term.electedAt);
+    const isLeaving =
+      machine.registration.isReturning || machine.heartbeats.preemptionDeadline !== null;
+    if (silenceMs > timeoutMs || isLeaving) this.targets.bindings.releaseUndispatched(machine);
+    machine.usage.updateIdle(this.runtime.now);
   }
 
   /** Logs once that all machines are reconciled, so that every job may be placed. */
@@ -85,9 +85,10 @@
     this.runtime.env.log('info', { machines }, 'worker leases expired');
     for (const machine of expired) {
       bindings.endDispatched(machine, 'lease ran out');
-      machine.reconciled = true;
+      machine.registration.markReconciled();
       // Known by a late heartbeat only and never registered, so it had no tasks.
-      if (!machine.registered && machine.bindings.size === 0) fleet.remove(machine.id);
+      if (!machine.registration.isRegistered && machine.bindings.size === 0)
+        fleet.remove(machine.id);
     }
   }
 }
--- a/packages/controller/src/term/machine-registry.ts
+++ b/packages/controller/src/term/machine-registry.ts
@@ -76,22 +76,23 @@
     if (!machine) {
       machine = this.newMachine(id, place);
       // It is not in the registry, so no term has ever sent a start to it.
-      machine.reconciled = true;
+      machine.registration.markReconciled();
       this.targets.fleet.add(machine);
     }
-    machine.firstSeenAt = Math.min(machine.firstSeenAt, this.runtime.now);
+    machine.registration.recordSeen(this.runtime.now);
     return machine;
   }
 
   /** Stores the machine unless that is done or under way. */
   registerIfNew(machine: Machine): void {
-    if (!machine.registered && this.table.get(machine.id) === undefined) this.store(machine);
+    if (!machine.registration.isRegistered && this.table.get(machine.id) === undefined)
+      this.store(machine);
   }
 
   /** The machine gets no more work, in this term and, as that is stored, in later ones. */
   markReturning(machine: Machine): void {
-    if (machine.returning) return;
-    machine.returning = true;
+    if (machine.registration.isReturning) return;
+    machine.registration.markReturning();
     this.targets.bindings.releaseUndispatched(machine);
     this.store(machine);
   }
@@ -115,7 +116,7 @@
 
   private newMachine(id: string, place: Place): Machine {
     const machine = new Machine(id, place.type, place.zone, place.spot);
-    for (const { image, gb } of this.hintedImages.get(id) ?? []) machine.recordImage(image, gb);
+    for (const { image, gb } of this.hintedImages.get(id) ?? []) machine.recordImageUse(image, gb);
     return machine;
   }
 
@@ -123,22 +124,23 @@
     const [type, zone, spot, returning, firstSeenSeconds] = entry;
     const place = { type, zone, spot: spot === 1 };
     const machine = this.targets.fleet.get(id) ?? this.newMachine(id, place);
-    machine.registered = true;
-    machine.returning = machine.returnCommitted = returning === 1;
     const ageMs = this.runtime.wallClock.getTime() - firstSeenSeconds * MS_PER_SECOND;
-    machine.firstSeenAt = this.runtime.now - Math.max(0, ageMs);
-    machine.reconciled = machine.lastHeartbeatAt !== null;
+    machine.registration.restore({
+      isReturning: returning === 1,
+      firstSeenAt: this.runtime.now - Math.max(0, ageMs),
+      isReconciled: machine.heartbeats.lastCountedAt !== null,
+    });
     this.targets.fleet.add(machine);
   }
 
   private store(machine: Machine): void {
-    const ageMs = this.runtime.now - Math.min(machine.firstSeenAt, this.runtime.now);
+    const ageMs = this.runtime.now - Math.min(machine.registration.firstSeenAt, this.runtime.now);
     const firstSeenAtMs = this.runtime.wallClock.getTime() - ageMs;
     this.table.set(machine.id, [
       machine.type,
       machine.zone,
       machine.spot ? 1 : 0,
-      machine.returning ? 1 : 0,
+      machine.registration.isReturning ? 1 : 0,
       Math.round(firstSeenAtMs / MS_PER_SECOND),
     ]);
   }
@@ -148,8 +150,7 @@
     for (const [id, [, , , returning]] of entries) {
       const machine = fleet.get(id);
       if (!machine) continue;
-      machine.registered = true;
-      if (returning === 1) machine.returnCommitted = true;
+      machine.registration.recordRegistered(returning === 1);
       if (bindings.hasUndispatched(id)) dirtyMachines.add(id);
     }
   }
--- a/packages/controller/src/term/rebuild.ts
+++ b/packages/controller/src/term/rebuild.ts
@@ -75,7 +75,7 @@
     const { machineRegistry, liveJobs } = this.targets;
     machineRegistry.load(registry);
     this.addJobs(live);
-    for (const job of liveJobs.jobs.values()) liveJobs.graph.readEnds(job);
+    for (const job of liveJobs.jobs.values()) liveJobs.graph.readPredecessorEnds(job);
     liveJobs.loadProgress(progress);
   }
 
--- a/packages/controller/src/term/successor-hints.ts
+++ b/packages/controller/src/term/successor-hints.ts
@@ -7,7 +7,7 @@
   const images = new Map<string, { index: number; gb: number }>();
   const machines = [...term.machines.values()].map((machine) => {
     const held: number[] = [];
-    for (const [image, gb] of machine.images) {
+    for (const [image, gb] of machine.imageEntries()) {
       const entry = images.get(image) ?? { index: images.size, gb };
       images.set(image, entry);
       held.push(entry.index);
@@ -18,14 +18,14 @@
     ratios: term.runTimeRatios.entries().map(([jobClass, ratio]) => ({ jobClass, ratio })),
     images: [...images].map(([image, { gb }]) => ({ image, gb })),
     machines: machines.filter(({ held }) => held.length > 0),
-    fetchSharing: term.fetchSharing.likely,
+    fetchSharing: term.fetchSharing.sharingProbability,
   };
 }
 
 /** Starts a term from what the last leader had learnt. */
 export function applyHints(hints: Hints, term: Term): void {
   for (const { jobClass, ratio } of hints.ratios) term.runTimeRatios.restore(jobClass, ratio);
-  term.fetchSharing.likely = hints.fetchSharing;
+  term.fetchSharing.restore(hints.fetchSharing);
   for (const { id, held } of hints.machines) {
     const images = held.map((index) => hints.images[index]).filter((i) => i !== undefined);
     term.machineRegistry.hintImages(id, images);
--- a/packages/controller/src/term/term.ts
+++ b/packages/controller/src/term/term.ts
@@ -5,7 +5,7 @@
 import { RenewalLog } from '../authority/renewal-log.js';
 import type { LiveJob } from '../jobs/live-job.js';
 import type { Leadership } from '../leadership/leadership.js';
-import { FetchSharing } from '../machines/image-fetches.js';
+import { FetchSharing } from '../machines/fetch-sharing.js';
 import type { LeaseExpiry } from '../machines/lease-expiry.js';
 import type { Machine } from '../machines/machine.js';
 import { UsageLedger } from '../machines/usage-ledger.js';
@@ -163,7 +163,7 @@
   mayPlace(job: LiveJob, allMachinesReconciled: boolean): boolean {
     return (
       allMachinesReconciled ||
-      (this.observedJobsLoaded && job.startableSinceRevision > this.fencingToken)
+      (this.observedJobsLoaded && job.dependencies.startableSinceRevision > this.fencingToken)
     );
   }
 
--- a/packages/controller/src/term/worker-commands.ts
+++ b/packages/controller/src/term/worker-commands.ts
@@ -44,12 +44,10 @@
     const machine = this.term.machines.get(machineId);
     if (!machine) return true;
     for (const binding of machine.bindings.values()) {
-      if (
-        binding.phase === 'assigned'
-          ? this.mayStart(machine)
-          : this.stopCommandFor(binding) !== null
-      )
-        return true;
+      const isPending = binding.isAssigned
+        ? this.mayStart(machine)
+        : this.stopCommandFor(binding) !== null;
+      if (isPending) return true;
     }
     return false;
   }
@@ -61,7 +59,8 @@
    */
   longPollTimeoutOf(machineId: string, type: MachineType): Duration {
     const machine = this.term.machines.get(machineId);
-    if (!machine || machine.returning || machine.preemptionDeadline !== null) return 0;
+    if (!machine || machine.registration.isReturning) return 0;
+    if (machine.heartbeats.preemptionDeadline !== null) return 0;
     return fits(this.smallestTask, machine.free(type))
       ? this.runtime.operator.window.longPollTimeout
       : 0;
@@ -75,12 +74,12 @@
     const machine = this.term.machines.get(machineId);
     if (!machine) return [];
     const commands: WorkerCommand[] = [];
-    for (const { task, attempt, reason } of machine.exitedTasks) {
+    for (const { task, attempt, reason } of machine.heartbeats.exitedTasks) {
       if (this.mayForget(task, reason)) commands.push({ op: 'forget', task, attempt });
     }
     let assignedCount = 0;
     for (const binding of machine.bindings.values()) {
-      if (binding.phase === 'assigned') assignedCount++;
+      if (binding.isAssigned) assignedCount++;
       else this.invariants.checkRenewal(binding);
       const stop = this.stopCommandFor(binding);
       if (stop) commands.push(stop);
@@ -108,7 +107,7 @@
   }
 
   private dispatchStarts(machine: Machine): WorkerCommand[] {
-    const decision = this.authority.start(machine);
+    const decision = this.authority.start(machine.registration);
     if (!decision.granted) {
       this.runtime.stats.count(`starts.refused.${decision.reason}`);
       const fields = { machine: machine.id, reason: decision.reason };
@@ -119,16 +118,14 @@
     this.runtime.stats.record('evidence.start_age_ms', decision.evidence.age);
     const starts: WorkerCommand[] = [];
     for (const binding of machine.bindings.values()) {
-      if (binding.phase !== 'assigned' || this.invariants.violatesStart(binding)) continue;
+      if (!binding.isAssigned || this.invariants.violatesStart(binding)) continue;
       starts.push(this.dispatchStart(machine, binding, decision.evidence));
     }
     return starts;
   }
 
   private dispatchStart(machine: Machine, binding: Binding, evidence: Evidence): WorkerCommand {
-    binding.phase = 'dispatched';
-    binding.dispatchedAgentEpoch = machine.agentEpoch;
-    binding.dispatchedSequenceNumber = machine.sequenceNumber;
+    binding.dispatch(machine.heartbeats.sequenceNumber);
     machine.recordStartDispatched(binding, this.runtime.now);
     this.runtime.stats.record('starts.booked_to_sent_ms', this.runtime.now - binding.assignedAt);
     this.runtime.env.log(
@@ -146,8 +143,8 @@
 
   /** Null unless the task is to be stopped now; one that saves its state is left to finish. */
   private stopCommandFor(binding: Binding): WorkerCommand | null {
-    if (!binding.stopRequest || binding.phase !== 'observed') return null;
-    if (binding.state === 'saving' && binding.stopRequest.gracePeriod > 0) return null;
+    if (!binding.stopRequest || !binding.isObserved) return null;
+    if (binding.taskState === 'saving' && binding.stopRequest.gracePeriod > 0) return null;
     return {
       op: 'stop',
       task: binding.task,
@@ -161,11 +158,11 @@
     const parsed = splitTaskId(task);
     const job = parsed ? this.term.jobs.get(parsed.job) : undefined;
     if (!job || !parsed || reason !== 'done') return true;
-    return job.isDone(parsed.index) && !job.uncommittedTasks.has(parsed.index);
+    return job.progress.isCommitted(parsed.index);
   }
 
   private mayStart(machine: Machine): boolean {
-    return this.authority.start(machine).granted;
+    return this.authority.start(machine.registration).granted;
   }
 }
 
