--- a/packages/controller/src/term/task-observer.ts
+++ b/packages/controller/src/term/task-observer.ts
@@ -1,6 +1,7 @@
 /** What the tasks in a heartbeat change: bindings, progress, and what is learnt from them. */
 import { splitTaskId, type TaskStatus } from '@tealdock/wire';
-import { bindingKey, type ActiveTaskState, type Binding } from '../jobs/binding.js';
+import type { ActiveTaskState } from '../jobs/binding-phase.js';
+import { bindingKey, type Binding } from '../jobs/binding.js';
 import type { LiveJob } from '../jobs/live-job.js';
 import type { FetchSharing } from '../machines/fetch-sharing.js';
 import type { Machine } from '../machines/machine.js';
