--- a/packages/controller/src/term/quarantine.ts
+++ b/packages/controller/src/term/failure-recorder.ts
@@ -1,11 +1,11 @@
-/** Outcomes of tasks, as they count for the health of machines and for the backoff of jobs. */
+/** Records outcomes of tasks: machines that fail are quarantined, jobs that fail back off. */
 import type { TaskStatus } from '@tealdock/wire';
 import type { LiveJob } from '../jobs/live-job.js';
 import type { Machine } from '../machines/machine.js';
 import type { Runtime } from '../runtime/runtime.js';
 
-/** Records, from the outcomes of tasks, which machines and jobs get no starts for a while. */
-export class Quarantine {
+/** The one place that decides whether an outcome counts against a machine or against a job. */
+export class FailureRecorder {
   constructor(private readonly runtime: Runtime) {}
 
   /** A task completed; `job` is undefined if this term does not want the task. */
@@ -16,7 +16,7 @@
 
   /**
    * A task failed. Usually the machine is at fault, while a faulty job fails on every machine:
-   * from then on its failures no longer count against machines.
+   * once a job backs off, its failures no longer count against machines.
    */
   recordFailure(machine: Machine, job: LiveJob | undefined, { task, reason }: TaskStatus): void {
     this.runtime.env.log('info', { machine: machine.id, task, reason }, 'task failed');
@@ -25,11 +25,6 @@
     job?.backoff.recordFailure(this.runtime.now);
   }
 
-  /** A heartbeat shows a task that was dispatched to the machine: answers do reach it. */
-  recordObservedTask(machine: Machine): void {
-    machine.health.recordTaskObserved();
-  }
-
   /**
    * A dispatched start never showed up in a heartbeat. Heartbeats may arrive while no answer
    * reaches the machine; it then looks idle and would attract one start after the other.
--- a/packages/controller/src/term/machine-registry.ts
+++ b/packages/controller/src/term/machine-registry.ts
@@ -121,10 +121,10 @@
   }
 
   private loadMachine(id: string, entry: RegistryEntry): void {
-    const [type, zone, spot, returning, firstSeenSeconds] = entry;
+    const [type, zone, spot, returning, firstObservedSeconds] = entry;
     const place = { type, zone, spot: spot === 1 };
     const machine = this.targets.fleet.get(id) ?? this.newMachine(id, place);
-    const ageMs = this.runtime.wallClock.getTime() - firstSeenSeconds * MS_PER_SECOND;
+    const ageMs = this.runtime.wallClock.getTime() - firstObservedSeconds * MS_PER_SECOND;
     machine.registration.restore({
       isReturning: returning === 1,
       firstObservedAt: this.runtime.now - Math.max(0, ageMs),
@@ -136,13 +136,13 @@
   private store(machine: Machine): void {
     const ageMs =
       this.runtime.now - Math.min(machine.registration.firstObservedAt, this.runtime.now);
-    const firstSeenAtMs = this.runtime.wallClock.getTime() - ageMs;
+    const firstObservedAtMs = this.runtime.wallClock.getTime() - ageMs;
     this.table.set(machine.id, [
       machine.type,
       machine.zone,
       machine.spot ? 1 : 0,
       machine.registration.isReturning ? 1 : 0,
-      Math.round(firstSeenAtMs / MS_PER_SECOND),
+      Math.round(firstObservedAtMs / MS_PER_SECOND),
     ]);
   }
 
