--- a/packages/controller/src/term/job-watch.ts
+++ b/packages/controller/src/term/job-watch.ts
@@ -96,10 +96,10 @@
     if (key?.rest !== 'spec') return;
     const job = this.liveJobs.jobs.get(key.job);
     // A job that this leader ends is removed by its own commit.
-    const byOthers =
-      !event.removed ||
-      (job && !job.progress.isComplete && !job.dependencies.hasCancelledPredecessor);
-    if (byOthers) this.writeShare.recordChange(event);
+    const isEndingHere =
+      job?.progress.isComplete === true || job?.dependencies.hasCancelledPredecessor === true;
+    const isByOtherNode = !event.removed || (job !== undefined && !isEndingHere);
+    if (isByOtherNode) this.writeShare.recordChange(event);
     if (event.removed) this.liveJobs.endJob(key.job);
     else this.liveJobs.addJob(key.job, event.value, event.version);
   }
--- a/packages/controller/src/term/task-observer.ts
+++ b/packages/controller/src/term/task-observer.ts
@@ -1,14 +1,14 @@
 /** What the tasks in a heartbeat change: bindings, progress, and what is learnt from them. */
 import { splitTaskId, type TaskStatus } from '@tealdock/wire';
-import { bindingKey, type Binding } from '../jobs/binding.js';
 import type { ActiveTaskState } from '../jobs/binding-phase.js';
+import { bindingKey, type Binding } from '../jobs/binding.js';
 import type { LiveJob } from '../jobs/live-job.js';
 import type { FetchSharing } from '../machines/fetch-sharing.js';
 import type { Machine } from '../machines/machine.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { Bindings } from './bindings.js';
 import type { EndedJobLookup } from './ended-job-lookup.js';
-import { Quarantine } from './quarantine.js';
+import { FailureRecorder } from './failure-recorder.js';
 import type { RunTimeRatios } from './run-time-ratios.js';
 import type { TermView } from './term-view.js';
 
@@ -22,14 +22,14 @@
 
 /** Brings the bindings of a machine in line with the tasks that its newest heartbeat lists. */
 export class TaskObserver {
-  private readonly quarantine: Quarantine;
+  private readonly failures: FailureRecorder;
 
   constructor(
     private readonly runtime: Runtime,
     private readonly term: TermView,
     private readonly targets: ObservationTargets,
   ) {
-    this.quarantine = new Quarantine(runtime);
+    this.failures = new FailureRecorder(runtime);
   }
 
   /** Applies a counted heartbeat: what it lists is on the machine, and nothing else is. */
@@ -45,38 +45,37 @@
     if (bound?.taskState === state) return;
     const wasRunning = bound !== undefined && bound.runningSince !== null;
     const binding = bound ?? this.adopt(machine, { ...status, state });
-    this.quarantine.recordObservedTask(machine);
+    machine.health.recordTaskObserved();
     bound?.observe(state, this.runtime.now);
     if (state !== 'fetching') {
-      if (binding.image !== null) this.recordImageFetched(machine, binding.image, binding.imageGb);
+      this.recordImageFetched(machine, binding);
       if (!wasRunning) this.recordRunning(machine, binding);
     } else if (this.term.jobs.get(binding.job)?.spec.kind === 'array') {
       machine.recordImageMissing(binding, this.runtime.now);
     }
   }
 
-  /** A task found on a machine without a binding of this term. */
-  private adopt(machine: Machine, status: TaskStatus & { state: ActiveTaskState }): Binding {
-    const binding = this.targets.bindings.adopt(machine, status);
+  /** Binds a task that this term has not assigned to the machine. */
+  private adopt(machine: Machine, task: TaskStatus & { state: ActiveTaskState }): Binding {
+    const binding = this.targets.bindings.adopt(machine, task);
     if (!this.term.jobs.has(binding.job)) this.targets.lookup.lookUp(binding);
     return binding;
   }
 
+  private recordImageFetched(machine: Machine, { image, imageGb }: Binding): void {
+    if (image === null) return;
+    const fetch = machine.recordImageFetched(image, imageGb, this.runtime.now);
+    if (fetch) this.targets.fetchSharing.record(fetch);
+  }
+
   private recordRunning(machine: Machine, binding: Binding): void {
     if (binding.isDispatchedByThisTerm) {
-      this.runtime.stats.record(
-        'starts.booked_to_running_ms',
-        this.runtime.now - binding.assignedAt,
-      );
+      const sinceAssignmentMs = this.runtime.now - binding.assignedAt;
+      this.runtime.stats.record('starts.booked_to_running_ms', sinceAssignmentMs);
     }
     this.runtime.env.log('debug', { task: binding.task, machine: machine.id }, 'task running');
   }
 
-  private recordImageFetched(machine: Machine, image: string, sizeGb: number): void {
-    const fetch = machine.recordImageFetched(image, sizeGb, this.runtime.now);
-    if (fetch) this.targets.fetchSharing.record(fetch);
-  }
-
   private observeExit(machine: Machine, status: TaskStatus, bound: Binding | undefined): void {
     if (bound) this.endExited(machine, bound, status);
     const parsed = splitTaskId(status.task);
@@ -90,11 +89,11 @@
   private endExited(machine: Machine, binding: Binding, status: TaskStatus): void {
     const job = binding.isOrphaned ? undefined : this.term.jobs.get(binding.job);
     if (status.reason === 'done') {
-      this.quarantine.recordCompletion(machine, job);
+      this.failures.recordCompletion(machine, job);
       if (job) this.recordRunTime(job, binding);
       job?.markDone(binding.index);
     } else if (status.reason === 'error' || status.reason === 'unknown') {
-      this.quarantine.recordFailure(machine, job, status);
+      this.failures.recordFailure(machine, job, status);
     }
     this.targets.bindings.end(binding, status.reason ?? 'exited');
   }
@@ -115,7 +114,7 @@
       this.targets.bindings.end(binding, 'not on the machine');
     }
     if (!isStartLost) return;
-    this.quarantine.recordLostStart(machine);
+    this.failures.recordLostStart(machine);
     this.targets.bindings.releaseUndispatched(machine);
   }
 }
