--- a/packages/controller/src/machines/catalog.ts
+++ b/packages/controller/src/machines/catalog.ts
@@ -51,7 +51,7 @@
       path: CATALOG_PATH,
       body: null,
       priority: PRIORITY.background,
-      writes: 0,
+      writeCount: 0,
       timeout: CLOUD_CALL_TIMEOUT_MS,
     };
     this.runtime.call(call, (result) => {
