--- a/packages/controller/src/term/direct-stops.ts
+++ b/packages/controller/src/term/direct-stops.ts
@@ -91,7 +91,7 @@
       path: COMMANDS_PATH,
       body: renderDirectCommands(fencingToken, machine.heartbeats.agentEpoch, stops),
       priority: PRIORITY.leader,
-      writes: 0,
+      writeCount: 0,
       timeout: CALL_TIMEOUT_MS,
     };
     this.runtime.call(call, () => this.callsInFlight--);
