--- a/packages/controller/src/term/machine-maintenance.ts
+++ b/packages/controller/src/term/machine-maintenance.ts
@@ -60,9 +60,9 @@
   private checkMachine(machine: Machine): void {
     machine.usage.accumulateComputeTime(CHECK_INTERVAL_MS);
     const timeoutMs = this.runtime.settings.heartbeatInterval * UNDISPATCHED_TIMEOUT_FACTOR;
-    const silenceMs = this.runtime.now - (machine.heartbeats.lastCountedAt ?? this.term.electedAt);
-    const isLeaving =
-      machine.registration.isReturning || machine.heartbeats.preemptionDeadline !== null;
+    const { lastCountedAt, preemptionDeadline } = machine.heartbeats;
+    const silenceMs = this.runtime.now - (lastCountedAt ?? this.term.electedAt);
+    const isLeaving = machine.registration.isReturning || preemptionDeadline !== null;
     if (silenceMs > timeoutMs || isLeaving) this.targets.bindings.releaseUndispatched(machine);
     machine.usage.updateIdle(this.runtime.now);
   }
