--- a/packages/controller/src/autoscaling/autoscaler.ts
+++ b/packages/controller/src/autoscaling/autoscaler.ts
@@ -114,7 +114,7 @@
   private backlog(): Backlog[] {
     const inside = guaranteedJobs(this.term.jobs.values(), this.runtime.settings);
     const jobs = [...this.term.jobs.values()]
-      .filter((j) => j.unboundTaskCount > 0 && j.backoffUntil <= this.runtime.now)
+      .filter((j) => j.unboundTaskCount > 0 && !j.backoff.isActive(this.runtime.now))
       .map((job) => ({ job, latest: this.latest(job, inside.has(job.id)) }))
       .sort((a, b) => a.latest - b.latest);
     const all = offerings(this.types(), () => false);
@@ -123,7 +123,7 @@
       const team = this.runtime.settings.teams.find((t) => t.name === job.spec.team);
       const room =
         rest.get(job.spec.team) ??
-        (team?.maxCpus ?? 0) - this.term.ledger.teamUse(job.spec.team).cpus;
+        (team?.maxCpus ?? 0) - this.term.ledger.usageOf(job.spec.team).cpus;
       const most = job.spec.cpus > 0 ? Math.floor(room / job.spec.cpus) : job.unboundTaskCount;
       const tasks = Math.max(0, Math.min(job.unboundTaskCount, most));
       rest.set(job.spec.team, room - tasks * job.spec.cpus);
@@ -134,7 +134,7 @@
   private latest(job: LiveJob, guaranteed: boolean): Instant {
     const ratio = this.term.runTimeRatios.get(job.spec.jobClass) ?? 1;
     const latest = latestStart(job, ratio, guaranteed, this.runtime.settings);
-    return latest === Infinity ? job.startableAt + AIMLESS_WAIT : latest;
+    return latest === Infinity ? job.dependencies.startableAt + AIMLESS_WAIT : latest;
   }
 
   /** Dear machines are only for work that would otherwise start too late. */
@@ -180,14 +180,14 @@
 
   private usable(machine: Machine): boolean {
     if (
-      machine.returning ||
-      machine.preemptionDeadline !== null ||
-      machine.quarantinedUntil > this.runtime.now
+      machine.registration.isReturning ||
+      machine.heartbeats.preemptionDeadline !== null ||
+      machine.health.isQuarantined(this.runtime.now)
     )
       return false;
     return (
-      !machine.reconciled ||
-      (machine.lastHeartbeatAt !== null && !this.returns.countsNoMore(machine))
+      !machine.registration.isReconciled ||
+      (machine.heartbeats.lastCountedAt !== null && !this.returns.countsNoMore(machine))
     );
   }
 
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -85,7 +85,7 @@
       leadership,
       peers,
       delegatedRenewal: new DelegatedRenewal(runtime, state, leadership, peers, (job, onResult) =>
-        lookup.prove(job, onResult),
+        lookup.proveLiveness(job, onResult),
       ),
       leader: terms,
       leaderHeartbeats: new LeaderHeartbeats(runtime, this.catalog, terms),
--- a/packages/controller/src/node/leader-broadcasts.ts
+++ b/packages/controller/src/node/leader-broadcasts.ts
@@ -37,7 +37,7 @@
     if (!term || !this.leadership.validLease()) return;
     const jobs = [...term.jobs.values()].slice(0, MAX_TASK_COUNTS_JOB_COUNT).map((job) => ({
       id: job.id,
-      done: job.doneCount,
+      done: job.progress.doneTaskCount,
       running: job.countRunning(),
     }));
     this.broadcast({ kind: 'counts', jobs });
--- a/packages/controller/src/node/node-health.ts
+++ b/packages/controller/src/node/node-health.ts
@@ -30,7 +30,7 @@
    */
   get isHealthy(): boolean {
     const isStarting = this.runtime.now - this.startedAt < STARTUP_GRACE_MS;
-    if (isStarting && !this.catalog.known) return false;
+    if (isStarting && !this.catalog.isLoaded) return false;
     return this.state.isAvailable || this.peers.anyAlive;
   }
 }
--- a/packages/controller/src/requests/cancellations.ts
+++ b/packages/controller/src/requests/cancellations.ts
@@ -33,7 +33,7 @@
 
   private readAndCancel(id: string, attemptsLeft: number, respond: Respond): void {
     this.lookup.read(id, (job) => {
-      if (job.kind === 'unsure' || attemptsLeft === 0) return respond(unavailableReply());
+      if (job.kind === 'unknown' || attemptsLeft === 0) return respond(unavailableReply());
       if (job.kind === 'none') return respond(errorReply(404, 'no such job'));
       if (job.kind === 'ended') return respond(jobReply({ id, state: job.view.state }));
       if (!job.value) return respond(unavailableReply());
--- a/packages/controller/src/requests/job-status.ts
+++ b/packages/controller/src/requests/job-status.ts
@@ -39,7 +39,7 @@
     replyIfUnknown: Reply,
     respond: Respond,
   ): void {
-    if (job.kind === 'unsure') respond(unavailableReply());
+    if (job.kind === 'unknown') respond(unavailableReply());
     else if (job.kind === 'none') respond(replyIfUnknown);
     else if (job.kind === 'ended') respond(jobReply(job.view));
     else this.respondLive(id, respond);
@@ -52,8 +52,8 @@
    */
   private respondLive(id: string, respond: Respond): void {
     this.ancestorCheck.check(id, (verdict) => {
-      if (verdict === 'clear') respond(jobReply(this.liveView(id)));
-      else if (verdict === 'unsure') respond(unavailableReply());
+      if (verdict === 'none_cancelled') respond(jobReply(this.liveView(id)));
+      else if (verdict === 'unknown') respond(unavailableReply());
       else this.cancellations.cancel(id, respond);
     });
   }
