--- a/packages/controller/src/leadership/delegated-renewal.ts
+++ b/packages/controller/src/leadership/delegated-renewal.ts
@@ -48,7 +48,7 @@
   get mayRenew(): boolean {
     const { leader, leaderFencingToken } = this.leadership;
     if (leader === null || leaderFencingToken === null || this.state.lastCallFailed) return false;
-    if (leader === this.runtime.settings.member || this.peers.refusedConnectionRecently(leader))
+    if (leader === this.runtime.settings.member || this.peers.hasRefusedConnectionRecently(leader))
       return false;
     return this.runtime.now - this.peers.lastHeartbeatAt(leader) > LEADER_UNREACHABLE_AFTER_MS;
   }
--- a/packages/controller/src/leadership/election-lease.ts
+++ b/packages/controller/src/leadership/election-lease.ts
@@ -13,7 +13,7 @@
  */
 export class ElectionLease {
   private leaseId: number | null = null;
-  private validUntilInstant: Instant = 0;
+  private expiresAt: Instant = 0;
 
   constructor(
     private readonly runtime: Runtime,
@@ -27,19 +27,19 @@
 
   /** Up to this instant the state service surely keeps the lease. */
   get validUntil(): Instant {
-    return this.validUntilInstant;
+    return this.expiresAt;
   }
 
   /** Uses the lease while it is valid, else asks for a new one; null if none was granted. */
   obtain(onResult: (leaseId: number | null) => void): void {
-    if (this.leaseId !== null && this.runtime.now < this.validUntilInstant) {
+    if (this.leaseId !== null && this.runtime.now < this.expiresAt) {
       return onResult(this.leaseId);
     }
     const sentAt = this.runtime.now;
     this.state.grantLease(this.runtime.operator.leadership.leaseDuration, (grant) => {
       if (grant.kind === 'failed') return onResult(null);
       this.leaseId = grant.leaseId;
-      this.validUntilInstant = 0;
+      this.expiresAt = 0;
       this.extendFrom(sentAt);
       onResult(grant.leaseId);
     });
@@ -65,12 +65,12 @@
   /** Forgets the lease: it has ended, or is not wanted any more. */
   forget(): void {
     this.leaseId = null;
-    this.validUntilInstant = 0;
+    this.expiresAt = 0;
   }
 
   private extendFrom(sentAt: Instant): void {
     const { leaseDuration } = this.runtime.operator.leadership;
     const end = sentAt + minOnOtherClock(leaseDuration) - EXPIRY_MARGIN_MS;
-    this.validUntilInstant = Math.max(this.validUntilInstant, end);
+    this.expiresAt = Math.max(this.expiresAt, end);
   }
 }
--- a/packages/controller/src/node/node-health.ts
+++ b/packages/controller/src/node/node-health.ts
@@ -31,6 +31,6 @@
   get isHealthy(): boolean {
     const isStarting = this.runtime.now - this.startedAt < STARTUP_GRACE_MS;
     if (isStarting && !this.catalog.isLoaded) return false;
-    return this.state.isAvailable || this.peers.anyAlive;
+    return this.state.isAvailable || this.peers.hasLivePeer;
   }
 }
--- a/packages/controller/src/peers/peers.ts
+++ b/packages/controller/src/peers/peers.ts
@@ -74,7 +74,7 @@
   }
 
   /** Whether its host was seen to be reachable while the member's process was not. */
-  refusedConnectionRecently(member: string): boolean {
+  hasRefusedConnectionRecently(member: string): boolean {
     const refusedAt = this.connectionRefusedAt.get(member) ?? -Infinity;
     return this.runtime.now - refusedAt < REFUSED_CONNECTION_TTL_MS;
   }
@@ -90,7 +90,7 @@
     return last !== undefined && this.runtime.now - last.receivedAt <= HEARTBEAT_TTL_MS;
   }
 
-  get anyAlive(): boolean {
+  get hasLivePeer(): boolean {
     return this.runtime.settings.peers.some((peer) => this.isAlive(peer.member));
   }
 
