--- a/packages/controller/src/jobs/binding.ts
+++ b/packages/controller/src/jobs/binding.ts
@@ -137,7 +137,7 @@
     return this.taskState === null || this.taskState === 'fetching';
   }
 
-  /** False for an adopted task. Workers number their heartbeats from 1. */
+  /** False for an adopted task. Workers number their heartbeats from 1, so 0 is none. */
   get isDispatchedByThisTerm(): boolean {
     const phase = this.currentPhase;
     return phase.kind !== 'assigned' && (phase.heartbeatNumber ?? 0) > 0;
@@ -164,8 +164,8 @@
   }
 
   /**
-   * When the task must be gone by the protocol, because its job has ended in any way; null
-   * while the job has not. Infinity once its lateness has been reported.
+   * When the task must be gone by the protocol, since its job has ended in this term, in any
+   * way, or was cancelled before; else null. Infinity once its lateness has been reported.
    */
   get terminationDeadline(): Instant | null {
     return this.currentTerminationDeadline;
@@ -192,7 +192,7 @@
     this.orphaned = true;
   }
 
-  /** The job has been looked up. */
+  /** The job has been looked up: replaces the unknown team and resources. */
   setUsage(team: string, resources: Resources): void {
     this.observer.applyUsageChange(this, () => {
       this.currentTeam = team;
--- a/packages/controller/src/jobs/dependency-graph.ts
+++ b/packages/controller/src/jobs/dependency-graph.ts
@@ -114,7 +114,7 @@
     const isReleased = job.dependencies.recordPredecessorDone({ id, doneAt, revision });
     if (!isReleased) return;
     const ageMs = Math.round(this.runtime.now - job.dependencies.startableAt);
-    this.runtime.env.log('debug', { job: job.id, ageMs }, 'job released');
+    this.runtime.log('debug', { job: job.id, ageMs }, 'job released');
   }
 
   /** A time of day on this process's steady clock; at the latest, now. */
--- a/packages/controller/src/term/bindings.ts
+++ b/packages/controller/src/term/bindings.ts
@@ -82,7 +82,7 @@
 
   /** Only with proof that the task is not on the machine any more. */
   end(binding: Binding, proof: string): void {
-    this.runtime.env.log(
+    this.runtime.log(
       'debug',
       { task: binding.task, attempt: binding.attempt, machine: binding.machine, proof },
       'binding ended',
