--- a/packages/controller/src/jobs/dependency-graph.ts
+++ b/packages/controller/src/jobs/dependency-graph.ts
@@ -10,7 +10,7 @@
 interface LiveJobsView {
   readonly jobs: ReadonlyMap<string, LiveJob>;
   /** Ratio of actual to estimated run time by class. */
-  readonly runTimeRatios: ReadonlyMap<string, number>;
+  readonly runTimeRatios: { ratioOf(jobClass: string): number };
   readonly closed: boolean;
 }
 
@@ -95,7 +95,7 @@
       predecessors: predecessorsOf(job.acceptedSpec),
       priority,
       finishBy: job.ownFinishBy,
-      run: estimate * (this.term.runTimeRatios.get(jobClass) ?? 1),
+      run: estimate * this.term.runTimeRatios.ratioOf(jobClass),
     };
   }
 
@@ -114,7 +114,7 @@
     const isReleased = job.dependencies.recordPredecessorDone({ id, doneAt, revision });
     if (!isReleased) return;
     const ageMs = Math.round(this.runtime.now - job.dependencies.startableAt);
-    this.runtime.env.log('debug', { job: job.id, ageMs }, 'job released');
+    this.runtime.log('debug', { job: job.id, ageMs }, 'job released');
   }
 
   /** A time of day on this process's steady clock; at the latest, now. */
--- a/packages/controller/src/node/leader-broadcasts.ts
+++ b/packages/controller/src/node/leader-broadcasts.ts
@@ -4,7 +4,7 @@
 import type { Peers } from '../peers/peers.js';
 import type { LeaderContext } from '../requests/leader-heartbeats.js';
 import type { Runtime } from '../runtime/runtime.js';
-import { hintsOf } from '../term/successor-hints.js';
+import { collectHints } from '../term/successor-hints.js';
 
 const TASK_COUNTS_INTERVAL_MS = 2000;
 /** Jobs of which one message holds counts, to limit its size. */
@@ -46,7 +46,7 @@
   private broadcastHints(): void {
     const { term } = this.leader;
     if (!term?.allMachinesReconciled || !this.leadership.validLease()) return;
-    this.broadcast({ kind: 'hints', ...hintsOf(term) });
+    this.broadcast({ kind: 'hints', ...collectHints(term) });
   }
 
   /** This node serves users as the others do, so it receives its own messages too. */
--- a/packages/controller/src/node/term-lifecycle.ts
+++ b/packages/controller/src/node/term-lifecycle.ts
@@ -11,7 +11,7 @@
 import type { StateStore } from '../state/state-store.js';
 import { DirectStops } from '../term/direct-stops.js';
 import { JobCompletion } from '../term/job-completion.js';
-import { useHints } from '../term/successor-hints.js';
+import { applyHints } from '../term/successor-hints.js';
 import { Term } from '../term/term.js';
 
 /** What a term is built on. */
@@ -44,10 +44,7 @@
 
   /** What allows answers that renew workers' leases now; null if nothing does. */
   renewalGrant(): Granted | null {
-    if (!this.currentTerm) return null;
-    const decision = this.currentTerm.authority.renewal();
-    this.currentTerm.authority.noteRenewal(decision);
-    return decision.granted ? decision : null;
+    return this.currentTerm?.renewalGrant() ?? null;
   }
 
   /** A node that committed a cancellation names the job; it is ended here without delay. */
@@ -60,7 +57,7 @@
     this.closeTerm();
     const { state, leadership, peers } = this.services;
     const term = new Term(this.runtime, state, leadership, fencingToken);
-    if (peers.hints) useHints(peers.hints, term);
+    if (peers.hints) applyHints(peers.hints, term);
     this.currentTerm = term;
     this.currentLongPolls = new LongPolls(this.runtime, term, () => this.renewalGrant());
     this.startParts(term);
@@ -95,7 +92,11 @@
     );
     term.start();
     new JobCompletion(runtime, state, leadership, term).start();
-    new DirectStops(runtime, term, () => this.renewalGrant() !== null).start();
+    new DirectStops(runtime, {
+      term,
+      hasEnded: (job) => term.liveJobs.hasEnded(job),
+      mayRenew: () => this.renewalGrant() !== null,
+    }).start();
     scheduler.start();
     autoscaler.start();
   }
