--- a/packages/cli/src/cli.ts
+++ b/packages/cli/src/cli.ts
@@ -3,7 +3,7 @@
 import { Command, Option } from 'commander';
 import { WireError, parseOperatorSettings, parseSettings } from '@tealdock/wire';
 import type { OperatorSettings, Settings } from '@tealdock/wire';
-import { cancelLimitProblem } from '@tealdock/controller';
+import { cancellationLimitProblem } from '@tealdock/controller';
 import { cancelJob, jobStatus, nodeStats, submitJob } from './client.js';
 import { serve } from './serve.js';
 
@@ -34,7 +34,7 @@
 
 function readSettings(options: FileOptions): { settings: Settings; operator: OperatorSettings } {
   const settings = read(options.config, parseSettings);
-  const problem = cancelLimitProblem(settings);
+  const problem = cancellationLimitProblem(settings);
   if (problem !== null) fail(`${options.config}: ${problem}`, EXIT_USAGE);
   const operator = options.operator
     ? read(options.operator, parseOperatorSettings)
--- a/packages/controller/src/term/binding-invariants.ts
+++ b/packages/controller/src/term/binding-invariants.ts
@@ -27,8 +27,7 @@
    */
   violatesStart(binding: Binding): boolean {
     const job = this.term.jobs.get(binding.job);
-    if (job && !job.dependencies.hasCancelledPredecessor && job.dependencies.isReleased)
-      return false;
+    if (job?.dependencies.isReleased && !job.dependencies.hasCancelledPredecessor) return false;
     this.report('started_ended_job', binding);
     return true;
   }
--- a/packages/controller/src/term/worker-commands.ts
+++ b/packages/controller/src/term/worker-commands.ts
@@ -44,8 +44,10 @@
     const machine = this.term.machines.get(machineId);
     if (!machine) return true;
     for (const binding of machine.bindings.values()) {
-      if (binding.isAssigned ? this.mayStart(machine) : this.stopCommandFor(binding) !== null)
-        return true;
+      const isPending = binding.isAssigned
+        ? this.mayStart(machine)
+        : this.stopCommandFor(binding) !== null;
+      if (isPending) return true;
     }
     return false;
   }
@@ -57,12 +59,8 @@
    */
   longPollTimeoutOf(machineId: string, type: MachineType): Duration {
     const machine = this.term.machines.get(machineId);
-    if (
-      !machine ||
-      machine.registration.isReturning ||
-      machine.heartbeats.preemptionDeadline !== null
-    )
-      return 0;
+    if (!machine || machine.registration.isReturning) return 0;
+    if (machine.heartbeats.preemptionDeadline !== null) return 0;
     return fits(this.smallestTask, machine.free(type))
       ? this.runtime.operator.window.longPollTimeout
       : 0;
