--- a/packages/controller/src/autoscaling/rental-requests.ts
+++ b/packages/controller/src/autoscaling/rental-requests.ts
@@ -96,7 +96,7 @@
       this.refused.set(placeKey(rental), this.runtime.now + REFUSED_FOR);
     }
     if (this.requests.size === 0) this.runtime.after(0, () => this.onAllAnswered());
-    this.runtime.env.log('info', { ...rental, hosts, status }, 'scale-out answered');
+    this.runtime.log('info', { ...rental, hosts, status }, 'scale-out answered');
   }
 }
 
--- a/packages/controller/src/term/task-observer.ts
+++ b/packages/controller/src/term/task-observer.ts
@@ -73,7 +73,7 @@
       const sinceAssignmentMs = this.runtime.now - binding.assignedAt;
       this.runtime.stats.record('starts.booked_to_running_ms', sinceAssignmentMs);
     }
-    this.runtime.env.log('debug', { task: binding.task, machine: machine.id }, 'task running');
+    this.runtime.log('debug', { task: binding.task, machine: machine.id }, 'task running');
   }
 
   private observeExit(machine: Machine, status: TaskStatus, bound: Binding | undefined): void {
--- a/packages/testing/src/scenarios/single-faults.test.ts
+++ b/packages/testing/src/scenarios/single-faults.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { cancelLimitProblem } from '@tealdock/controller';
+import { cancellationLimitProblem } from '@tealdock/controller';
 import { job } from '../index.js';
 import { A, ask, finished, keepsRules, others, running, settled, status } from './steps.js';
 
@@ -256,7 +256,10 @@
     workerLeaseDuration: lease,
     cancellationLimit: cancel,
   });
-  assert.equal(cancelLimitProblem(times(27_000, 47_000)), null);
-  assert.equal(cancelLimitProblem(times(26_000, 56_000)), null);
-  assert.match(cancelLimitProblem(times(27_000, 30_000)) ?? '', /cancel_s: must be at least 31.1/);
+  assert.equal(cancellationLimitProblem(times(27_000, 47_000)), null);
+  assert.equal(cancellationLimitProblem(times(26_000, 56_000)), null);
+  assert.match(
+    cancellationLimitProblem(times(27_000, 30_000)) ?? '',
+    /cancel_s: must be at least 31.1/,
+  );
 });
