--- a/packages/cli/src/settings-files.ts
+++ b/packages/cli/src/settings-files.ts
@@ -1,6 +1,6 @@
 /** Settings files named on the command line. */
 import { readFileSync } from 'node:fs';
-import { cancelLimitProblem } from '@tealdock/controller';
+import { cancellationLimitProblem } from '@tealdock/controller';
 import { SettingsError, parseOperatorSettings, parseSettings } from '@tealdock/wire';
 import type { OperatorSettings, Settings } from '@tealdock/wire';
 import { CommandError, EXIT_CODES } from './command-error.js';
@@ -18,7 +18,7 @@
   operator: OperatorSettings;
 } {
   const settings = parseFile(files.config, parseSettings);
-  const problem = cancelLimitProblem(settings);
+  const problem = cancellationLimitProblem(settings);
   if (problem !== null) throw usageError(`${files.config}: ${problem}`);
   const operator = files.operator
     ? parseFile(files.operator, parseOperatorSettings)
--- a/packages/controller/src/placement/preemption.ts
+++ b/packages/controller/src/placement/preemption.ts
@@ -109,7 +109,7 @@
     const gracePeriod = this.term.jobs.get(binding.job)?.spec.save ?? 0;
     this.term.bindings.requestStop(binding, { gracePeriod, reason });
     capacity.freeAfterStops = addResources(capacity.freeAfterStops, resources);
-    this.runtime.env.log(
+    this.runtime.log(
       'debug',
       { task: binding.task, machine: binding.machine, reason },
       'task preempted',
--- a/packages/controller/src/term/heartbeat-processor.ts
+++ b/packages/controller/src/term/heartbeat-processor.ts
@@ -69,8 +69,8 @@
    * renewed, and all placement would wait for it. Without answers its lease expires.
    */
   private missesAnswers(machine: Machine, heartbeat: WorkerHeartbeat): boolean {
-    if (machine.registration.isReconciled || heartbeat.fencingToken === this.term.fencingToken)
-      return false;
+    if (machine.registration.isReconciled) return false;
+    if (heartbeat.fencingToken === this.term.fencingToken) return false;
     return machine.heartbeats.recordOlderToken(this.runtime.now) > MISSED_ANSWERS_TIMEOUT_MS;
   }
 
--- a/packages/controller/src/term/job-watch.ts
+++ b/packages/controller/src/term/job-watch.ts
@@ -88,7 +88,7 @@
     const ageMs = Math.round(this.runtime.now - this.knownUntil);
     this.runtime.stats.record('evidence.watch_age_ms', ageMs);
     if (changes > 0)
-      this.runtime.env.log('debug', { revision, changes, ageMs }, 'job changes received');
+      this.runtime.log('debug', { revision, changes, ageMs }, 'job changes received');
   }
 
   private applyEvent(event: StateEvent): void {
@@ -96,10 +96,10 @@
     if (key?.rest !== 'spec') return;
     const job = this.liveJobs.jobs.get(key.job);
     // A job that this leader ends is removed by its own commit.
-    const byOthers =
-      !event.removed ||
-      (job && !job.progress.isComplete && !job.dependencies.hasCancelledPredecessor);
-    if (byOthers) this.writeShare.recordChange(event);
+    const isEndingHere =
+      job?.progress.isComplete === true || job?.dependencies.hasCancelledPredecessor === true;
+    const isByOtherNode = !event.removed || (job !== undefined && !isEndingHere);
+    if (isByOtherNode) this.writeShare.recordChange(event);
     if (event.removed) this.liveJobs.endJob(key.job);
     else this.liveJobs.addJob(key.job, event.value, event.version);
   }
--- a/packages/controller/src/term/worker-commands.ts
+++ b/packages/controller/src/term/worker-commands.ts
@@ -44,8 +44,10 @@
     const machine = this.term.machines.get(machineId);
     if (!machine) return true;
     for (const binding of machine.bindings.values()) {
-      if (binding.isAssigned ? this.mayStart(machine) : this.stopCommandFor(binding) !== null)
-        return true;
+      const isPending = binding.isAssigned
+        ? this.mayStart(machine)
+        : this.stopCommandFor(binding) !== null;
+      if (isPending) return true;
     }
     return false;
   }
@@ -57,12 +59,8 @@
    */
   longPollTimeoutOf(machineId: string, type: MachineType): Duration {
     const machine = this.term.machines.get(machineId);
-    if (
-      !machine ||
-      machine.registration.isReturning ||
-      machine.heartbeats.preemptionDeadline !== null
-    )
-      return 0;
+    if (!machine || machine.registration.isReturning) return 0;
+    if (machine.heartbeats.preemptionDeadline !== null) return 0;
     return fits(this.smallestTask, machine.free(type))
       ? this.runtime.operator.window.longPollTimeout
       : 0;
@@ -99,7 +97,7 @@
       .filter(({ task, state }) => state !== 'exited' && this.authority.mayStop(jobOf(task)))
       .map(({ task, attempt }) => {
         this.runtime.stats.count('stops.uncounted');
-        this.runtime.env.log(
+        this.runtime.log(
           'debug',
           { task, attempt, machine, reason: JOB_NOT_LIVE_REASON },
           'stop dispatched',
@@ -114,7 +112,7 @@
       this.runtime.stats.count(`starts.refused.${decision.reason}`);
       const fields = { machine: machine.id, reason: decision.reason };
       const evidence = evidenceFields(decision.evidence);
-      this.runtime.env.log('debug', { ...fields, ...evidence }, 'starts refused');
+      this.runtime.log('debug', { ...fields, ...evidence }, 'starts refused');
       return [];
     }
     this.runtime.stats.record('evidence.start_age_ms', decision.evidence.age);
@@ -130,7 +128,7 @@
     binding.dispatch(machine.heartbeats.sequenceNumber);
     machine.recordStartDispatched(binding, this.runtime.now);
     this.runtime.stats.record('starts.booked_to_sent_ms', this.runtime.now - binding.assignedAt);
-    this.runtime.env.log(
+    this.runtime.log(
       'debug',
       {
         task: binding.task,
