--- a/packages/controller/src/requests/leader-heartbeats.ts
+++ b/packages/controller/src/requests/leader-heartbeats.ts
@@ -42,14 +42,12 @@
     // Only a newer heartbeat shows that the one before was given up; a late copy does not.
     if (counted) longPolls?.abandon(heartbeat.machine, grant);
     const waitTime = counted && commands.length === 0 ? this.longPollTimeout(term, heartbeat) : 0;
-    if (waitTime > 0) longPolls?.open(heartbeat.machine, requestId, waitTime);
-    else {
-      this.runtime.reply(requestId, {
-        status: 200,
-        body: renderHeartbeatResponse(grant.fencingToken, commands),
-        validUntil: grant.validUntil,
-      });
+    if (waitTime > 0) {
+      longPolls?.open(heartbeat.machine, requestId, waitTime);
+      return true;
     }
+    const body = renderHeartbeatResponse(grant.fencingToken, commands);
+    this.runtime.reply(requestId, { status: 200, body, validUntil: grant.validUntil });
     return true;
   }
 
--- a/packages/controller/src/state/sharded-table.ts
+++ b/packages/controller/src/state/sharded-table.ts
@@ -1,5 +1,12 @@
 /** A table of small entries in the state service, stored in few keys. */
-import type { Duration, Instant, Precondition, StateItem, Write } from '@tealdock/wire';
+import {
+  millis,
+  type Duration,
+  type Instant,
+  type Precondition,
+  type StateItem,
+  type Write,
+} from '@tealdock/wire';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
 import { ShardPacking, type BatchLimits, type Shard } from './shard-packing.js';
@@ -16,7 +23,6 @@
 /** What deferrable changes may use of all changes a second: ends of jobs and joins can't wait. */
 const DEFERRABLE_WRITE_FRACTION = 1 / 8;
 const COMMIT_RETRY_DELAY_MS = 300;
-const MS_PER_SECOND = 1000;
 
 /** What a table has to know of leadership: only a leader writes it. */
 interface LeaderLeaseHolder {
@@ -168,7 +174,7 @@
 
   private limitDeferredWrites(writeCount: number): void {
     const { writesPerSecond } = this.runtime.settings.state;
-    const pause = (writeCount / (writesPerSecond * DEFERRABLE_WRITE_FRACTION)) * MS_PER_SECOND;
+    const pause = millis(writeCount / (writesPerSecond * DEFERRABLE_WRITE_FRACTION));
     this.deferredWritesAllowedAt = this.runtime.now + pause;
   }
 
--- a/packages/controller/src/state/write-share.ts
+++ b/packages/controller/src/state/write-share.ts
@@ -1,11 +1,10 @@
 /** The leader's share of the changes per second that the state service allows. */
-import type { Duration, Instant, StateEvent } from '@tealdock/wire';
+import { seconds, type Duration, type Instant, type StateEvent } from '@tealdock/wire';
 import type { Runtime } from '../runtime/runtime.js';
 
 const ADJUSTMENT_INTERVAL_MS = 1000;
 /** Changes by other nodes are averaged over this time. */
 const AVERAGING_WINDOW_MS = 5_000;
-const MS_PER_SECOND = 1000;
 /** What any node may use, so that the three of them together rarely exceed the limit. */
 const DEFAULT_FRACTION = 1 / 2;
 /** What the leader may use at the most, however little the other nodes do. */
@@ -56,7 +55,7 @@
       this.observedWrites.shift();
     }
     const total = this.observedWrites.reduce((sum, { count }) => sum + count, 0);
-    return total / (AVERAGING_WINDOW_MS / MS_PER_SECOND);
+    return total / seconds(AVERAGING_WINDOW_MS);
   }
 
   private isOutsideWindow(instant: Instant): boolean {
