--- a/packages/testing/src/smoke.ts
+++ b/packages/testing/src/smoke.ts
@@ -9,6 +9,7 @@
 import { join } from 'node:path';
 import { HttpClient } from '@tealdock/adapters';
 import { FakeCloud, FakeState, job } from './index.js';
+import { spawnGuarded } from './soak/child-guard.js';
 import { LOOPBACK } from './soak/loopback.js';
 import { listenPortsOf } from './soak/site-times.js';
 import { closeStandIn, serveStandIn } from './soak/stand-in-server.js';
@@ -109,7 +110,9 @@
   };
   const file = join(folder, 'node.toml');
   writeFileSync(file, settingsText(ports));
-  const node = spawn(process.execPath, [BUNDLE, 'serve', '--config', file], { stdio: 'ignore' });
+  const node = spawnGuarded(process.execPath, [BUNDLE, 'serve', '--config', file], {
+    stdio: 'ignore',
+  });
   try {
     await waitHealthy(ports.http);
     await commandsWork(`${LOOPBACK}:${ports.http}`, folder);
--- a/packages/testing/src/soak/controller-process.ts
+++ b/packages/testing/src/soak/controller-process.ts
@@ -1,8 +1,9 @@
 /** A controller as it is built for deployment, in a process of its own. */
-import { spawn, type ChildProcess } from 'node:child_process';
+import type { ChildProcess } from 'node:child_process';
 import { readFileSync } from 'node:fs';
 import { createInterface } from 'node:readline';
 import { parse as parseToml } from 'smol-toml';
+import { spawnGuarded } from './child-guard.js';
 
 const DEPLOY_FILE = 'deploy/service.toml';
 
@@ -40,12 +41,13 @@
   start(): void {
     if (this.child) return;
     const [program, args] = deployedCommand();
-    const child = spawn(program, [...args, this.settingsFile, '--operator', this.operatorFile], {
+    const allArgs = [...args, this.settingsFile, '--operator', this.operatorFile];
+    const child = spawnGuarded(program, allArgs, {
       stdio: ['ignore', 'ignore', 'pipe'],
       env: { ...process.env, LOG_LEVEL: process.env['SOAK_LOG_LEVEL'] ?? 'info' },
     });
     this.child = child;
-    createInterface({ input: child.stderr }).on('line', (line) =>
+    createInterface({ input: child.stderr! }).on('line', (line) =>
       this.events.line(this.name, line),
     );
     child.on('exit', (code) => {
--- a/packages/testing/src/soak/loopback-site.ts
+++ b/packages/testing/src/soak/loopback-site.ts
@@ -75,12 +75,14 @@
   private readonly servers: Listening[] = [];
   private readonly folder = mkdtempSync(join(tmpdir(), 'tealdock-soak-'));
   private timer: NodeJS.Timeout | null = null;
+  private readonly removeFolder = () => rmSync(this.folder, { recursive: true, force: true });
 
   constructor(
     private readonly machines: number,
     private readonly times: SiteTimes,
     private readonly random: () => number,
   ) {
+    process.once('exit', this.removeFolder);
     const now = () => performance.now();
     const limits = new Map([['team', this.cpuLimit]]);
     this.checker = new RuleChecker(now, limits, times.cancellationLimit);
@@ -161,7 +163,8 @@
     for (const link of this.links.values()) link.close();
     this.workers.close();
     this.servers.forEach(closeStandIn);
-    rmSync(this.folder, { recursive: true });
+    process.off('exit', this.removeFolder);
+    this.removeFolder();
   }
 
   private async portsOf(name: NodeName): Promise<NodePorts> {
--- a/packages/testing/src/soak/main.ts
+++ b/packages/testing/src/soak/main.ts
@@ -2,6 +2,7 @@
 import { spawn } from 'node:child_process';
 import { parseArgs } from 'node:util';
 import { parseSeeds } from '../simulation/seeded-random.js';
+import { endWithParent } from './child-guard.js';
 import { playSeed, type SoakResult } from './soak-run.js';
 
 /** A run with as many machines as controllers have trouble with, for each so many others. */
@@ -26,16 +27,19 @@
 const machinesFor = (seed: number): number =>
   seed % LARGE_EVERY === 0 ? LARGE : Number(values.machines);
 
-/** A process of its own for each seed, so that runs do not hold each other up. */
+/**
+ * Plays a seed in a process of its own, so that runs do not hold each other up. It ends with this
+ * one, which it knows by the IPC channel.
+ */
 function playApart(seed: number): Promise<SoakResult> {
   const args = ['--one', '--seeds', String(seed), '--machines', String(machinesFor(seed))];
   const script = process.argv[1] ?? '';
   if (values.log !== undefined) args.push('--log', values.log);
   const child = spawn(process.execPath, [script, ...args, '--seconds', values.seconds], {
-    stdio: ['ignore', 'pipe', 'inherit'],
+    stdio: ['ignore', 'pipe', 'inherit', 'ipc'],
   });
   let out = '';
-  child.stdout.on('data', (chunk: Buffer) => (out += chunk.toString()));
+  child.stdout!.on('data', (chunk: Buffer) => (out += chunk.toString()));
   return new Promise((resolve, reject) =>
     child.on('close', (code) => {
       if (code === 0) resolve(JSON.parse(out) as SoakResult);
@@ -82,6 +86,7 @@
 
 const seeds = parseSeeds(values.seeds);
 if (values.one) {
+  endWithParent();
   const [seed = 1] = seeds;
   const options = {
     seed,
--- a/packages/testing/src/soak/users.ts
+++ b/packages/testing/src/soak/users.ts
@@ -35,12 +35,11 @@
 export interface UserCounts {
   accepted: number;
   answers: number;
-  unanswered: number;
 }
 
 /** Puts the load on a site. Ids come in order here; nothing depends on it. */
 export class SoakUsers {
-  readonly counts: UserCounts = { accepted: 0, answers: 0, unanswered: 0 };
+  readonly counts: UserCounts = { accepted: 0, answers: 0 };
   private readonly client = new HttpClient(SOCKETS);
   /** When users were first told that a job is cancelled. */
   readonly cancelledAt = new Map<string, Instant>();
@@ -161,10 +160,7 @@
   ): Promise<number | null> {
     const answered = this.site.checker.question(id);
     const result = await this.send(method, path, body, timeout, node);
-    if (result.kind !== 'answer') {
-      this.counts.unanswered++;
-      return null;
-    }
+    if (result.kind !== 'answer') return null;
     this.counts.answers++;
     answered(result.status, result.body);
     return result.status;
