--- a/packages/controller/src/machines/usage-ledger.ts
+++ b/packages/controller/src/machines/usage-ledger.ts
@@ -13,12 +13,22 @@
 const NO_USAGE: TeamUsage = { bound: NO_RESOURCES, stopping: NO_RESOURCES };
 const NO_ZONES: ReadonlyMap<string, number> = new Map();
 
+/** Read-only view of the sums. */
+export interface UsageView {
+  /** Resources of all the team's bindings. */
+  usageOf(team: string): Resources;
+  /** What the team uses once all that is being stopped is gone. */
+  usageAfterStops(team: string): Resources;
+  /** How many bindings a job has in each zone; zones without one are absent. */
+  zoneCountsOf(job: string): ReadonlyMap<string, number>;
+}
+
 /**
  * Sums over all bindings, kept as bindings come, change and go: adding up thousands of them
  * for each decision would take longer than the decisions. Bindings whose job has to be
  * looked up stand under the empty team, without resources.
  */
-export class UsageLedger {
+export class UsageLedger implements UsageView {
   private readonly teams = new Map<string, TeamUsage>();
   /** Bindings by zone, by job. */
   private readonly zoneCounts = new Map<string, Map<string, number>>();
@@ -49,18 +59,15 @@
     this.updateTeam(binding, addResources);
   }
 
-  /** Resources of all the team's bindings. */
   usageOf(team: string): Resources {
     return (this.teams.get(team) ?? NO_USAGE).bound;
   }
 
-  /** What the team uses once all that is being stopped is gone. */
   usageAfterStops(team: string): Resources {
     const usage = this.teams.get(team) ?? NO_USAGE;
     return subtractResources(usage.bound, usage.stopping);
   }
 
-  /** How many bindings a job has in each zone; zones without one are absent. */
   zoneCountsOf(job: string): ReadonlyMap<string, number> {
     return this.zoneCounts.get(job) ?? NO_ZONES;
   }
--- a/packages/controller/src/placement/scheduling-cycle.ts
+++ b/packages/controller/src/placement/scheduling-cycle.ts
@@ -2,7 +2,7 @@
 import { fits, minResources, resourcesOf, priorityRank, type Resources } from '@tealdock/scheduler';
 import { allowedMachines, type MachineCapacity } from './machine-capacity.js';
 import type { LiveJob } from '../jobs/live-job.js';
-import type { UsageLedger } from '../machines/usage-ledger.js';
+import type { UsageView } from '../machines/usage-ledger.js';
 
 /** A cycle that books more goes on in the next one: reports are answered in between. */
 const MAX_BOOKINGS = 300;
@@ -14,7 +14,7 @@
 /** What a cycle has to know of the term. */
 interface BoundTasks {
   readonly jobs: ReadonlyMap<string, LiveJob>;
-  readonly ledger: UsageLedger;
+  readonly ledger: UsageView;
 }
 
 /**
--- a/packages/controller/src/term/bindings.ts
+++ b/packages/controller/src/term/bindings.ts
@@ -7,7 +7,8 @@
 import { UNKNOWN_REQUIREMENTS, requirementsOf } from '../jobs/task-requirements.js';
 import type { Machine } from '../machines/machine.js';
 import type { Runtime } from '../runtime/runtime.js';
-import type { TermState } from './term-state.js';
+import type { UsageLedger } from '../machines/usage-ledger.js';
+import type { DirtyMachines } from './dirty-machines.js';
 
 /** Attempts of one term at one task; their numbers never meet another term's. */
 const MAX_TERM_ATTEMPT_COUNT = 65_536;
@@ -19,6 +20,15 @@
   readonly state: ActiveTaskState;
 }
 
+/** What bindings read of a term, and the sums and marks that only they change. */
+export interface BindingContext {
+  readonly fencingToken: number;
+  readonly jobs: ReadonlyMap<string, LiveJob>;
+  readonly machines: ReadonlyMap<string, Machine>;
+  readonly ledger: UsageLedger;
+  readonly dirtyMachines: DirtyMachines;
+}
+
 /**
  * The bindings of one term, and the only writer of the sums over them. A binding ends only
  * with a proof that the task is not on its machine any more (docs/safety.md, Bindings).
@@ -27,7 +37,7 @@
   constructor(
     private readonly runtime: Runtime,
     private readonly leadership: Leadership,
-    private readonly term: TermState,
+    private readonly term: BindingContext,
   ) {}
 
   /** Gives a task to a machine. Its start leaves with the machine's next response. */
@@ -129,6 +139,11 @@
     return false;
   }
 
+  /** Marks the machine dirty if it has a start to get, since starts that had to wait may leave. */
+  markDirtyIfUndispatched(machineId: string): void {
+    if (this.hasUndispatched(machineId)) this.term.dirtyMachines.add(machineId);
+  }
+
   /** For bindings only: their transitions call it. */
   applyUsageChange(binding: Binding, apply: () => void): void {
     this.term.ledger.applyChange(binding, apply);
--- a/packages/controller/src/term/ended-job-lookup.ts
+++ b/packages/controller/src/term/ended-job-lookup.ts
@@ -9,7 +9,7 @@
 import { readEnded } from '../state/stored-values.js';
 import type { Bindings } from './bindings.js';
 import type { LiveJobs } from './live-jobs.js';
-import type { TermState } from './term-state.js';
+import type { TermView } from './term-view.js';
 
 /** Pause after a read that failed. */
 const RETRY_DELAY_MS = 400;
@@ -25,7 +25,7 @@
   constructor(
     private readonly runtime: Runtime,
     private readonly state: StateStore,
-    private readonly term: TermState,
+    private readonly term: TermView,
     private readonly liveJobs: LiveJobs,
     private readonly bindings: Bindings,
   ) {}
@@ -54,7 +54,7 @@
         this.fill(bindings, got.value.spec);
         if (got.value.state === 'cancelled') this.setTerminationDeadlines(bindings, got.value.at);
       }
-      if (this.isComplete) this.markUndispatchedDirty();
+      if (this.isComplete) this.releaseStarts();
     });
   }
 
@@ -77,8 +77,7 @@
   }
 
   /** Starts were refused until all resources were known: they may leave now. */
-  private markUndispatchedDirty(): void {
-    for (const id of this.term.machines.keys())
-      if (this.bindings.hasUndispatched(id)) this.term.dirtyMachines.add(id);
+  private releaseStarts(): void {
+    for (const id of this.term.machines.keys()) this.bindings.markDirtyIfUndispatched(id);
   }
 }
--- a/packages/controller/src/term/machine-registry.ts
+++ b/packages/controller/src/term/machine-registry.ts
@@ -10,7 +10,6 @@
 import { ShardedTable } from '../state/sharded-table.js';
 import type { StateStore } from '../state/state-store.js';
 import type { Bindings } from './bindings.js';
-import type { DirtyMachines } from './dirty-machines.js';
 import type { Fleet } from './fleet.js';
 
 /** Machines that join within this time share a commit. */
@@ -25,13 +24,6 @@
   gb: number;
 }
 
-/** The parts of a term that the registry changes. */
-export interface RegistryTargets {
-  readonly fleet: Fleet;
-  readonly bindings: Bindings;
-  readonly dirtyMachines: DirtyMachines;
-}
-
 /**
  * A machine is stored in the registry before its first start, so that a later leader waits for
  * each machine that may have tasks (docs/safety.md, Rebuild).
@@ -45,7 +37,8 @@
     private readonly runtime: Runtime,
     state: StateStore,
     leadership: Leadership,
-    private readonly targets: RegistryTargets,
+    private readonly fleet: Fleet,
+    private readonly bindings: Bindings,
   ) {
     this.table = new ShardedTable(runtime, state, leadership, {
       keyPrefix: REGISTRY_PREFIX,
@@ -72,12 +65,12 @@
 
   /** Returns the machine; adds it if its heartbeat is the first that this term gets of it. */
   getOrAdd(id: string, place: Place): Machine {
-    let machine = this.targets.fleet.get(id);
+    let machine = this.fleet.get(id);
     if (!machine) {
       machine = this.newMachine(id, place);
       // It is not in the registry, so no term has ever sent a start to it.
       machine.registration.markReconciled();
-      this.targets.fleet.add(machine);
+      this.fleet.add(machine);
     }
     machine.registration.recordObserved(this.runtime.now);
     return machine;
@@ -93,19 +86,18 @@
   markReturning(machine: Machine): void {
     if (machine.registration.isReturning) return;
     machine.registration.markReturning();
-    this.targets.bindings.releaseUndispatched(machine);
+    this.bindings.releaseUndispatched(machine);
     this.store(machine);
   }
 
   /** The cloud has confirmed with status 200 that the machine is gone, with all tasks on it. */
   recordTerminated(id: string): void {
-    const { fleet, bindings } = this.targets;
-    const machine = fleet.get(id);
+    const machine = this.fleet.get(id);
     this.terminated.add(id);
     if (!machine) return;
-    bindings.releaseUndispatched(machine);
-    bindings.endDispatched(machine, 'returned to the cloud');
-    fleet.remove(id);
+    this.bindings.releaseUndispatched(machine);
+    this.bindings.endDispatched(machine, 'returned to the cloud');
+    this.fleet.remove(id);
     this.table.remove(id);
   }
 
@@ -123,14 +115,14 @@
   private loadMachine(id: string, entry: RegistryEntry): void {
     const [type, zone, spot, returning, firstObservedSeconds] = entry;
     const place = { type, zone, spot: spot === 1 };
-    const machine = this.targets.fleet.get(id) ?? this.newMachine(id, place);
+    const machine = this.fleet.get(id) ?? this.newMachine(id, place);
     const ageMs = this.runtime.wallClock.getTime() - firstObservedSeconds * MS_PER_SECOND;
     machine.registration.restore({
       isReturning: returning === 1,
       firstObservedAt: this.runtime.now - Math.max(0, ageMs),
       isReconciled: machine.heartbeats.lastCountedAt !== null,
     });
-    this.targets.fleet.add(machine);
+    this.fleet.add(machine);
   }
 
   private store(machine: Machine): void {
@@ -147,12 +139,11 @@
   }
 
   private markRegistered(entries: [string, RegistryEntry][]): void {
-    const { fleet, bindings, dirtyMachines } = this.targets;
     for (const [id, [, , , returning]] of entries) {
-      const machine = fleet.get(id);
+      const machine = this.fleet.get(id);
       if (!machine) continue;
       machine.registration.recordRegistered(returning === 1);
-      if (bindings.hasUndispatched(id)) dirtyMachines.add(id);
+      this.bindings.markDirtyIfUndispatched(id);
     }
   }
 }
--- a/packages/controller/src/term/term.ts
+++ b/packages/controller/src/term/term.ts
@@ -8,7 +8,7 @@
 import { FetchSharing } from '../machines/fetch-sharing.js';
 import type { LeaseExpiry } from '../machines/lease-expiry.js';
 import type { Machine } from '../machines/machine.js';
-import { UsageLedger } from '../machines/usage-ledger.js';
+import { UsageLedger, type UsageView } from '../machines/usage-ledger.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { StateStore } from '../state/state-store.js';
 import { BindingInvariants } from './binding-invariants.js';
@@ -38,7 +38,6 @@
  */
 export class Term implements TermView, TermKnowledge {
   readonly electedAt: Instant;
-  readonly ledger = new UsageLedger();
   readonly fetchSharing = new FetchSharing();
   readonly runTimeRatios = new RunTimeRatios();
   readonly dirtyMachines = new DirtyMachines();
@@ -49,6 +48,7 @@
   readonly workerCommands: WorkerCommands;
   readonly heartbeats: HeartbeatProcessor;
   private readonly fleet = new Fleet();
+  private readonly usageLedger = new UsageLedger();
   private readonly watch: JobWatch;
   private readonly lookup: EndedJobLookup;
   private readonly authority: Authority;
@@ -72,14 +72,17 @@
       runTimeRatios: this.runTimeRatios,
       onEnded: (job) => this.discardBindingsOf(job),
     });
-    this.bindings = new Bindings(runtime, leadership, this);
-    this.machineRegistry = new MachineRegistry(runtime, state, leadership, {
-      fleet: this.fleet,
-      bindings: this.bindings,
+    this.bindings = new Bindings(runtime, leadership, {
+      fencingToken,
+      jobs: this.liveJobs.jobs,
+      machines: this.fleet.machines,
+      ledger: this.usageLedger,
       dirtyMachines: this.dirtyMachines,
     });
+    const { fleet, bindings } = this;
+    this.machineRegistry = new MachineRegistry(runtime, state, leadership, fleet, bindings);
     this.watch = new JobWatch(runtime, state, this, this.liveJobs);
-    this.lookup = new EndedJobLookup(runtime, state, this, this.liveJobs, this.bindings);
+    this.lookup = new EndedJobLookup(runtime, state, this, this.liveJobs, bindings);
     this.authority = new Authority(runtime, leadership, this);
     this.renewalLog = new RenewalLog(runtime);
     const invariants = new BindingInvariants(runtime, this, this.authority);
@@ -87,8 +90,8 @@
     this.heartbeats = this.newHeartbeatProcessor();
     this.rebuild = this.newRebuild(state);
     this.maintenance = new MachineMaintenance(runtime, state, leadership, this, {
-      fleet: this.fleet,
-      bindings: this.bindings,
+      fleet,
+      bindings,
       workerCommands: this.workerCommands,
     });
   }
@@ -103,6 +106,11 @@
     return this.fleet.machines;
   }
 
+  /** Sums over the bindings, by team and by zone. */
+  get ledger(): UsageView {
+    return this.usageLedger;
+  }
+
   /** True once the stored state has been read. */
   get stateLoaded(): boolean {
     return this.isStateLoaded;
