--- a/packages/controller/src/node/term-lifecycle.ts
+++ b/packages/controller/src/node/term-lifecycle.ts
@@ -49,7 +49,7 @@
 
   /** A node that committed a cancellation names the job; it is ended here without delay. */
   cancellationReceived(job: string): void {
-    this.currentTerm?.liveJobs.cancellationReceived(job);
+    this.currentTerm?.liveJobs.applyCancellation(job);
   }
 
   /** Starts a term, and the scheduler, the autoscaler and the completion of jobs in it. */
--- a/packages/controller/src/term/direct-stops.ts
+++ b/packages/controller/src/term/direct-stops.ts
@@ -46,12 +46,12 @@
   start(): void {
     const { term } = this.options;
     this.runtime.every(CHECK_INTERVAL_MS, () => {
-      if (!term.closed) this.sendDue();
+      if (!term.closed) this.sendMissing();
       return !term.closed;
     });
   }
 
-  private sendDue(): void {
+  private sendMissing(): void {
     const mayRenew = this.options.mayRenew();
     for (const machine of this.options.term.machines.values()) {
       if (this.callsInFlight >= MAX_CALLS_IN_FLIGHT_COUNT) return;
--- a/packages/controller/src/term/ended-job-lookup.ts
+++ b/packages/controller/src/term/ended-job-lookup.ts
@@ -51,14 +51,14 @@
       this.lookups.delete(job);
       if (got.kind === 'found') {
         this.liveJobs.recordEnded(job);
-        this.fill(bindings, got.value.spec);
+        this.applySpec(bindings, got.value.spec);
         if (got.value.state === 'cancelled') this.setTerminationDeadlines(bindings, got.value.at);
       }
       if (this.isComplete) this.releaseStarts();
     });
   }
 
-  private fill(bindings: Binding[], spec: JobSpec): void {
+  private applySpec(bindings: Binding[], spec: JobSpec): void {
     for (const binding of bindings) {
       if (this.bindings.isBound(binding)) binding.setUsage(spec.team, resourcesOf(spec));
     }
--- a/packages/controller/src/term/job-completion.ts
+++ b/packages/controller/src/term/job-completion.ts
@@ -30,7 +30,7 @@
 interface JobEndCommit {
   job: LiveJob;
   value: EndedValue;
-  guard: Precondition;
+  precondition: Precondition;
   writes: Write[];
 }
 
@@ -42,7 +42,7 @@
 export class JobCompletion {
   private commitInFlight = false;
   /** Jobs whose tasks are all done, in the order in which that was seen. */
-  private readonly completed = new Set<LiveJob>();
+  private readonly completedJobs = new Set<LiveJob>();
 
   constructor(
     private readonly runtime: Runtime,
@@ -71,7 +71,7 @@
     this.commitInFlight = true;
     const preconditions = [
       this.leadership.leaderPrecondition(),
-      ...batch.map(({ guard }) => guard),
+      ...batch.map(({ precondition }) => precondition),
     ];
     const writes = batch.flatMap(({ writes }) => writes);
     this.state.compareAndSwap(preconditions, writes, PRIORITY.leader, (committed) => {
@@ -105,12 +105,12 @@
     const cancelled: LiveJob[] = [];
     for (const job of this.term.liveJobs.jobs.values()) {
       if (job.dependencies.hasCancelledPredecessor) cancelled.push(job);
-      else if (job.progress.isComplete) this.completed.add(job);
+      else if (job.progress.isComplete) this.completedJobs.add(job);
     }
     const awaited: LiveJob[] = [];
     const others: LiveJob[] = [];
-    for (const job of this.completed) {
-      if (this.term.liveJobs.jobs.get(job.id) !== job) this.completed.delete(job);
+    for (const job of this.completedJobs) {
+      if (this.term.liveJobs.jobs.get(job.id) !== job) this.completedJobs.delete(job);
       else if (this.term.liveJobs.graph.isAwaited(job.id)) awaited.push(job);
       else others.push(job);
     }
@@ -155,7 +155,7 @@
     return {
       job,
       value,
-      guard: { key: specKey(job.id), version: job.version },
+      precondition: { key: specKey(job.id), version: job.version },
       writes: [{ put: endedKey(job.id), value }, { remove: specKey(job.id) }],
     };
   }
--- a/packages/controller/src/term/live-jobs.ts
+++ b/packages/controller/src/term/live-jobs.ts
@@ -96,7 +96,7 @@
   }
 
   /** A node reports a cancellation that it has committed; the watch may show it later or never. */
-  cancellationReceived(id: string): void {
+  applyCancellation(id: string): void {
     const live = this.byId.has(id);
     this.runtime.env.log('debug', { job: id, live }, 'cancellation received');
     this.endedJobs.add(id);
