--- a/packages/controller/src/autoscaling/machine-returns.ts
+++ b/packages/controller/src/autoscaling/machine-returns.ts
@@ -58,7 +58,7 @@
     const heldUp = this.termHeldUp();
     for (const machine of this.term.machines.values()) {
       if (machine.registration.isReturning || !this.shouldReturn(machine, heldUp)) continue;
-      this.runtime.env.log(
+      this.runtime.log(
         'info',
         { machine: machine.id, type: machine.type, spot: machine.spot },
         'scale-in requested',
@@ -92,7 +92,7 @@
     this.cloud.send('POST', RETURN_PATH, renderReturn(ids), PRIORITY.leader, (result) => {
       this.returning = false;
       if (result.kind !== 'answer' || result.status !== 200) return;
-      this.runtime.env.log('info', { machines: ids }, 'scale-in confirmed');
+      this.runtime.log('info', { machines: ids }, 'scale-in confirmed');
       for (const id of ids) {
         this.term.machineRegistry.recordTerminated(id);
         this.inventory.provisioning.delete(id);
--- a/packages/controller/src/index.ts
+++ b/packages/controller/src/index.ts
@@ -1,4 +1,4 @@
-/** The state owner of a node, and the ports through which it is driven. */
+/** The state owner of a node, and the ports through which its process drives it. */
 export * from './runtime/ports.js';
 export * from './controller.js';
 export * from './runtime/stats.js';
@@ -6,4 +6,4 @@
 export { Authority, type TermKnowledge, type StartTarget } from './authority/authority.js';
 export type { Decision } from './authority/decision.js';
 export { Runtime, type Environment } from './runtime/runtime.js';
-export { cancellationLimitProblem as cancelLimitProblem } from './leadership/freshness.js';
+export { cancellationLimitProblem } from './leadership/freshness.js';
--- a/packages/controller/src/placement/preemption.ts
+++ b/packages/controller/src/placement/preemption.ts
@@ -103,7 +103,7 @@
       reason,
     });
     capacity.freeAfterStops = addResources(capacity.freeAfterStops, victim.resources);
-    this.runtime.env.log(
+    this.runtime.log(
       'debug',
       { task: binding.task, machine: binding.machine, reason },
       'task preempted',
--- a/packages/controller/src/term/failure-recorder.ts
+++ b/packages/controller/src/term/failure-recorder.ts
@@ -19,7 +19,7 @@
    * once a job backs off, its failures no longer count against machines.
    */
   recordFailure(machine: Machine, job: LiveJob | undefined, { task, reason }: TaskStatus): void {
-    this.runtime.env.log('info', { machine: machine.id, task, reason }, 'task failed');
+    this.runtime.log('info', { machine: machine.id, task, reason }, 'task failed');
     const isMachineAtFault = reason === 'error' && !job?.backoff.isJobAtFault;
     machine.health.recordTaskFailure(isMachineAtFault, this.runtime.now);
     job?.backoff.recordFailure(this.runtime.now);
@@ -32,6 +32,6 @@
   recordLostStart(machine: Machine): void {
     const quarantineMs = machine.health.recordLostStart(this.runtime.now);
     const lostStarts = machine.health.consecutiveLostStartCount;
-    this.runtime.env.log('info', { machine: machine.id, lostStarts, quarantineMs }, 'start lost');
+    this.runtime.log('info', { machine: machine.id, lostStarts, quarantineMs }, 'start lost');
   }
 }
--- a/packages/controller/src/term/job-watch.ts
+++ b/packages/controller/src/term/job-watch.ts
@@ -88,7 +88,7 @@
     const ageMs = Math.round(this.runtime.now - this.knownUntil);
     this.runtime.stats.record('evidence.watch_age_ms', ageMs);
     if (changes > 0)
-      this.runtime.env.log('debug', { revision, changes, ageMs }, 'job changes received');
+      this.runtime.log('debug', { revision, changes, ageMs }, 'job changes received');
   }
 
   private applyEvent(event: StateEvent): void {
