--- a/packages/controller/src/placement/scheduling-cycle.ts
+++ b/packages/controller/src/placement/scheduling-cycle.ts
@@ -1,7 +1,7 @@
 /** One run through all waiting jobs. */
 import { fits, minResources, priorityRank, resourcesOf } from '@tealdock/scheduler';
 import type { LiveJob } from '../jobs/live-job.js';
-import type { UsageLedger } from '../machines/usage-ledger.js';
+import type { UsageView } from '../machines/usage-ledger.js';
 import { allowedMachines, type MachineCapacity } from './machine-capacity.js';
 
 /** The rest waits for the next cycle: heartbeats are answered in between. */
@@ -14,7 +14,7 @@
 /** What a cycle reads of the term. */
 interface BoundTasks {
   readonly jobs: ReadonlyMap<string, LiveJob>;
-  readonly ledger: UsageLedger;
+  readonly ledger: UsageView;
 }
 
 /**
--- a/packages/controller/src/state/sharded-table.ts
+++ b/packages/controller/src/state/sharded-table.ts
@@ -1,6 +1,6 @@
 /** A table of small entries in the state service, stored in few keys. */
 import {
-  millis,
+  millisecondsOf,
   type Duration,
   type Instant,
   type Precondition,
@@ -174,7 +174,7 @@
 
   private limitDeferredWrites(writeCount: number): void {
     const { writesPerSecond } = this.runtime.settings.state;
-    const pause = millis(writeCount / (writesPerSecond * DEFERRABLE_WRITE_FRACTION));
+    const pause = millisecondsOf(writeCount / (writesPerSecond * DEFERRABLE_WRITE_FRACTION));
     this.deferredWritesAllowedAt = this.runtime.now + pause;
   }
 
--- a/packages/controller/src/state/write-share.ts
+++ b/packages/controller/src/state/write-share.ts
@@ -1,5 +1,5 @@
 /** The leader's share of the changes per second that the state service allows. */
-import { seconds, type Duration, type Instant, type StateEvent } from '@tealdock/wire';
+import { secondsOf, type Duration, type Instant, type StateEvent } from '@tealdock/wire';
 import type { Runtime } from '../runtime/runtime.js';
 
 const ADJUSTMENT_INTERVAL_MS = 1000;
@@ -55,7 +55,7 @@
       this.observedWrites.shift();
     }
     const total = this.observedWrites.reduce((sum, { count }) => sum + count, 0);
-    return total / seconds(AVERAGING_WINDOW_MS);
+    return total / secondsOf(AVERAGING_WINDOW_MS);
   }
 
   private isOutsideWindow(instant: Instant): boolean {
