--- a/packages/adapters/src/http-server.ts
+++ b/packages/adapters/src/http-server.ts
@@ -6,7 +6,7 @@
   type Server,
   type ServerResponse,
 } from 'node:http';
-import { HEALTH_PATH, MAX_BODY_BYTES, HEARTBEAT_PATH, packBody } from '@tealdock/wire';
+import { HEALTH_PATH, MAX_BODY_BYTES, HEARTBEAT_PATH, packBody, secondsOf } from '@tealdock/wire';
 import type { Reply, SocketShares } from '@tealdock/controller';
 import type { Connections, ClientKind } from './connections.js';
 import { listen, type ListenEvents } from './listen.js';
@@ -15,7 +15,6 @@
 const REQUEST_TIMEOUT_MS = 10_000;
 const REPLY_TIMEOUT_MS = 6000;
 const BUSY_RETRY_AFTER_MS = 1000;
-const MS_PER_SECOND = 1000;
 
 /** Handles a whole request; its answer goes through `respond`. */
 export type RequestHandler = (method: string, path: string, body: Buffer, respond: Respond) => void;
@@ -117,7 +116,7 @@
     'content-length': bytes,
     ...(retryAfter === undefined
       ? {}
-      : { 'retry-after': String(Math.ceil(retryAfter / MS_PER_SECOND)) }),
+      : { 'retry-after': String(Math.ceil(secondsOf(retryAfter))) }),
     ...(allow === undefined ? {} : { allow }),
   };
 }
--- a/packages/adapters/src/token-bucket.ts
+++ b/packages/adapters/src/token-bucket.ts
@@ -1,5 +1,5 @@
 /** Token buckets with priorities. */
-import type { Duration, Instant } from '@tealdock/wire';
+import { millisecondsOf, secondsOf, type Duration, type Instant } from '@tealdock/wire';
 
 /** Time and timers, so that tests can simulate them. */
 export interface Clock {
@@ -26,7 +26,6 @@
 /** Calls that may wait at a time; the newest beyond it are dropped. */
 const MAX_QUEUE_COUNT = 500;
 const MIN_SLEEP_MS = 1;
-const MS_PER_SECOND = 1000;
 
 /**
  * Tokens for calls to an outside service. A call that finds none waits in order
@@ -81,7 +80,7 @@
   private sleep(missingTokens: number): void {
     if (this.isSleeping) return;
     this.isSleeping = true;
-    const refillTime = (missingTokens / this.tokensPerSecond) * MS_PER_SECOND;
+    const refillTime = millisecondsOf(missingTokens / this.tokensPerSecond);
     this.clock.schedule(Math.max(MIN_SLEEP_MS, refillTime), () => {
       this.isSleeping = false;
       this.serveQueue();
@@ -90,7 +89,7 @@
 
   private refill(): void {
     const now = this.clock.now();
-    const elapsedSeconds = (now - this.refilledAt) / MS_PER_SECOND;
+    const elapsedSeconds = secondsOf(now - this.refilledAt);
     this.tokens = Math.min(this.burst, this.tokens + elapsedSeconds * this.tokensPerSecond);
     this.refilledAt = now;
   }
--- a/packages/controller/src/machines/image-fetches.ts
+++ b/packages/controller/src/machines/image-fetches.ts
@@ -1,9 +1,8 @@
 /** Image fetches that are under way on one machine, and how long they will take. */
-import type { Duration, Instant } from '@tealdock/wire';
+import { millisecondsOf, secondsOf, type Duration, type Instant } from '@tealdock/wire';
 
 /** Stands in for a rate that is not known or zero, so that a delay stays finite. */
 const MIN_RATE_GB_PER_S = 0.01;
-const MS_PER_SECOND = 1000;
 
 /** A fetch since its start, or as it ended. */
 export interface ImageFetch {
@@ -65,7 +64,7 @@
     const fetchedGb = !fetch ? 0 : isRateShared ? fetch.sharedGb : fetch.soloGb;
     let remainingGb = Math.max(0, sizeGb - fetchedGb);
     if (isRateShared) remainingGb += this.queuedAheadGb(image, awaited);
-    return (remainingGb / Math.max(MIN_RATE_GB_PER_S, this.rateGbPerS)) * MS_PER_SECOND;
+    return millisecondsOf(remainingGb / Math.max(MIN_RATE_GB_PER_S, this.rateGbPerS));
   }
 
   /** What remains to be fetched of images whose turn comes before this one's. */
@@ -84,7 +83,7 @@
 
   private advance(now: Instant): void {
     if (now === this.updatedAt) return;
-    const elapsedGb = ((now - this.updatedAt) / MS_PER_SECOND) * this.rateGbPerS;
+    const elapsedGb = secondsOf(now - this.updatedAt) * this.rateGbPerS;
     this.updatedAt = now;
     let remainingGb = elapsedGb;
     for (const fetch of this.running.values()) {
--- a/packages/controller/src/placement/image-availability.ts
+++ b/packages/controller/src/placement/image-availability.ts
@@ -1,11 +1,16 @@
 /** How soon machines have the image of a job. */
-import type { Duration, Instant, JobSpec, MachineType } from '@tealdock/wire';
+import {
+  millisecondsOf,
+  type Duration,
+  type Instant,
+  type JobSpec,
+  type MachineType,
+} from '@tealdock/wire';
 import { resourcesOf, taskSlots } from '@tealdock/scheduler';
 import type { LiveJob } from '../jobs/live-job.js';
 import type { Machine } from '../machines/machine.js';
 import type { MachineCapacity } from './machine-capacity.js';
 
-const MS_PER_SECOND = 1000;
 const MIN_FETCH_GB_PER_S = 0.01;
 const MIN_FETCH_TIME_MS = 1;
 
@@ -16,7 +21,7 @@
 
 /** Time to fetch an image at the full rate. */
 export const fetchTime = (imageGb: number, gbPerS: number): Duration =>
-  (imageGb / Math.max(MIN_FETCH_GB_PER_S, gbPerS)) * MS_PER_SECOND;
+  millisecondsOf(imageGb / Math.max(MIN_FETCH_GB_PER_S, gbPerS));
 
 /** Machines that hold the image of a job, free or not; computed once, when first needed. */
 export class ImageHolders {
--- a/packages/controller/src/term/machine-registry.ts
+++ b/packages/controller/src/term/machine-registry.ts
@@ -1,6 +1,6 @@
 /** The stored registry of machines that may have tasks, and the machines that have left it. */
 import type { MachinePool } from '@tealdock/scheduler';
-import type { StateItem } from '@tealdock/wire';
+import { millisecondsOf, secondsOf, type StateItem } from '@tealdock/wire';
 import type { Leadership } from '../leadership/leadership.js';
 import { Machine } from '../machines/machine.js';
 import { BoundedSet } from '../runtime/bounded.js';
@@ -16,7 +16,6 @@
 const JOIN_BATCH_DELAY_MS = 150;
 /** Terminated machines that are remembered. */
 const MAX_TERMINATED_COUNT = 5000;
-const MS_PER_SECOND = 1000;
 
 /** An image that a machine is expected to have in its cache. */
 export interface CachedImage {
@@ -116,7 +115,7 @@
     const [type, zone, spot, returning, firstObservedSeconds] = entry;
     const place = { type, zone, spot: spot === 1 };
     const machine = this.fleet.get(id) ?? this.newMachine(id, place);
-    const ageMs = this.runtime.wallClock.getTime() - firstObservedSeconds * MS_PER_SECOND;
+    const ageMs = this.runtime.wallClock.getTime() - millisecondsOf(firstObservedSeconds);
     machine.registration.restore({
       isReturning: returning === 1,
       firstObservedAt: this.runtime.now - Math.max(0, ageMs),
@@ -134,7 +133,7 @@
       machine.zone,
       machine.spot ? 1 : 0,
       machine.registration.isReturning ? 1 : 0,
-      Math.round(firstObservedAtMs / MS_PER_SECOND),
+      Math.round(secondsOf(firstObservedAtMs)),
     ]);
   }
 
