--- a/packages/testing/src/checker/free-capacity.ts
+++ b/packages/testing/src/checker/free-capacity.ts
@@ -1,10 +1,10 @@
 /** What is free on a machine, seen from outside. */
 import type { JobSpec } from '@tealdock/wire';
-import { TYPE } from '../fakes/fake-cloud.js';
+import { MACHINE_TYPE } from '../fakes/fake-cloud.js';
 import type { FakeWorker } from '../fakes/fake-worker.js';
 
 /** What is free on a machine. */
-export interface MachineRoom {
+export interface FreeCapacity {
   type: string;
   zone: string;
   spot: boolean;
@@ -13,31 +13,35 @@
 }
 
 /** What is free on each machine that works, by what is on it. */
-export function roomsOf(
+export function freeCapacityOf(
   workers: Iterable<FakeWorker>,
   jobs: ReadonlyMap<string, JobSpec>,
-): MachineRoom[] {
-  const rooms: MachineRoom[] = [];
+): FreeCapacity[] {
+  const rooms: FreeCapacity[] = [];
   for (const worker of workers) {
-    if (!worker.hanging && worker.warning === null) rooms.push(roomOf(worker, jobs));
+    if (!worker.isHung && worker.reclaimWarningSeconds === null)
+      rooms.push(freeCapacityOn(worker, jobs));
   }
   return rooms;
 }
 
-function roomOf({ machine, tasks }: FakeWorker, jobs: ReadonlyMap<string, JobSpec>): MachineRoom {
+function freeCapacityOn(
+  { machine, tasks }: FakeWorker,
+  jobs: ReadonlyMap<string, JobSpec>,
+): FreeCapacity {
   const present = tasks.filter((t) => t.status !== 'exited');
   const specs = present.flatMap((t) => jobs.get(t.piece.split('/')[0] ?? '') ?? []);
   return {
     type: machine.type,
     zone: machine.zone,
     spot: machine.spot,
-    cpus: specs.reduce((left, spec) => left - spec.cpus, TYPE.cpus),
-    memoryGb: specs.reduce((left, spec) => left - spec.memoryGb, TYPE.mem_gb),
+    cpus: specs.reduce((left, spec) => left - spec.cpus, MACHINE_TYPE.cpus),
+    memoryGb: specs.reduce((left, spec) => left - spec.memoryGb, MACHINE_TYPE.mem_gb),
   };
 }
 
 /** Whether a task of the job may run in what is free on the machine. */
-export function fitsInto(spec: JobSpec, room: MachineRoom): boolean {
+export function fits(spec: JobSpec, room: FreeCapacity): boolean {
   const allowed =
     (spec.types?.includes(room.type) ?? true) &&
     (spec.zone ?? room.zone) === room.zone &&
--- a/packages/testing/src/checker/rule-checker.test.ts
+++ b/packages/testing/src/checker/rule-checker.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { parseSubmission } from '@tealdock/wire';
-import { RuleChecker, SimulatedCluster, job, type MachineRoom } from '../index.js';
+import { RuleChecker, SimulatedCluster, job, type FreeCapacity } from '../index.js';
 import { A, settled, running, status, ask } from '../scenarios/steps.js';
 
 // Each check is shown a fault and must notice it, and nothing else.
-const ROOM: MachineRoom = { type: 'small', zone: 'a', spot: false, cpus: 4, memoryGb: 16 };
+const ROOM: FreeCapacity = { type: 'small', zone: 'a', spot: false, cpus: 4, memoryGb: 16 };
 
 class Watch {
   time = 0;
@@ -13,26 +13,26 @@
 
   accept(number: number, over: Record<string, unknown> = {}): string {
     const spec = parseSubmission(job(number, over));
-    this.checker.submitted(spec);
-    this.checker.asked(spec.id);
-    this.checker.told(spec.id, 201, 'queued', false, null);
+    this.checker.noteSubmission(spec);
+    this.checker.noteRequest(spec.id);
+    this.checker.noteResponse(spec.id, 201, 'queued', false, null);
     return spec.id;
   }
 
-  pass(duration: number, rooms: MachineRoom[] = []): void {
+  pass(duration: number, rooms: FreeCapacity[] = []): void {
     for (const end = this.time + duration; this.time < end; this.time += 1000) {
       this.checker.check();
-      this.checker.checkRooms(rooms);
+      this.checker.checkFreeCapacity(rooms);
     }
   }
 
   finish(task: string): void {
-    this.checker.started(task, 'm-1');
-    this.checker.ended(task, 'm-1', 'done');
+    this.checker.noteStart(task, 'm-1');
+    this.checker.noteEnd(task, 'm-1', 'done');
   }
 
   rules(): string[] {
-    return this.checker.broken.map((b) => b.split(':')[0]!);
+    return this.checker.violations.map((b) => b.split(':')[0]!);
   }
 }
 
@@ -40,7 +40,7 @@
   const watch = new Watch();
   const id = watch.accept(1);
   watch.pass(100_000);
-  watch.checker.asked(id);
+  watch.checker.noteRequest(id);
   watch.pass(100_000);
   assert.deepEqual(watch.rules(), [], 'faults excuse it');
   watch.checker.noteFaultsEnded();
@@ -55,9 +55,9 @@
   const id = watch.accept(1);
   watch.checker.noteFaultsEnded();
   for (let i = 0; i < 5; i++) {
-    watch.checker.asked(id);
+    watch.checker.noteRequest(id);
     watch.pass(50_000);
-    watch.checker.told(id, 200, 'queued', true, null);
+    watch.checker.noteResponse(id, 200, 'queued', true, null);
   }
   assert.deepEqual(watch.rules(), []);
 });
@@ -65,19 +65,19 @@
 test('starts after a confirmed cancellation are counted', () => {
   const watch = new Watch();
   const id = watch.accept(1);
-  watch.checker.started(`${id}/0`, 'm-1');
-  watch.checker.told(id, 200, 'aborted', true, null);
-  assert.equal(watch.checker.startsAfterCancel, 0);
-  watch.checker.started(`${id}/1`, 'm-2');
-  assert.equal(watch.checker.startsAfterCancel, 1);
+  watch.checker.noteStart(`${id}/0`, 'm-1');
+  watch.checker.noteResponse(id, 200, 'aborted', true, null);
+  assert.equal(watch.checker.startsAfterCancellationCount, 0);
+  watch.checker.noteStart(`${id}/1`, 'm-2');
+  assert.equal(watch.checker.startsAfterCancellationCount, 1);
 });
 
 test('a job that must be refused and is accepted', () => {
   const watch = new Watch();
   watch.checker.mustRefuse('run-000009');
-  watch.checker.told('run-000009', 422, undefined, false, null);
+  watch.checker.noteResponse('run-000009', 422, undefined, false, null);
   assert.deepEqual(watch.rules(), []);
-  watch.checker.told('run-000009', 201, 'queued', false, null);
+  watch.checker.noteResponse('run-000009', 201, 'queued', false, null);
   assert.deepEqual(watch.rules(), ['accepted']);
 });
 
@@ -98,11 +98,11 @@
 test('a job whose team is at its limit may wait', () => {
   const watch = new Watch();
   const [first] = [watch.accept(1, { batch: 4 }), watch.accept(2)];
-  for (let i = 0; i < 4; i++) watch.checker.started(`${first}/${i}`, 'm-1');
+  for (let i = 0; i < 4; i++) watch.checker.noteStart(`${first}/${i}`, 'm-1');
   watch.checker.noteFaultsEnded();
   watch.pass(200_000, [ROOM]);
   assert.deepEqual(watch.rules(), []);
-  watch.checker.ended(`${first}/0`, 'm-1', 'done');
+  watch.checker.noteEnd(`${first}/0`, 'm-1', 'done');
   watch.pass(100_000, [ROOM]);
   assert.deepEqual(watch.rules(), ['left_waiting']);
 });
@@ -116,7 +116,7 @@
   assert.deepEqual(faults(), ['largest of calm', 'class plain', 'largest of plain']);
   for (let i = 0; i < 3; i++) watch.finish(`${large}/${i}`);
   assert.deepEqual(faults(), ['class plain', 'largest of plain']);
-  watch.checker.told(rest, 200, 'aborted', true, null);
+  watch.checker.noteResponse(rest, 200, 'aborted', true, null);
   assert.deepEqual(faults(), []);
   for (const n of [6, 7, 8, 9, 10]) watch.accept(n, { jobclass: 'calm' });
   assert.deepEqual(faults()[0], 'team team');
@@ -127,10 +127,10 @@
   const first = watch.accept(1, { batch: 2 });
   const second = watch.accept(2, { waits_on: [first] });
   watch.finish(`${first}/0`);
-  watch.checker.started(`${second}/0`, 'm-2');
+  watch.checker.noteStart(`${second}/0`, 'm-2');
   assert.deepEqual(watch.rules(), ['too_early']);
   watch.finish(`${first}/1`);
-  watch.checker.started(`${second}/1`, 'm-2');
+  watch.checker.noteStart(`${second}/1`, 'm-2');
   assert.deepEqual(watch.rules(), ['too_early']);
 });
 
@@ -139,14 +139,14 @@
   const first = watch.accept(1);
   const second = watch.accept(2, { waits_on: [first] });
   const third = watch.accept(3, { waits_on: [second] });
-  watch.checker.told(first, 200, 'aborted', true, null);
+  watch.checker.noteResponse(first, 200, 'aborted', true, null);
   watch.pass(40_000);
-  watch.checker.told(third, 200, 'queued', true, null);
+  watch.checker.noteResponse(third, 200, 'queued', true, null);
   assert.deepEqual(watch.rules(), []);
   watch.pass(10_000);
-  watch.checker.told(third, 200, 'aborted', true, null);
+  watch.checker.noteResponse(third, 200, 'aborted', true, null);
   assert.deepEqual(watch.rules(), []);
-  watch.checker.told(second, 200, 'queued', true, null);
+  watch.checker.noteResponse(second, 200, 'queued', true, null);
   assert.deepEqual(watch.rules(), ['orphaned']);
 });
 
@@ -169,14 +169,14 @@
   const cluster = settled({ times, believedLease: 20_000 });
   cluster.submit(job(1, { batch: 4, expected_s: 500 }), 'n-0');
   assert.ok(cluster.runUntil(() => running(cluster) === 4, 20_000));
-  for (const w of cluster.workers.values()) w.hanging = true;
+  for (const w of cluster.workers.values()) w.isHung = true;
   assert.equal(status(ask(cluster, (d) => cluster.cancel(A, 'n-1', d))), 'aborted');
   cluster.run(30_000);
-  assert.equal(cluster.checker.broken.length, 0);
+  assert.equal(cluster.checker.violations.length, 0);
   cluster.run(20_000);
-  for (const w of cluster.workers.values()) w.hanging = false;
+  for (const w of cluster.workers.values()) w.isHung = false;
   cluster.run(1000);
-  assert.ok(cluster.checker.broken.some((b) => b.startsWith('ran_cancelled')));
+  assert.ok(cluster.checker.violations.some((b) => b.startsWith('ran_cancelled')));
 });
 
 test('odd requests are answered as the protocol says, and change nothing', () => {
@@ -201,5 +201,5 @@
   assert.ok(cluster.runUntil(done, 90_000));
   cluster.run(3000);
   assert.equal(status(ask(cluster, (d) => cluster.cancel(A, 'n-2', d))), 'done');
-  assert.deepEqual(cluster.checker.broken, []);
+  assert.deepEqual(cluster.checker.violations, []);
 });
--- /dev/null
+++ b/packages/testing/src/checker/service-levels.ts
@@ -0,0 +1,44 @@
+/** Whether the jobs of a run are served: by team, by class, and the largest of each class. */
+import type { Duration } from '@tealdock/wire';
+import { groupBy } from './group-by.js';
+import type { ObservedJob } from './observed-job.js';
+
+/** The largest jobs start within this time. */
+const MAX_LARGEST_JOB_WAIT_MS = 240_000;
+/** The largest jobs of a class are this part of it, and one at the least. */
+const LARGEST_JOBS_FRACTION = 0.25;
+const MIN_SERVED_FRACTION = 0.5;
+
+/** One line for each team, class and largest job that falls short; empty if none does. */
+export function findUnserved(
+  jobs: ObservedJob[],
+  waitOf: (job: ObservedJob) => Duration,
+): string[] {
+  const faults: string[] = [];
+  for (const [team, members] of groupBy(jobs, (j) => j.spec.team)) {
+    faults.push(...findShortfall(`team ${team}`, members));
+  }
+  for (const [name, members] of groupBy(jobs, (j) => j.spec.jobClass)) {
+    const largest = largestOf(members);
+    faults.push(...findShortfall(`class ${name}`, members));
+    faults.push(...findShortfall(`largest of ${name}`, largest));
+    for (const job of largest) {
+      const waited = waitOf(job);
+      if (waited > MAX_LARGEST_JOB_WAIT_MS) {
+        faults.push(`${job.spec.id} began after ${waited} ms`);
+      }
+    }
+  }
+  return faults;
+}
+
+function largestOf(jobs: ObservedJob[]): ObservedJob[] {
+  const bySize = [...jobs].sort((a, b) => b.spec.taskCount - a.spec.taskCount);
+  return bySize.slice(0, Math.max(1, Math.floor(jobs.length * LARGEST_JOBS_FRACTION)));
+}
+
+function findShortfall(name: string, jobs: ObservedJob[]): string[] {
+  const doneCount = jobs.filter((j) => j.doneTasks.size === j.spec.taskCount).length;
+  const isServed = doneCount >= jobs.length * MIN_SERVED_FRACTION;
+  return isServed ? [] : [`${name}: ${doneCount} of ${jobs.length} done`];
+}
--- a/packages/testing/src/fakes/fake-cloud.ts
+++ b/packages/testing/src/fakes/fake-cloud.ts
@@ -7,13 +7,13 @@
   type: string;
   zone: string;
   spot: boolean;
-  asked: number;
-  up: number;
+  requestedAt: number;
+  readyAt: number;
 }
 
 const answer = (status: number, body: unknown): CallResult => ({ kind: 'answer', status, body });
 
-export const TYPE = {
+export const MACHINE_TYPE = {
   label: 'small',
   cpus: 4,
   accelerators: 0,
@@ -29,11 +29,11 @@
 /** The cloud in memory: one machine type, a capacity, and outages on demand. */
 export class FakeCloud {
   readonly machines = new Map<string, CloudMachine>();
-  readonly rented: string[] = [];
-  rentCalls = 0;
+  readonly rentedIds: string[] = [];
+  rentalRequestCount = 0;
   down = false;
-  private readonly answered = new Map<string, string[]>();
-  private last = 0;
+  private readonly hostsByRental = new Map<string, string[]>();
+  private lastNumber = 0;
 
   constructor(
     private readonly now: () => number,
@@ -42,8 +42,15 @@
   ) {}
 
   add(zone: string, spot = false, boot = 0): CloudMachine {
-    const id = `m-${String(++this.last).padStart(6, '0')}`;
-    const machine = { id, type: TYPE.label, zone, spot, asked: this.now(), up: this.now() + boot };
+    const id = `m-${String(++this.lastNumber).padStart(6, '0')}`;
+    const machine = {
+      id,
+      type: MACHINE_TYPE.label,
+      zone,
+      spot,
+      requestedAt: this.now(),
+      readyAt: this.now() + boot,
+    };
     this.machines.set(id, machine);
     return machine;
   }
@@ -54,7 +61,7 @@
 
   handle(path: string, body: unknown): CallResult {
     if (this.down) return answer(503, { error: 'trouble' });
-    if (path === '/catalog') return answer(200, { flavours: [TYPE] });
+    if (path === '/catalog') return answer(200, { flavours: [MACHINE_TYPE] });
     if (path === '/machines/return') {
       for (const id of (body as { hosts: string[] }).hosts) this.take(id);
       return answer(200, {});
@@ -63,17 +70,17 @@
   }
 
   private rent(r: Rental): CallResult {
-    this.rentCalls++;
-    const known = this.answered.get(r.rental);
+    this.rentalRequestCount++;
+    const known = this.hostsByRental.get(r.rental);
     if (known) return answer(200, { hosts: known });
-    const room = this.capacity - this.machines.size;
-    if (room <= 0) return answer(503, { error: 'no capacity' });
+    const freeCount = this.capacity - this.machines.size;
+    if (freeCount <= 0) return answer(503, { error: 'no capacity' });
     const hosts: string[] = [];
-    for (let i = 0; i < Math.min(room, r.count); i++) {
+    for (let i = 0; i < Math.min(freeCount, r.count); i++) {
       hosts.push(this.add(r.hall, r.spare, 6000).id);
     }
-    this.rented.push(...hosts);
-    this.answered.set(r.rental, hosts);
+    this.rentedIds.push(...hosts);
+    this.hostsByRental.set(r.rental, hosts);
     return answer(200, { hosts });
   }
 
@@ -87,8 +94,8 @@
         flavour: m.type,
         hall: m.zone,
         spare: m.spot,
-        status: m.up <= this.now() ? 'running' : 'booting',
-        age_s: (this.now() - m.asked) / 1000,
+        status: m.readyAt <= this.now() ? 'running' : 'booting',
+        age_s: (this.now() - m.requestedAt) / 1000,
       }));
     return answer(200, { hosts, has_next: false });
   }
--- a/packages/testing/src/fakes/fake-sockets.ts
+++ b/packages/testing/src/fakes/fake-sockets.ts
@@ -9,7 +9,7 @@
 import { Connections, type Closable, type Holder } from '@tealdock/adapters';
 
 /** A client's end of a connection. */
-class Line implements Closable {
+class ClientConnection implements Closable {
   constructor(
     private readonly sockets: FakeSockets,
     readonly client: string,
@@ -26,19 +26,19 @@
 
 /** Connections of clients to one process: they stay open until a side closes them. */
 export class FakeSockets {
-  most = 0;
-  turnedAway = 0;
+  maxCount = 0;
+  turnedAwayCount = 0;
   private readonly connections: Connections;
-  private readonly lines = new Map<string, Line>();
-  private readonly room: number;
+  private readonly connectionsByClient = new Map<string, ClientConnection>();
+  private readonly maxClientCount: number;
   /** Sockets of its own: calls at their most, and links to peers in both directions. */
-  private readonly own: number;
+  private readonly ownCount: number;
 
   constructor(settings: Settings, now: () => number) {
     const shares = socketShares(settings);
     this.connections = new Connections(shares, settings.heartbeatInterval, now);
-    this.room = shares.clients + shares.rejected;
-    this.own =
+    this.maxClientCount = shares.clients + shares.rejected;
+    this.ownCount =
       STATE_SOCKET_COUNT + CLOUD_SOCKET_COUNT + WORKER_SOCKET_COUNT + settings.peers.length * 2 + 2;
   }
 
@@ -46,30 +46,30 @@
     this.connections.sweep();
   }
 
-  ask(client: string, holder: Holder): Line | 'turned away' {
-    const line = this.lines.get(client) ?? this.open(client);
+  request(client: string, holder: Holder): ClientConnection | 'turned away' {
+    const line = this.connectionsByClient.get(client) ?? this.open(client);
     if (line && this.connections.asked(line, holder)) return line;
-    this.turnedAway++;
+    this.turnedAwayCount++;
     line?.destroy();
     return 'turned away';
   }
 
-  answered(line: Line): void {
+  answered(line: ClientConnection): void {
     this.connections.answered(line);
   }
 
   hangUp(client: string): void {
-    const line = this.lines.get(client);
+    const line = this.connectionsByClient.get(client);
     if (line) this.connections.closed(line);
-    this.lines.delete(client);
+    this.connectionsByClient.delete(client);
   }
 
-  private open(client: string): Line | null {
-    if (this.lines.size >= this.room) return null;
-    const line = new Line(this, client);
-    this.lines.set(client, line);
+  private open(client: string): ClientConnection | null {
+    if (this.connectionsByClient.size >= this.maxClientCount) return null;
+    const line = new ClientConnection(this, client);
+    this.connectionsByClient.set(client, line);
     this.connections.opened(line);
-    this.most = Math.max(this.most, this.lines.size + this.own);
+    this.maxCount = Math.max(this.maxCount, this.connectionsByClient.size + this.ownCount);
     return line;
   }
 }
--- a/packages/testing/src/fakes/fake-state.ts
+++ b/packages/testing/src/fakes/fake-state.ts
@@ -7,8 +7,8 @@
   lease: number | null;
 }
 interface Lease {
-  life: number;
-  ends: number;
+  duration: number;
+  expiresAt: number;
 }
 interface Watcher {
   node: string;
@@ -17,7 +17,7 @@
   until: number;
   done: (r: CallResult) => void;
 }
-interface News {
+interface Change {
   epoch: number;
   event: { write?: string; delete?: string; v?: unknown; stamp: number };
 }
@@ -27,14 +27,14 @@
 }
 
 /** The largest value and transaction that the state service takes. */
-export interface StateCaps {
+export interface StateLimits {
   maxValueBytes: number;
   maxTransactionWrites: number;
 }
 
-const MOST_TRANSACTION = 64 * 1024;
+const MAX_TRANSACTION_BYTES = 64 * 1024;
 /** The service keeps the last so many changes. */
-const MOST_CHANGES = 10_000;
+const DEFAULT_RETAINED_CHANGE_COUNT = 10_000;
 
 const sizeOf = (value: unknown): number => Buffer.byteLength(JSON.stringify(value ?? null));
 
@@ -47,40 +47,43 @@
   epoch = 0;
   down = false;
   /** The largest value and transaction; more is a 400. */
-  caps: StateCaps | null = null;
+  limits: StateLimits | null = null;
   /** Transactions that were too large. */
-  refusals = 0;
+  oversizedCount = 0;
   /** So many changes can be watched from; an older revision gets 410. */
-  changesKept = MOST_CHANGES;
+  retainedChangeCount = DEFAULT_RETAINED_CHANGE_COUNT;
   /** Nodes that get 503 while all others are served; their open watches wait. */
-  readonly refused = new Set<string>();
+  readonly refusedNodes = new Set<string>();
   private readonly leases = new Map<number, Lease>();
-  private readonly news: News[] = [];
+  private readonly changes: Change[] = [];
   private watchers: Watcher[] = [];
   private lastLease = 0;
-  private forgotten = 0;
+  private compactedTo = 0;
   /** What is left of a second's worth of requests and changes. */
-  private left: { requestsPerSecond: number; writesPerSecond: number } | null;
-  private filled = 0;
+  private remaining: { requestsPerSecond: number; writesPerSecond: number } | null;
+  private refilledAt = 0;
 
   constructor(
     private readonly now: () => number,
-    private readonly limits: { requestsPerSecond: number; writesPerSecond: number } | null = null,
+    private readonly rateLimits: {
+      requestsPerSecond: number;
+      writesPerSecond: number;
+    } | null = null,
   ) {
-    this.left = limits && { ...limits };
+    this.remaining = rateLimits && { ...rateLimits };
   }
 
   /** After an outage every lease has its full time again. */
   restore(): void {
     this.down = false;
-    for (const lease of this.leases.values()) lease.ends = this.now() + lease.life;
+    for (const lease of this.leases.values()) lease.expiresAt = this.now() + lease.duration;
   }
 
   tick(): void {
     if (this.down) return;
-    for (const [id, lease] of this.leases) if (lease.ends <= this.now()) this.endLease(id);
+    for (const [id, lease] of this.leases) if (lease.expiresAt <= this.now()) this.endLease(id);
     for (const w of this.watchers.filter((x) => x.until <= this.now())) this.finish(w);
-    this.wake();
+    this.notifyWatchers();
   }
 
   handle(
@@ -90,8 +93,8 @@
     done: (r: CallResult) => void,
     node = '',
   ): void {
-    if (this.down || this.refused.has(node)) return done(answer(503, { error: 'trouble' }));
-    if (!this.afford(path === '/commit' ? (body as Commit).writes.length : 0)) {
+    if (this.down || this.refusedNodes.has(node)) return done(answer(503, { error: 'trouble' }));
+    if (!this.takeFromRateLimit(path === '/commit' ? (body as Commit).writes.length : 0)) {
       return done(answer(429, { error: 'too many requests' }));
     }
     const url = new URL(path, 'http://state');
@@ -100,25 +103,26 @@
     if (path.startsWith('/keys?')) return done(this.page(query));
     if (path.startsWith('/keys/')) return done(this.read(path.slice('/keys/'.length)));
     if (path === '/commit') return done(this.commit(body as Commit));
-    done(this.grants(method, path, body));
+    done(this.handleLease(method, path, body));
   }
 
-  private afford(writes: number): boolean {
-    if (!this.left || !this.limits) return true;
-    const seconds = (this.now() - this.filled) / 1000;
-    this.filled = this.now();
-    const { requestsPerSecond, writesPerSecond } = this.limits;
-    this.left.requestsPerSecond = Math.min(
+  private takeFromRateLimit(writes: number): boolean {
+    if (!this.remaining || !this.rateLimits) return true;
+    const seconds = (this.now() - this.refilledAt) / 1000;
+    this.refilledAt = this.now();
+    const { requestsPerSecond, writesPerSecond } = this.rateLimits;
+    this.remaining.requestsPerSecond = Math.min(
       requestsPerSecond,
-      this.left.requestsPerSecond + seconds * requestsPerSecond,
+      this.remaining.requestsPerSecond + seconds * requestsPerSecond,
     );
-    this.left.writesPerSecond = Math.min(
+    this.remaining.writesPerSecond = Math.min(
       writesPerSecond,
-      this.left.writesPerSecond + seconds * writesPerSecond,
+      this.remaining.writesPerSecond + seconds * writesPerSecond,
     );
-    if (this.left.requestsPerSecond < 1 || this.left.writesPerSecond < writes) return false;
-    this.left.requestsPerSecond--;
-    this.left.writesPerSecond -= writes;
+    if (this.remaining.requestsPerSecond < 1 || this.remaining.writesPerSecond < writes)
+      return false;
+    this.remaining.requestsPerSecond--;
+    this.remaining.writesPerSecond -= writes;
     return true;
   }
 
@@ -141,17 +145,17 @@
   }
 
   private tooLarge({ guards, writes }: Commit): boolean {
-    if (!this.caps) return false;
-    const { maxValueBytes, maxTransactionWrites } = this.caps;
+    if (!this.limits) return false;
+    const { maxValueBytes, maxTransactionWrites } = this.limits;
     if (writes.length > maxTransactionWrites || guards.length > maxTransactionWrites * 4)
       return true;
-    if (sizeOf({ guards, writes }) > MOST_TRANSACTION) return true;
+    if (sizeOf({ guards, writes }) > MAX_TRANSACTION_BYTES) return true;
     return writes.some((w) => 'write' in w && sizeOf(w.v) > maxValueBytes);
   }
 
   private commit({ guards, writes }: Commit): CallResult {
     if (this.tooLarge({ guards, writes })) {
-      this.refusals++;
+      this.oversizedCount++;
       return answer(400, { error: 'too large' });
     }
     const failed = guards.filter((g) => (this.keys.get(g.key)?.stamp ?? 0) !== g.stamp);
@@ -167,31 +171,31 @@
       if ('write' in w) this.put(w.write, clone(w.v), w.tenancy ?? null);
       else this.remove(w.delete);
     }
-    this.wake();
+    this.notifyWatchers();
     return answer(200, { epoch: this.epoch });
   }
 
   private put(key: string, v: unknown, lease: number | null): void {
     this.keys.set(key, { v, stamp: this.epoch, lease });
-    this.news.push({ epoch: this.epoch, event: { write: key, v, stamp: this.epoch } });
+    this.changes.push({ epoch: this.epoch, event: { write: key, v, stamp: this.epoch } });
   }
 
   private remove(key: string): void {
     if (!this.keys.delete(key)) return;
-    this.news.push({ epoch: this.epoch, event: { delete: key, stamp: this.epoch } });
+    this.changes.push({ epoch: this.epoch, event: { delete: key, stamp: this.epoch } });
   }
 
-  private grants(method: string, path: string, body: unknown): CallResult {
+  private handleLease(method: string, path: string, body: unknown): CallResult {
     if (path === '/grants') {
       const life = (body as { life_ms: number }).life_ms;
-      this.leases.set(++this.lastLease, { life, ends: this.now() + life });
+      this.leases.set(++this.lastLease, { duration: life, expiresAt: this.now() + life });
       return answer(200, { tenancy: this.lastLease });
     }
     const id = Number(path.split('/')[2]);
     const lease = this.leases.get(id);
     if (!lease) return answer(404, { error: 'no such lease' });
     if (method === 'DELETE') this.endLease(id);
-    else lease.ends = this.now() + lease.life;
+    else lease.expiresAt = this.now() + lease.duration;
     return answer(200, { tenancy: id });
   }
 
@@ -201,7 +205,7 @@
     if (attached.length === 0) return;
     this.epoch++;
     for (const [key] of attached) this.remove(key);
-    this.wake();
+    this.notifyWatchers();
   }
 
   private watch(query: URLSearchParams, node: string, done: (r: CallResult) => void): void {
@@ -212,31 +216,32 @@
       until: this.now() + Number(query.get('hold_ms') ?? 0),
       done,
     };
-    if (watcher.after < this.forgottenTo) return done(answer(410, { error: 'too old' }));
+    if (watcher.after < this.compact()) return done(answer(410, { error: 'too old' }));
     this.watchers.push(watcher);
     if (this.eventsFor(watcher).length > 0) this.finish(watcher);
   }
 
-  /** Changes up to this revision can't be watched any more. */
-  private get forgottenTo(): number {
-    while (this.news.length > this.changesKept) this.forgotten = this.news.shift()?.epoch ?? 0;
-    return this.forgotten;
+  /** Drops the oldest changes; up to the revision returned none can be watched any more. */
+  private compact(): number {
+    while (this.changes.length > this.retainedChangeCount)
+      this.compactedTo = this.changes.shift()?.epoch ?? 0;
+    return this.compactedTo;
   }
 
-  private eventsFor(w: Watcher): News['event'][] {
-    return this.news
+  private eventsFor(w: Watcher): Change['event'][] {
+    return this.changes
       .filter((n) => n.epoch > w.after)
       .map((n) => n.event)
       .filter((e) => (e.write ?? e.delete ?? '').startsWith(w.prefix));
   }
 
   private finish(w: Watcher): void {
-    if (this.refused.has(w.node)) return;
+    if (this.refusedNodes.has(w.node)) return;
     this.watchers = this.watchers.filter((x) => x !== w);
     w.done(answer(200, clone({ epoch: this.epoch, news: this.eventsFor(w) })));
   }
 
-  private wake(): void {
+  private notifyWatchers(): void {
     for (const w of this.watchers.filter((x) => this.eventsFor(x).length > 0)) this.finish(w);
   }
 }
--- a/packages/testing/src/fakes/fake-worker.ts
+++ b/packages/testing/src/fakes/fake-worker.ts
@@ -1,237 +1,195 @@
 /** A worker in memory. */
 import type { CallResult } from '@tealdock/controller';
 import type { CloudMachine } from './fake-cloud.js';
+import type {
+  WireCommand,
+  WireCommands,
+  WireHeartbeatResponse,
+  WorkerHost,
+  WorkerTask,
+} from './worker-protocol.js';
 
-/** A task on a worker, as its reports show it. */
-export interface WorkerTask {
-  piece: string;
-  try_no: number;
-  status: 'pulling' | 'running' | 'exited';
-  reason?: string;
-  ends: number;
-}
-
-interface WireOrder {
-  verb: 'start' | 'kill' | 'forget';
-  piece: string;
-  try_no: number;
-}
-/** What a controller sends to a worker's own address. */
-export interface WireCommands {
-  fence?: number;
-  shift?: number;
-  orders?: WireOrder[];
-}
-interface WireAnswer {
-  fence?: number;
-  orders?: WireOrder[];
-  upstream?: string;
-}
-
-/** The image that a task needs. */
-export interface TaskImage {
-  name: string;
-  gb: number;
-  /** What is fetched of it in a second. */
-  gbPerS: number;
-  /** Whether fetches at the same time share that rate. */
-  shared: boolean;
-}
-
-/** What the simulated cluster does for a worker: carries its reports and knows the jobs. */
-export interface WorkerHost {
-  now(): number;
-  nodes: string[];
-  heartbeatInterval: number;
-  lease: number;
-  /** Where direct commands to a machine go. */
-  address(machine: string): string;
-  runTime(piece: string): number | null;
-  /** The image that a task needs; null if it is on the machine. */
-  imageOf(piece: string): TaskImage | null;
-  fails(piece: string, machine: string): boolean;
-  hangUp(worker: FakeWorker, node: string): void;
-  carry(worker: FakeWorker, node: string, body: unknown, done: (r: CallResult) => void): void;
-  started(piece: string, machine: string): void;
-  ended(piece: string, machine: string, reason: string): void;
-}
-
-const ANSWER_TIMEOUT = 4000;
+/** A worker gives a response up after this time, and turns to the next node. */
+const RESPONSE_TIMEOUT_MS = 4000;
 
-/** A worker as the protocol describes it: one report in flight, tokens, sessions, leases. */
+/**
+ * A worker as the protocol describes it: one heartbeat in flight, fencing tokens, agent epochs and
+ * its lease.
+ */
 export class FakeWorker {
   tasks: WorkerTask[] = [];
-  shift = 1;
-  tally = 0;
-  fence = 0;
-  warning: number | null = null;
-  gone = false;
+  agentEpoch = 1;
+  sequenceNumber = 0;
+  fencingToken = 0;
+  reclaimWarningSeconds: number | null = null;
+  isGone = false;
   /** Nothing runs and nothing is heard; commands wait, as a machine's sockets hold them. */
-  hanging = false;
-  private readonly inbox: (() => void)[] = [];
-  private node = 0;
-  private next = 0;
-  private lastSent: number;
-  private flight: { sent: number; shift: number; id: number } | null = null;
-  private flights = 0;
-  private changed = false;
-  private readonly images = new Set<string>();
+  isHung = false;
+  private readonly pendingCommands: (() => void)[] = [];
+  private nodeIndex = 0;
+  private nextHeartbeatAt = 0;
+  private leaseRenewedAt: number;
+  private inFlight: { sentAt: number; agentEpoch: number; id: number } | null = null;
+  private lastHeartbeatId = 0;
+  private hasUnsentChange = false;
+  private readonly cachedImages = new Set<string>();
   /** GB that have come of images that tasks wait for. */
-  private readonly fetched = new Map<string, number>();
-  private ticked: number;
+  private readonly fetchedGb = new Map<string, number>();
+  private lastTickAt: number;
 
   constructor(
     private readonly host: WorkerHost,
     readonly machine: CloudMachine,
   ) {
-    this.lastSent = this.ticked = host.now();
-    this.node = machine.id.charCodeAt(machine.id.length - 1) % host.nodes.length;
+    this.leaseRenewedAt = this.lastTickAt = host.now();
+    this.nodeIndex = machine.id.charCodeAt(machine.id.length - 1) % host.nodeNames.length;
   }
 
   tick(): void {
-    if (this.gone) return;
+    if (this.isGone) return;
     const now = this.host.now();
     // A hanging machine may go on within its lease only, so its end counts at once.
-    if (now - this.lastSent > this.host.lease) this.newSession(now);
-    const elapsed = now - this.ticked;
-    this.ticked = now;
-    if (this.hanging) return this.standStill(elapsed);
-    for (const execute of this.inbox.splice(0)) execute();
-    this.fetch(elapsed / 1000);
+    if (now - this.leaseRenewedAt > this.host.leaseDuration) this.startNewEpoch(now);
+    const elapsed = now - this.lastTickAt;
+    this.lastTickAt = now;
+    if (this.isHung) return this.postponeEnds(elapsed);
+    for (const execute of this.pendingCommands.splice(0)) execute();
+    this.advanceFetches(elapsed / 1000);
     this.finishTasks(now);
-    if (this.flight && now - this.flight.sent > ANSWER_TIMEOUT) this.elsewhere();
-    if (!this.flight && now >= this.next) this.report(now);
+    if (this.inFlight && now - this.inFlight.sentAt > RESPONSE_TIMEOUT_MS) this.tryNextNode();
+    if (!this.inFlight && now >= this.nextHeartbeatAt) this.sendHeartbeat(now);
   }
 
-  private standStill(elapsed: number): void {
-    for (const t of this.tasks) if (t.status === 'running') t.ends += elapsed;
+  private postponeEnds(elapsed: number): void {
+    for (const t of this.tasks) if (t.status === 'running') t.endsAt += elapsed;
   }
 
   /** `POST /commands`; a machine that hangs carries it out when it goes on. */
-  commands(body: WireCommands, done: (r: CallResult) => void): void {
-    this.inbox.push(() => done(this.carryOut(body)));
+  receiveCommands(body: WireCommands, done: (r: CallResult) => void): void {
+    this.pendingCommands.push(() => done(this.executeCommands(body)));
   }
 
-  private carryOut({ fence, shift, orders }: WireCommands): CallResult {
-    if (fence === undefined || shift === undefined) return this.reportAs(400);
-    if (fence < this.fence || shift !== this.shift) return this.reportAs(409);
-    this.fence = fence;
+  private executeCommands({ fence, shift, orders }: WireCommands): CallResult {
+    if (fence === undefined || shift === undefined) return this.stateResponse(400);
+    if (fence < this.fencingToken || shift !== this.agentEpoch) return this.stateResponse(409);
+    this.fencingToken = fence;
     for (const order of orders ?? []) this.execute(order);
-    if (this.changed) this.soon();
-    return this.reportAs(200);
+    if (this.hasUnsentChange) this.scheduleHeartbeatSoon();
+    return this.stateResponse(200);
   }
 
-  private reportAs(status: number): CallResult {
-    return { kind: 'answer', status, body: this.body() };
+  private stateResponse(status: number): CallResult {
+    return { kind: 'answer', status, body: this.heartbeatBody() };
   }
 
   private finishTasks(now: number): void {
     for (const t of this.tasks) {
-      if (t.status !== 'running' || t.ends > now) continue;
-      this.exit(t, this.host.fails(t.piece, this.machine.id) ? 'error' : 'done');
+      if (t.status !== 'running' || t.endsAt > now) continue;
+      this.exit(t, this.host.taskFails(t.piece, this.machine.id) ? 'error' : 'done');
     }
   }
 
-  /** Its cache is emptied, which no report tells of. */
+  /** Its cache is emptied, which no heartbeat says. */
   dropImages(): void {
-    this.images.clear();
-    this.fetched.clear();
+    this.cachedImages.clear();
+    this.fetchedGb.clear();
   }
 
   /** Images that tasks wait for at present. */
-  fetching(): string[] {
+  imagesBeingFetched(): string[] {
     const names = this.tasks
       .filter((t) => t.status === 'pulling')
       .map((t) => this.host.imageOf(t.piece)?.name ?? '');
     return [...new Set(names)];
   }
 
-  private fetch(seconds: number): void {
-    const wanted = this.fetching();
-    for (const name of this.fetched.keys()) if (!wanted.includes(name)) this.fetched.delete(name);
+  private advanceFetches(seconds: number): void {
+    const wanted = this.imagesBeingFetched();
+    for (const name of this.fetchedGb.keys())
+      if (!wanted.includes(name)) this.fetchedGb.delete(name);
     for (const t of this.tasks) {
       const image = t.status === 'pulling' ? this.host.imageOf(t.piece) : null;
       if (!image || !wanted.includes(image.name)) continue;
       wanted.splice(wanted.indexOf(image.name), 1);
-      const part = image.shared ? 1 / this.fetching().length : 1;
-      const came = (this.fetched.get(image.name) ?? 0) + seconds * image.gbPerS * part;
-      this.fetched.set(image.name, came);
-      if (came >= image.gb) this.images.add(image.name);
+      const part = image.shared ? 1 / this.imagesBeingFetched().length : 1;
+      const came = (this.fetchedGb.get(image.name) ?? 0) + seconds * image.gbPerS * part;
+      this.fetchedGb.set(image.name, came);
+      if (came >= image.gb) this.cachedImages.add(image.name);
     }
     for (const t of this.tasks) if (t.status === 'pulling') this.runIfFetched(t);
   }
 
   private runIfFetched(t: WorkerTask): void {
     const image = this.host.imageOf(t.piece);
-    if (image && !this.images.has(image.name)) return;
+    if (image && !this.cachedImages.has(image.name)) return;
     t.status = 'running';
-    t.ends = this.host.now() + (this.host.runTime(t.piece) ?? 0);
-    this.host.started(t.piece, this.machine.id);
-    this.soon();
+    t.endsAt = this.host.now() + (this.host.runTimeOf(t.piece) ?? 0);
+    this.host.noteStart(t.piece, this.machine.id);
+    this.scheduleHeartbeatSoon();
   }
 
   private exit(t: WorkerTask, reason: string): void {
     t.status = 'exited';
     t.reason = reason;
-    this.soon();
-    this.host.ended(t.piece, this.machine.id, reason);
+    this.scheduleHeartbeatSoon();
+    this.host.noteEnd(t.piece, this.machine.id, reason);
   }
 
-  private soon(): void {
-    this.changed = true;
-    this.next = Math.min(this.next, this.host.now() + 500);
+  private scheduleHeartbeatSoon(): void {
+    this.hasUnsentChange = true;
+    this.nextHeartbeatAt = Math.min(this.nextHeartbeatAt, this.host.now() + 500);
   }
 
-  /** The machine goes down and is back at once: its tasks are gone, its session advances. */
+  /** The machine goes down and is back at once: its tasks are gone, its agent epoch advances. */
   reboot(): void {
-    this.flight = null;
-    this.newSession(this.host.now());
+    this.inFlight = null;
+    this.startNewEpoch(this.host.now());
   }
 
-  private newSession(now: number): void {
+  private startNewEpoch(now: number): void {
     for (const t of this.tasks) {
-      if (t.status === 'running') this.host.ended(t.piece, this.machine.id, 'lease');
+      if (t.status === 'running') this.host.noteEnd(t.piece, this.machine.id, 'lease');
     }
     this.tasks = [];
-    this.shift++;
-    this.lastSent = now;
-    this.soon();
+    this.agentEpoch++;
+    this.leaseRenewedAt = now;
+    this.scheduleHeartbeatSoon();
   }
 
-  private elsewhere(): void {
-    this.flight = null;
-    this.turnTo((this.node + 1) % this.host.nodes.length);
-    this.next = this.host.now() + 1000;
+  private tryNextNode(): void {
+    this.inFlight = null;
+    this.switchToNode((this.nodeIndex + 1) % this.host.nodeNames.length);
+    this.nextHeartbeatAt = this.host.now() + 1000;
   }
 
-  private turnTo(node: number): void {
-    this.host.hangUp(this, this.host.nodes[this.node]!);
-    this.node = node;
+  private switchToNode(node: number): void {
+    this.host.closeConnection(this, this.host.nodeNames[this.nodeIndex]!);
+    this.nodeIndex = node;
   }
 
-  private report(now: number): void {
-    this.changed = false;
-    this.next = now + this.host.heartbeatInterval;
-    const id = ++this.flights;
-    this.flight = { sent: now, shift: this.shift, id };
-    const node = this.host.nodes[this.node]!;
-    this.host.carry(this, node, this.body(), (r) => {
-      if (this.flight?.id === id && !this.gone && !this.hanging) this.answered(r);
+  private sendHeartbeat(now: number): void {
+    this.hasUnsentChange = false;
+    this.nextHeartbeatAt = now + this.host.heartbeatInterval;
+    const id = ++this.lastHeartbeatId;
+    this.inFlight = { sentAt: now, agentEpoch: this.agentEpoch, id };
+    const node = this.host.nodeNames[this.nodeIndex]!;
+    this.host.sendHeartbeat(this, node, this.heartbeatBody(), (r) => {
+      if (this.inFlight?.id === id && !this.isGone && !this.isHung) this.handleResponse(r);
     });
   }
 
-  private body(): unknown {
+  private heartbeatBody(): unknown {
     const m = this.machine;
     return {
       host: m.id,
-      addr: this.host.address(m.id),
+      addr: this.host.commandAddress(m.id),
       flavour: m.type,
       hall: m.zone,
       spare: m.spot,
-      shift: this.shift,
-      tally: ++this.tally,
-      fence: this.fence,
-      warning_s: this.warning,
+      shift: this.agentEpoch,
+      tally: ++this.sequenceNumber,
+      fence: this.fencingToken,
+      warning_s: this.reclaimWarningSeconds,
       batch: this.tasks.map(({ piece, try_no, status, reason }) => ({
         piece,
         try_no,
@@ -241,29 +199,32 @@
     };
   }
 
-  private answered(r: CallResult): void {
-    const flight = this.flight!;
-    this.flight = null;
-    const body = r.kind === 'answer' ? (r.body as WireAnswer) : {};
-    if (r.kind === 'answer' && r.status === 200) return this.obey(flight, body);
+  private handleResponse(r: CallResult): void {
+    const flight = this.inFlight!;
+    this.inFlight = null;
+    const body = r.kind === 'answer' ? (r.body as WireHeartbeatResponse) : {};
+    if (r.kind === 'answer' && r.status === 200) return this.applyResponse(flight, body);
     const named = r.kind === 'answer' && r.status === 421 ? body.upstream : undefined;
-    const at = named === undefined ? -1 : this.host.nodes.indexOf(named);
-    if (at < 0 || at === this.node) return this.elsewhere();
-    this.turnTo(at);
-    this.next = this.host.now();
+    const at = named === undefined ? -1 : this.host.nodeNames.indexOf(named);
+    if (at < 0 || at === this.nodeIndex) return this.tryNextNode();
+    this.switchToNode(at);
+    this.nextHeartbeatAt = this.host.now();
   }
 
-  private obey(flight: { sent: number; shift: number }, body: WireAnswer): void {
+  private applyResponse(
+    flight: { sentAt: number; agentEpoch: number },
+    body: WireHeartbeatResponse,
+  ): void {
     const fence = body.fence ?? -1;
-    if (fence < this.fence || flight.shift !== this.shift) return;
-    if (fence > this.fence) this.soon();
-    this.fence = fence;
-    this.lastSent = flight.sent;
+    if (fence < this.fencingToken || flight.agentEpoch !== this.agentEpoch) return;
+    if (fence > this.fencingToken) this.scheduleHeartbeatSoon();
+    this.fencingToken = fence;
+    this.leaseRenewedAt = flight.sentAt;
     for (const order of body.orders ?? []) this.execute(order);
-    if (this.changed) this.soon();
+    if (this.hasUnsentChange) this.scheduleHeartbeatSoon();
   }
 
-  private execute(order: WireOrder): void {
+  private execute(order: WireCommand): void {
     const known = this.tasks.find((t) => t.piece === order.piece && t.try_no === order.try_no);
     if (order.verb === 'forget') {
       if (known?.status === 'exited') this.tasks = this.tasks.filter((t) => t !== known);
@@ -272,26 +233,26 @@
     } else if (!known) this.startTask(order);
   }
 
-  private startTask(order: WireOrder): void {
+  private startTask(order: WireCommand): void {
     const task: WorkerTask = {
       piece: order.piece,
       try_no: order.try_no,
       status: 'pulling',
-      ends: 0,
+      endsAt: 0,
     };
     this.tasks.push(task);
     const busy = this.tasks.some(
       (t) => t !== task && t.piece === order.piece && t.status !== 'exited',
     );
-    if (this.host.runTime(order.piece) === null) return this.refuse(task, 'no_such');
+    if (this.host.runTimeOf(order.piece) === null) return this.refuse(task, 'no_such');
     if (busy) return this.refuse(task, 'in_use');
-    this.soon();
+    this.scheduleHeartbeatSoon();
     this.runIfFetched(task);
   }
 
   private refuse(task: WorkerTask, reason: string): void {
     task.status = 'exited';
     task.reason = reason;
-    this.soon();
+    this.scheduleHeartbeatSoon();
   }
 }
--- a/packages/testing/src/index.ts
+++ b/packages/testing/src/index.ts
@@ -5,6 +5,7 @@
 export * from './fakes/fake-state.js';
 export * from './fakes/fake-cloud.js';
 export * from './fakes/fake-worker.js';
+export * from './fakes/worker-protocol.js';
 export * from './checker/rule-checker.js';
 export * from './checker/free-capacity.js';
 export * from './fakes/fake-sockets.js';
--- a/packages/testing/src/scenarios/cancelled-before-outage.test.ts
+++ b/packages/testing/src/scenarios/cancelled-before-outage.test.ts
@@ -33,7 +33,7 @@
     cluster.stateLink.fault = null;
     cluster.run(10_000);
     // Where the outage came before the answer, the user asks again.
-    if (cluster.checker.final(idOf(n)) === null) cancelled(cluster, n, others(cluster)[0]!);
+    if (cluster.checker.finalStatus(idOf(n)) === null) cancelled(cluster, n, others(cluster)[0]!);
   }
   endsWell(cluster, [1, 2, 3]);
 }
--- a/packages/testing/src/scenarios/combined-faults.test.ts
+++ b/packages/testing/src/scenarios/combined-faults.test.ts
@@ -29,7 +29,7 @@
   cluster.run(15_000);
   cancelled(cluster, 1, far);
   cluster.run(times.lease + 10_000);
-  for (const w of machines) assert.equal(w.shift, 1, `${w.machine.id} kept its lease`);
+  for (const w of machines) assert.equal(w.agentEpoch, 1, `${w.machine.id} kept its lease`);
   assert.equal(running(cluster), 4);
   endsWell(cluster, [1, 2]);
 });
@@ -103,7 +103,7 @@
     cluster.at(6000, () => cluster.boot(leader));
   }
   endsWell(cluster, [1, 2, 3, 4, 5, 6]);
-  assert.equal(cluster.checker.starts, 15, 'what was done stays done');
+  assert.equal(cluster.checker.startCount, 15, 'what was done stays done');
 });
 
 onEachDeployment('all controllers are away for longer than the lease', (times) => {
@@ -129,7 +129,7 @@
     'told directly',
   );
   cluster.run(times.lease + 10_000);
-  assert.ok(unheard.every((w) => w.shift > 1));
+  assert.ok(unheard.every((w) => w.agentEpoch > 1));
   endsWell(cluster, [1, 2]);
 });
 
@@ -145,7 +145,7 @@
     cluster.cancel(idOf(2), cluster.leader()!);
     cluster.cancel(idOf(3), old);
     cluster.run(times.cancellationLimit + 5000);
-    assert.equal(cluster.checker.final(idOf(2)), 'aborted');
+    assert.equal(cluster.checker.finalStatus(idOf(2)), 'aborted');
     endsWell(cluster, [1, 2, 3]);
   },
 );
@@ -183,7 +183,7 @@
     cluster.boot(old);
     cluster.run(times.lease + 10_000);
     endsWell(cluster, [1, 2, 3, 4, 5]);
-    assert.ok(cluster.checker.mostUsed('team') >= 8, 'the limit was reached');
+    assert.ok(cluster.checker.maxCpusUsed('team') >= 8, 'the limit was reached');
   },
 );
 
@@ -195,7 +195,7 @@
       cluster.stateLink.extraDelay = () => 300 + cluster.random() * 800;
       cluster.run(5000);
       const leader = cluster.leader()!;
-      cluster.state.refused.add(leader);
+      cluster.state.refusedNodes.add(leader);
       for (let n = 1; n <= 3; n++) {
         cluster.at(n * 700, () => cluster.cancel(idOf(n), cluster.nodeNames[n % 3]!));
         cluster.at(n * 900, () => cluster.poll(idOf(n), cluster.nodeNames[(n + 1) % 3]!));
--- a/packages/testing/src/scenarios/dependencies.test.ts
+++ b/packages/testing/src/scenarios/dependencies.test.ts
@@ -63,7 +63,11 @@
 test('ends that other jobs wait for are committed first, those of cancelled dependents last', () => {
   const [plain, awaited, urgent, cancelled, behind] = [1, 6, 7, 8, 9];
   const cluster = settled(
-    { capacity: 4, runTime: 3000, next: { maxTransactionWrites: 2, maxValueBytes: 4096 } },
+    {
+      capacity: 4,
+      runTime: 3000,
+      announcedLimits: { maxTransactionWrites: 2, maxValueBytes: 4096 },
+    },
     4,
   );
   cluster.stateLink.fault = (_node, call) =>
@@ -140,7 +144,7 @@
   submitted(cluster, 1, { batch: 1 });
   submitted(cluster, 2, { batch: 16, ...after(1) });
   cluster.run(140_000);
-  assert.ok(cluster.cloud.rented.length <= 2, `${cluster.cloud.rented.length} machines`);
+  assert.ok(cluster.cloud.rentedIds.length <= 2, `${cluster.cloud.rentedIds.length} machines`);
   assert.ok(!begun(cluster, 2));
   crashLeader(cluster);
   // It waited for more than two minutes, but is no older than its release.
--- a/packages/testing/src/scenarios/dependency-cancellation.test.ts
+++ b/packages/testing/src/scenarios/dependency-cancellation.test.ts
@@ -25,7 +25,7 @@
   const over = { batch: 1, expected_s: 1, ...after(...waits) };
   cluster.submit(job(n, over), node);
   assert.ok(
-    cluster.runUntil(() => cluster.checker.accepted(idOf(n)), 4000),
+    cluster.runUntil(() => cluster.checker.isAccepted(idOf(n)), 4000),
     idOf(n),
   );
 }
@@ -66,10 +66,10 @@
   cluster.state.down = true;
   cluster.run(CANCEL_WITHIN + 10_000);
   cluster.state.restore();
-  assert.equal(cluster.checker.final(A), 'aborted');
+  assert.equal(cluster.checker.finalStatus(A), 'aborted');
   for (const n of [4, 3, 2]) cluster.poll(idOf(n), c!);
   cluster.run(1500);
-  for (const n of [2, 3, 4]) assert.equal(cluster.checker.final(idOf(n)), 'aborted', idOf(n));
+  for (const n of [2, 3, 4]) assert.equal(cluster.checker.finalStatus(idOf(n)), 'aborted', idOf(n));
   for (const n of [2, 3, 4]) assert.equal(told(cluster, n, b!), 'aborted');
   cluster.boot(leader);
   cluster.run(20_000);
@@ -147,7 +147,7 @@
       cluster.run(CANCEL_WITHIN);
       for (const n of all) cluster.poll(idOf(n), cluster.nodeNames[n % 3]!);
       cluster.run(3000);
-      for (const n of all) assert.equal(cluster.checker.final(idOf(n)), 'aborted', idOf(n));
+      for (const n of all) assert.equal(cluster.checker.finalStatus(idOf(n)), 'aborted', idOf(n));
     } else {
       const done = () => all.every((n) => cluster.checker.doneTasks(idOf(n)).size === 1);
       assert.ok(cluster.runUntil(done, 400_000));
--- a/packages/testing/src/scenarios/dependency-faults.test.ts
+++ b/packages/testing/src/scenarios/dependency-faults.test.ts
@@ -48,7 +48,7 @@
         insist(cluster, 4, { batch: 1, ...after(2) });
         cluster.run(12_000);
         endsWell(cluster, [1, 2, 3, 4]);
-        const ends = new Set([1, 2, 3, 4].map((n) => cluster.checker.final(idOf(n))));
+        const ends = new Set([1, 2, 3, 4].map((n) => cluster.checker.finalStatus(idOf(n))));
         assert.equal(ends.size, 1, `${[...ends].join(' and ')} after ${moment} ms`);
       }
     }
@@ -78,8 +78,8 @@
   },
   {
     name: 'hang',
-    begin: (_cluster, workers) => workers.forEach((w) => (w.hanging = true)),
-    end: (_cluster, workers) => workers.forEach((w) => (w.hanging = false)),
+    begin: (_cluster, workers) => workers.forEach((w) => (w.isHung = true)),
+    end: (_cluster, workers) => workers.forEach((w) => (w.isHung = false)),
   },
   {
     name: 'have copies of their reports come late',
@@ -105,7 +105,8 @@
           cluster.run(length);
           end(cluster, affected);
           endsWell(cluster, [1, 2, 3]);
-          for (const n of [1, 2, 3]) assert.equal(cluster.checker.final(idOf(n)), 'done', idOf(n));
+          for (const n of [1, 2, 3])
+            assert.equal(cluster.checker.finalStatus(idOf(n)), 'done', idOf(n));
         }
       }
     },
@@ -119,7 +120,11 @@
     (times) => {
       const limits = { sockets: 1500, requestsPerSecond: 100, writesPerSecond: 15 };
       const next = { maxValueBytes: 2048, maxTransactionWrites: 4 };
-      const cluster = start(times, { capacity: 8, runTime: LIMIT, limits, next }, 8);
+      const cluster = start(
+        times,
+        { capacity: 8, runTime: LIMIT, limits, announcedLimits: next },
+        8,
+      );
       const [wide, deep] = [110, 90];
       submitted(cluster, 1, { batch: 1, expected_s: 400 });
       for (let i = 0; i < wide; i++) submitted(cluster, 2 + i, { batch: 1, ...after(1) });
@@ -144,7 +149,7 @@
       // Users ask about every five seconds, each of them some node.
       for (let round = 0; round * 5000 < times.cancellationLimit; round++) {
         for (const [i, n] of all.entries()) {
-          if (cluster.checker.final(idOf(n)) !== null) continue;
+          if (cluster.checker.finalStatus(idOf(n)) !== null) continue;
           const nodes = [...cluster.processes.running.keys()];
           cluster.at((i * 5000) / all.length, () =>
             cluster.poll(idOf(n), nodes[(n + round) % nodes.length]!),
@@ -152,7 +157,7 @@
         }
         cluster.run(5000);
       }
-      for (const n of all) assert.equal(cluster.checker.final(idOf(n)), 'aborted', idOf(n));
+      for (const n of all) assert.equal(cluster.checker.finalStatus(idOf(n)), 'aborted', idOf(n));
       for (const [i, n] of all.entries()) {
         const again = job(n, { batch: 1 });
         cluster.at(i * 40, () => cluster.submit(again, i % 2 ? b! : c!));
--- a/packages/testing/src/scenarios/fetches.test.ts
+++ b/packages/testing/src/scenarios/fetches.test.ts
@@ -20,7 +20,7 @@
 /** The most images that a machine fetches soon after; then these jobs are run to their ends. */
 function fetchesSoon(cluster: SimulatedCluster, from: number, count: number): number {
   cluster.run(4000);
-  const most = Math.max(...[...cluster.workers.values()].map((w) => w.fetching().length));
+  const most = Math.max(...[...cluster.workers.values()].map((w) => w.imagesBeingFetched().length));
   const numbers = Array.from({ length: count }, (_, i) => from + i);
   const done = () => numbers.every((n) => cluster.checker.doneTasks(idOf(n)).size === 1);
   assert.ok(cluster.runUntil(done, 200_000));
@@ -79,7 +79,7 @@
   worker.dropImages();
   cluster.submit(job(2, { batch: 1, bundle: 'img-1', image_gb: 20, expected_s: 5 }), 'n-0');
   cluster.run(2500);
-  assert.deepEqual(worker.fetching(), ['img-1']);
+  assert.deepEqual(worker.imagesBeingFetched(), ['img-1']);
   // Smaller images would come too late behind that one.
   submitImages(cluster, 3, 2, 8);
   assert.equal(fetchesSoon(cluster, 2, 3), 1);
--- a/packages/testing/src/scenarios/fleet.test.ts
+++ b/packages/testing/src/scenarios/fleet.test.ts
@@ -28,7 +28,7 @@
   const cluster = settled({ cpuLimit: 20_000, limits: LIMITS }, MACHINES);
   const numbers = submitMany(cluster, 40, { batch: 100, expected_s: 30 });
   assert.ok(cluster.runUntil(() => running(cluster) === 4000, 40_000));
-  const before = cluster.checker.starts;
+  const before = cluster.checker.startCount;
   for (const w of cluster.workers.values()) w.reboot();
   for (const n of cluster.nodeNames) cluster.crash(n);
   for (const n of cluster.nodeNames) cluster.at(300, () => cluster.boot(n));
@@ -46,9 +46,9 @@
     'all is done',
   );
   keepsRules(cluster);
-  const again = cluster.checker.starts - before;
+  const again = cluster.checker.startCount - before;
   assert.ok(again <= lost + 100, `${again} starts for ${lost} tasks that were lost or waited`);
-  const leases = [...cluster.workers.values()].filter((w) => w.shift > 2).length;
+  const leases = [...cluster.workers.values()].filter((w) => w.agentEpoch > 2).length;
   assert.equal(leases, 0, 'no lease ran out while the reports queued up');
   assert.ok(cluster.processes.maxSocketCount() <= LIMITS.sockets);
   assert.equal(cluster.processes.turnedAwayCount(), 0);
@@ -140,8 +140,11 @@
     maxConnections: limits.sockets,
     peers: cluster.nodeNames.slice(1).map((member) => ({ member, address: '' })),
   });
-  assert.ok(cluster.cloud.rented.length <= workers, `${cluster.cloud.rented.length} machines`);
-  assert.ok(cluster.cloud.rented.length > workers / 2);
+  assert.ok(
+    cluster.cloud.rentedIds.length <= workers,
+    `${cluster.cloud.rentedIds.length} machines`,
+  );
+  assert.ok(cluster.cloud.rentedIds.length > workers / 2);
   assert.equal(cluster.processes.turnedAwayCount(), 0);
   keepsRules(cluster);
 });
@@ -153,10 +156,10 @@
   // One CPU of a machine of four that is not spot: dearer than the cheapest slot allows.
   cluster.submit(job(1, { batch: 1 }), 'n-0');
   cluster.run(30_000);
-  assert.deepEqual(cluster.cloud.rented, [], 'no dear machine while there is time');
+  assert.deepEqual(cluster.cloud.rentedIds, [], 'no dear machine while there is time');
   const done = () => cluster.checker.doneTasks(idOf(1)).size === 1;
   assert.ok(cluster.runUntil(done, 90_000), 'it is done nevertheless');
-  assert.equal(cluster.cloud.rented.length, 1);
+  assert.equal(cluster.cloud.rentedIds.length, 1);
   keepsRules(cluster);
 });
 
--- a/packages/testing/src/scenarios/guards.test.ts
+++ b/packages/testing/src/scenarios/guards.test.ts
@@ -17,7 +17,7 @@
     {
       capacity: 40,
       cpuLimit: 10_000,
-      next: { maxValueBytes: 1024, maxTransactionWrites: 4 },
+      announcedLimits: { maxValueBytes: 1024, maxTransactionWrites: 4 },
       limits: { sockets: 4000, requestsPerSecond: 400, writesPerSecond },
       // The tasks of each job end one after the other, and all jobs have some that end.
       runTimeOf: (p) => 6000 + Number(p.split('/')[1]) * 3500 + (Number(p.slice(4, 10)) % 7) * 400,
@@ -52,7 +52,7 @@
       cpuLimit: 10_000,
       runTimeOf: (p) => 70_000 - Number(p.slice(4, 10)) * 500,
       limits: { sockets: 4000, requestsPerSecond: 200, writesPerSecond: 15 },
-      next: { maxValueBytes: 4096, maxTransactionWrites: 4 },
+      announcedLimits: { maxValueBytes: 4096, maxTransactionWrites: 4 },
     },
     12,
   );
@@ -156,7 +156,7 @@
   cluster.stateLink.fault = null;
   cluster.run(15_000);
   assert.equal(running(cluster), 10, 'all tasks run on');
-  assert.equal(cluster.checker.starts, 10);
+  assert.equal(cluster.checker.startCount, 10);
   cluster.network.cuts.clear();
   assert.ok(finished(cluster, A, 200_000));
   keepsRules(cluster);
--- a/packages/testing/src/scenarios/late-messages.test.ts
+++ b/packages/testing/src/scenarios/late-messages.test.ts
@@ -12,10 +12,10 @@
       cluster.submit(job(2, { batch: 4, expected_s: 150 }), 'n-1');
       const sent = () => cluster.logLines.some((l) => l.message === 'start dispatched');
       assert.ok(cluster.runUntil(sent, 10_000));
-      for (const w of workers(cluster)) w.hanging = true;
+      for (const w of workers(cluster)) w.isHung = true;
       cluster.cancel(idOf(2), 'n-2');
       cluster.run(hang);
-      for (const w of workers(cluster)) w.hanging = false;
+      for (const w of workers(cluster)) w.isHung = false;
       endsWell(cluster, [1, 2]);
     }
   },
@@ -27,13 +27,13 @@
   const victim = workers(cluster)[0]!;
   cluster.network.cutHeartbeatsOf(victim.machine.id);
   cluster.run(times.heartbeatInterval * 2 + 2000);
-  victim.hanging = true;
+  victim.isHung = true;
   cancelled(cluster, 1, others(cluster)[0]!);
   assert.ok(cluster.fleet.directCommandCount > 0);
   const cancelledTask = () =>
     victim.tasks.some((t) => t.piece.startsWith(A) && t.status !== 'exited');
   assert.ok(cancelledTask(), 'it has not heard it yet');
-  victim.hanging = false;
+  victim.isHung = false;
   cluster.run(1000);
   assert.ok(!cancelledTask());
   endsWell(cluster, [1, 2]);
@@ -107,7 +107,7 @@
       commits(call.path) && cluster.random() < 0.4 ? 2000 + cluster.random() * 10_000 : undefined;
     const numbers = Array.from({ length: 10 }, (_, i) => i + 1);
     const insist = (n: number) => {
-      if (cluster.checker.accepted(idOf(n))) return;
+      if (cluster.checker.isAccepted(idOf(n))) return;
       cluster.submit(job(n, { batch: 3 }), cluster.nodeNames[n % 3]!);
       cluster.at(4000, () => insist(n));
     };
--- a/packages/testing/src/scenarios/lowered-limits.test.ts
+++ b/packages/testing/src/scenarios/lowered-limits.test.ts
@@ -66,7 +66,7 @@
     const machines = entriesOf(cluster, '/roster/');
     assert.equal(machines.size, 300);
     assert.ok(largestShard(cluster) > 8000);
-    cluster.options.next = { maxValueBytes: 2048, maxTransactionWrites: 4 };
+    cluster.options.announcedLimits = { maxValueBytes: 2048, maxTransactionWrites: 4 };
     for (const n of cluster.nodeNames) {
       cluster.crash(n);
       cluster.boot(n);
@@ -79,7 +79,7 @@
       assert.ok(whole(), `after ${i * 100} ms`);
     }
     assert.ok(largestShard(cluster) <= 2048);
-    assert.equal(cluster.state.refusals, 0, 'nothing was written that is too large');
+    assert.equal(cluster.state.oversizedCount, 0, 'nothing was written that is too large');
     assert.ok(finished(cluster, A, 300_000));
     keepsRules(cluster);
   }
@@ -87,7 +87,7 @@
 
 test('many jobs under low limits: nothing is too large, all run', () => {
   const next = { maxValueBytes: 2048, maxTransactionWrites: 2 };
-  const cluster = settled({ capacity: 6, runTime: 3000, next }, 6);
+  const cluster = settled({ capacity: 6, runTime: 3000, announcedLimits: next }, 6);
   cluster.lowerStateLimits();
   for (let n = 1; n <= 30; n++) {
     const over = n > 3 ? after(n - 1, n - 3) : {};
@@ -95,7 +95,7 @@
     cluster.run(200);
   }
   assert.ok(finished(cluster, idOf(30), 300_000));
-  assert.equal(cluster.state.refusals, 0);
+  assert.equal(cluster.state.oversizedCount, 0);
   assert.equal(running(cluster), 0);
   keepsRules(cluster);
 });
--- a/packages/testing/src/scenarios/older-versions.test.ts
+++ b/packages/testing/src/scenarios/older-versions.test.ts
@@ -222,7 +222,7 @@
       for (let n = 101; n <= 112; n++) {
         const waits = n > 104 ? [idOf(n - 1), idOf(n - 3)] : [];
         cluster.at((n - 100) * 2500, () => {
-          const missing = () => !cluster.checker.accepted(idOf(n));
+          const missing = () => !cluster.checker.isAccepted(idOf(n));
           const insist = () => {
             const node = [...cluster.processes.running.keys()][
               n % Math.max(1, cluster.processes.running.size)
--- a/packages/testing/src/scenarios/placement.test.ts
+++ b/packages/testing/src/scenarios/placement.test.ts
@@ -16,7 +16,7 @@
   cluster.run(5000);
   cluster.submit(job(1, { batch: 8, expected_s: 20 }), 'n-0');
   assert.ok(finished(cluster, A));
-  assert.ok(cluster.cloud.rented.length >= 2);
+  assert.ok(cluster.cloud.rentedIds.length >= 2);
   assert.ok(cluster.runUntil(() => cluster.cloud.machines.size === 0, 150_000));
   keepsRules(cluster);
 });
@@ -41,7 +41,7 @@
   cluster.submit(job(1, { batch: 16, expected_s: 30 }), 'n-0');
   cluster.run(12_000);
   const ids = [...cluster.workers.keys()].slice(0, 3);
-  cluster.workers.get(ids[0]!)!.warning = 6;
+  cluster.workers.get(ids[0]!)!.reclaimWarningSeconds = 6;
   cluster.at(6000, () => cluster.cloud.take(ids[0]!));
   for (const id of ids.slice(1)) cluster.cloud.take(id);
   assert.ok(finished(cluster, A, 300_000));
--- a/packages/testing/src/scenarios/predecessor-lists.test.ts
+++ b/packages/testing/src/scenarios/predecessor-lists.test.ts
@@ -80,7 +80,7 @@
       assert.ok([201, 422].includes(reply!.status), `${reply!.status} after ${moment} ms`);
       submitted(cluster, 2, { batch: 1, ...after(1) });
       endsWell(cluster, [1, 2]);
-      assert.equal(cluster.checker.final(idOf(2)), 'done');
+      assert.equal(cluster.checker.finalStatus(idOf(2)), 'done');
     }
   },
 );
--- a/packages/testing/src/scenarios/renewals-after-takeover.test.ts
+++ b/packages/testing/src/scenarios/renewals-after-takeover.test.ts
@@ -17,14 +17,14 @@
  */
 function hearsOneAnswerOfNextLeader(cluster: SimulatedCluster, worker: FakeWorker): void {
   const { id } = worker.machine;
-  const session = worker.shift;
-  const token = worker.fence;
+  const session = worker.agentEpoch;
+  const token = worker.fencingToken;
   crashLeader(cluster);
   cluster.run(cluster.times.lease - 9000);
   cluster.network.cuts.delete(id);
-  assert.ok(cluster.runUntil(() => worker.fence > token, 9000));
+  assert.ok(cluster.runUntil(() => worker.fencingToken > token, 9000));
   cluster.network.cuts.add(id);
-  assert.equal(worker.shift, session, 'the answer came within its lease');
+  assert.equal(worker.agentEpoch, session, 'the answer came within its lease');
 }
 
 // Guarded against: an answer that raises a worker's token also renews its lease. When it stops
--- a/packages/testing/src/scenarios/rolling-upgrade.test.ts
+++ b/packages/testing/src/scenarios/rolling-upgrade.test.ts
@@ -28,7 +28,7 @@
     cpuLimit: 200,
     maxValueBytes: 16_384,
     maxTransactionWrites: 12,
-    next: { maxValueBytes: 2048, maxTransactionWrites: 4 },
+    announcedLimits: { maxValueBytes: 2048, maxTransactionWrites: 4 },
   });
   for (const n of cluster.nodeNames) {
     cluster.crash(n);
@@ -58,7 +58,7 @@
     const waits = n % 4 === 1 ? [] : [idOf(n - 1)];
     const over = { batch: 2, expected_s: 5, waits_on: waits };
     const ready = () => {
-      if (waits.every((id) => cluster.checker.accepted(id))) insist(cluster, n, over);
+      if (waits.every((id) => cluster.checker.isAccepted(id))) insist(cluster, n, over);
       else cluster.at(1000, ready);
     };
     cluster.at((n - FIRST_CHAIN) * 700, ready);
@@ -91,10 +91,10 @@
   {
     name: 'the state service refuses the leader alone, then is out for longer than cancel_s',
     faults: ({ cluster, leader }) => {
-      cluster.state.refused.add(leader);
+      cluster.state.refusedNodes.add(leader);
       cluster.at(1000, () => cancelElsewhere(cluster, 1));
       cluster.at(2000, () => (cluster.state.down = true));
-      cluster.at(14_000, () => cluster.state.refused.clear());
+      cluster.at(14_000, () => cluster.state.refusedNodes.clear());
       cluster.at(cluster.times.cancellationLimit + 12_000, () => cluster.state.restore());
     },
   },
@@ -103,13 +103,13 @@
     faults: ({ cluster }) => {
       for (let i = 0; i < 5; i++) {
         cluster.at(i * 7000, () => {
-          cluster.state.refused.clear();
+          cluster.state.refusedNodes.clear();
           const leader = cluster.leader();
-          if (leader) cluster.state.refused.add(leader);
+          if (leader) cluster.state.refusedNodes.add(leader);
           cancelElsewhere(cluster, i + 1);
         });
       }
-      cluster.at(35_000, () => cluster.state.refused.clear());
+      cluster.at(35_000, () => cluster.state.refusedNodes.clear());
     },
   },
   {
--- a/packages/testing/src/scenarios/scale.test.ts
+++ b/packages/testing/src/scenarios/scale.test.ts
@@ -36,8 +36,8 @@
   cluster.crash(cluster.leader()!);
   cluster.run(60_000);
   keepsRules(cluster);
-  assert.ok(cluster.checker.starts >= 900);
-  assert.ok(cluster.checker.starts < 930, `${cluster.checker.starts} starts of 900 tasks`);
+  assert.ok(cluster.checker.startCount >= 900);
+  assert.ok(cluster.checker.startCount < 930, `${cluster.checker.startCount} starts of 900 tasks`);
 });
 
 // A poll each needed a read or two of the few hundred a second.
@@ -60,8 +60,8 @@
   const cluster = new SimulatedCluster({ capacity: 400, cpuLimit: 5000 });
   cluster.run(5000);
   cluster.submit(job(1, { batch: 1200, spare: true, expected_s: 60 }), 'n-0');
-  assert.ok(cluster.runUntil(() => cluster.cloud.rented.length >= 300, 10_000));
-  assert.ok(cluster.cloud.rentCalls <= 16, `${cluster.cloud.rentCalls} calls`);
+  assert.ok(cluster.runUntil(() => cluster.cloud.rentedIds.length >= 300, 10_000));
+  assert.ok(cluster.cloud.rentalRequestCount <= 16, `${cluster.cloud.rentalRequestCount} calls`);
   assert.ok(cluster.runUntil(() => running(cluster) === 1200, 40_000));
   keepsRules(cluster);
 });
@@ -114,7 +114,7 @@
   cluster.run(120_000);
   // The checker adds up what runs at every start and compares it with the limit.
   keepsRules(cluster);
-  assert.ok(cluster.checker.starts > 60);
-  assert.ok(cluster.checker.mostUsed('team') > 11, 'the limit is used, so nothing leaks');
+  assert.ok(cluster.checker.startCount > 60);
+  assert.ok(cluster.checker.maxCpusUsed('team') > 11, 'the limit is used, so nothing leaks');
   assert.equal(cluster.jobs.has(A), true);
 });
--- a/packages/testing/src/scenarios/scenarios.test.ts
+++ b/packages/testing/src/scenarios/scenarios.test.ts
@@ -73,10 +73,10 @@
 test('a late report after a take-over changes nothing and starts nothing', () => {
   const cluster = settled({}, 1);
   const worker = [...cluster.workers.values()][0]!;
-  const token = worker.fence;
+  const token = worker.fencingToken;
   cluster.crash(cluster.leader()!);
   cluster.run(15_000);
-  assert.ok(worker.fence > token, 'the worker has seen the new leader');
+  assert.ok(worker.fencingToken > token, 'the worker has seen the new leader');
   const piece = { piece: 'run-000009/0', try_no: 1, status: 'running' };
   const { id, type, zone } = worker.machine;
   const place = { host: id, addr: 'x:1', flavour: type, hall: zone, spare: false };
@@ -139,9 +139,9 @@
   cluster.submit(job(1, { batch: 6, expected_s: 20 }), 'n-0');
   cluster.runUntil(() => running(cluster) >= 6, 20_000);
   const victim = [...cluster.workers.values()][0]!;
-  victim.hanging = true;
+  victim.isHung = true;
   cluster.run(12_000);
-  victim.hanging = false;
+  victim.isHung = false;
   assert.ok(finished(cluster, A));
   keepsRules(cluster);
 });
--- a/packages/testing/src/scenarios/single-faults.test.ts
+++ b/packages/testing/src/scenarios/single-faults.test.ts
@@ -25,7 +25,7 @@
   cluster.network.cutResponsesTo(unanswered);
   cluster.submit(job(1), 'n-0');
   cluster.run(40_000);
-  assert.equal(cluster.checker.final(A), null);
+  assert.equal(cluster.checker.finalStatus(A), null);
   cluster.network.restoreResponsesTo(unanswered);
   assert.ok(finished(cluster, A, 180_000));
   keepsRules(cluster);
@@ -69,9 +69,9 @@
   const worker = [...cluster.workers.values()][0]!;
   const errors = () => cluster.logLines.filter((l) => l.message === 'start lost').length;
   cluster.fleet.duplicateDelay = () => 700;
-  const before = worker.tally;
+  const before = worker.sequenceNumber;
   cluster.run(30_000);
-  assert.ok(worker.tally - before < 14, 'the worker was never sent away');
+  assert.ok(worker.sequenceNumber - before < 14, 'the worker was never sent away');
   assert.equal(errors(), 0);
 });
 
@@ -80,9 +80,9 @@
   cluster.submit(job(1, { batch: 6, expected_s: 60 }), 'n-0');
   cluster.run(8000);
   const old = cluster.leader()!;
-  const token = Math.max(...[...cluster.workers.values()].map((w) => w.fence));
+  const token = Math.max(...[...cluster.workers.values()].map((w) => w.fencingToken));
   cluster.network.isolate(old);
-  const moved = () => [...cluster.workers.values()].every((w) => w.fence > token);
+  const moved = () => [...cluster.workers.values()].every((w) => w.fencingToken > token);
   assert.ok(cluster.runUntil(moved, 25_000), 'all workers follow a new leader');
   assert.notEqual(cluster.leader(), old);
   assert.equal(cluster.request(old, 'GET', '/healthz', Buffer.alloc(0))?.status, 503);
@@ -145,7 +145,7 @@
   const name = (i: number) => `run-${String(i).padStart(6, '0')}`;
   for (const i of ids) cluster.submit(job(i, { expected_s: 500 }), 'n-0');
   cluster.run(5000);
-  for (const i of ids) assert.ok(cluster.checker.accepted(name(i)));
+  for (const i of ids) assert.ok(cluster.checker.isAccepted(name(i)));
   cluster.state.down = true;
   cluster.run(20_000);
   cluster.state.restore();
@@ -199,9 +199,9 @@
   const cluster = settled({}, 20);
   cluster.crash(cluster.leader()!);
   cluster.run(4000);
-  const before = [...cluster.workers.values()].reduce((n, w) => n + w.tally, 0);
+  const before = [...cluster.workers.values()].reduce((n, w) => n + w.sequenceNumber, 0);
   cluster.run(5000);
-  const reports = [...cluster.workers.values()].reduce((n, w) => n + w.tally, 0) - before;
+  const reports = [...cluster.workers.values()].reduce((n, w) => n + w.sequenceNumber, 0) - before;
   assert.ok(reports < 20 * 2.5, `${reports} reports of 20 workers`);
   assert.ok(
     cluster.runUntil(
--- a/packages/testing/src/scenarios/stale-cancellations.test.ts
+++ b/packages/testing/src/scenarios/stale-cancellations.test.ts
@@ -7,13 +7,13 @@
 function gap(cluster: SimulatedCluster, pause: number, outage: number): void {
   const leader = cluster.leader()!;
   const [b, c] = others(cluster);
-  cluster.state.refused.add(leader);
+  cluster.state.refusedNodes.add(leader);
   cluster.cancel(idOf(1), b!);
   cluster.at(pause / 2, () => cluster.cancel(idOf(2), c!));
   cluster.run(pause);
   cluster.state.down = true;
   cluster.run(14_000 - pause);
-  cluster.state.refused.clear();
+  cluster.state.refusedNodes.clear();
   cluster.run(outage - 14_000 + pause);
   cluster.state.restore();
 }
@@ -24,7 +24,7 @@
     for (const pause of [200, 1000, 2500, 4000]) {
       const cluster = busy(times, 3, 4);
       gap(cluster, pause, times.cancellationLimit + 12_000);
-      assert.equal(cluster.checker.final(A), 'aborted');
+      assert.equal(cluster.checker.finalStatus(A), 'aborted');
       gap(cluster, pause, times.cancellationLimit + 12_000);
       endsWell(cluster, [1, 2, 3]);
     }
@@ -74,8 +74,8 @@
   for (const hang of [8000, times.lease - 2000, times.lease + 15_000]) {
     const cluster = busy(times, 2, 4);
     const hung = workers(cluster).slice(0, 2);
-    for (const w of hung) w.hanging = true;
-    cluster.at(hang, () => hung.forEach((w) => (w.hanging = false)));
+    for (const w of hung) w.isHung = true;
+    cluster.at(hang, () => hung.forEach((w) => (w.isHung = false)));
     gap(cluster, 1000, times.cancellationLimit + 12_000);
     endsWell(cluster, [1, 2]);
   }
@@ -95,7 +95,7 @@
   cluster.run(2500);
   cancelled(cluster, 2, others(cluster)[0]!);
   assert.equal(running(cluster), 0, 'there is room');
-  assert.equal(cluster.checker.startsAfterCancel, 0);
+  assert.equal(cluster.checker.startsAfterCancellationCount, 0);
   endsWell(cluster, [1, 2]);
 });
 
@@ -126,7 +126,7 @@
     cluster.run(2000);
     gap(cluster, 1000, times.cancellationLimit + 12_000);
     cluster.run(2000);
-    const late = cluster.checker.startsAfterCancel;
+    const late = cluster.checker.startsAfterCancellationCount;
     assert.equal(late, 0, `${late} starts of cancelled jobs`);
     endsWell(cluster, [1, 2]);
   },
@@ -137,7 +137,7 @@
   (times) => {
     const cluster = busy(times, 2, 4);
     const leader = cluster.leader()!;
-    cluster.state.refused.add(leader);
+    cluster.state.refusedNodes.add(leader);
     cluster.run(200);
     cancelled(cluster, 1, others(cluster)[0]!);
     assert.equal(running(cluster), 4, 'within seconds the cancelled tasks are gone');
--- a/packages/testing/src/scenarios/steps.ts
+++ b/packages/testing/src/scenarios/steps.ts
@@ -55,7 +55,7 @@
   const node = () => [...cluster.processes.running.keys()].at(-1)!;
   const done = () => {
     cluster.poll(id, node());
-    return cluster.checker.final(id) === 'done';
+    return cluster.checker.finalStatus(id) === 'done';
   };
   return cluster.runUntil(done, limit);
 }
@@ -66,7 +66,7 @@
 
 /** Fails the test if any rule of the protocol was broken, or any invariant of a controller. */
 export function keepsRules(cluster: SimulatedCluster): void {
-  assert.deepEqual(cluster.checker.broken, []);
+  assert.deepEqual(cluster.checker.violations, []);
   assert.deepEqual(violations(cluster), []);
 }
 
@@ -84,14 +84,14 @@
   const nodes = [...cluster.processes.running.keys()];
   cluster.submit(job(n, over), nodes[n % nodes.length]!);
   assert.ok(
-    cluster.runUntil(() => cluster.checker.accepted(idOf(n)), 8000),
+    cluster.runUntil(() => cluster.checker.isAccepted(idOf(n)), 8000),
     `${idOf(n)} is accepted`,
   );
 }
 
 /** A user who repeats a submission until some node has taken it. */
 export function insist(cluster: SimulatedCluster, n: number, over: Record<string, unknown>): void {
-  if (cluster.checker.accepted(idOf(n))) return;
+  if (cluster.checker.isAccepted(idOf(n))) return;
   const nodes = [...cluster.processes.running.keys()];
   if (nodes.length > 0) cluster.submit(job(n, over), nodes[n % nodes.length]!);
   cluster.at(3000, () => insist(cluster, n, over));
@@ -117,19 +117,19 @@
   for (const n of jobs) for (const node of nodes) cluster.poll(idOf(n), node);
 }
 
-const ALL_END_WITHIN = 400_000;
+const ALL_END_LIMIT_MS = 400_000;
 
 /** All faults are over: each of these jobs ends, and every node says the same of it. */
 export function endsWell(cluster: SimulatedCluster, jobs: number[]): void {
   cluster.endFaults();
-  const open = () => jobs.filter((n) => cluster.checker.final(idOf(n)) === null);
+  const open = () => jobs.filter((n) => cluster.checker.finalStatus(idOf(n)) === null);
   const ended = () => {
     if (cluster.now() % 1000 === 0) {
       for (const n of open()) cluster.poll(idOf(n), cluster.nodeNames[n % 3]!);
     }
     return open().length === 0;
   };
-  assert.ok(cluster.runUntil(ended, ALL_END_WITHIN), `jobs without an end: ${open().join(', ')}`);
+  assert.ok(cluster.runUntil(ended, ALL_END_LIMIT_MS), `jobs without an end: ${open().join(', ')}`);
   for (const node of cluster.nodeNames) {
     pollAll(cluster, jobs, [node]);
     cluster.run(2000);
--- a/packages/testing/src/scenarios/watch-gap.test.ts
+++ b/packages/testing/src/scenarios/watch-gap.test.ts
@@ -28,7 +28,7 @@
       return undefined;
     };
     cluster.run(2500);
-    cluster.state.changesKept = 5;
+    cluster.state.retainedChangeCount = 5;
     cancelled(cluster, 1, others(cluster)[0]!);
     for (let n = 1001; n <= 1010; n++) cluster.cancel(idOf(n), others(cluster)[1]!);
     cluster.stateLink.fault = (node, call) => {
@@ -40,7 +40,7 @@
     cluster.run(10_000);
     assert.ok(pages >= 2, `${pages} pages read`);
     assert.equal(cluster.leader(), leader);
-    cluster.state.changesKept = 10_000;
+    cluster.state.retainedChangeCount = 10_000;
     cluster.run(times.cancellationLimit);
     for (let n = 1011; n <= LAST; n++) cluster.cancel(idOf(n), cluster.nodeNames[n % 3]!);
     endsWell(cluster, [1, 2, 1001, LAST]);
--- a/packages/testing/src/scenarios/zones.test.ts
+++ b/packages/testing/src/scenarios/zones.test.ts
@@ -27,10 +27,10 @@
   const { machines } = partZones(cluster);
   cluster.run(40_000);
   for (const id of machines)
-    assert.equal(cluster.workers.get(id)!.shift, 1, `${id} kept its lease`);
+    assert.equal(cluster.workers.get(id)!.agentEpoch, 1, `${id} kept its lease`);
   cluster.network.cuts.clear();
   assert.ok(finished(cluster, A));
-  assert.equal(cluster.checker.starts, 10, 'nothing ran again');
+  assert.equal(cluster.checker.startCount, 10, 'nothing ran again');
   keepsRules(cluster);
 });
 
@@ -110,7 +110,8 @@
   cluster.run(10_000);
   const kept = cluster.logLines.some((l) => l.message === 'lease renewal delegated');
   assert.ok(!kept, 'no grant is asked for');
-  for (const w of cluster.workers.values()) assert.ok(w.fence > 0, 'each has found the leader');
+  for (const w of cluster.workers.values())
+    assert.ok(w.fencingToken > 0, 'each has found the leader');
   cluster.submit(job(1), peers[0]!);
   assert.ok(finished(cluster, A));
   keepsRules(cluster);
--- a/packages/testing/src/simulation/cluster-options.ts
+++ b/packages/testing/src/simulation/cluster-options.ts
@@ -1,10 +1,10 @@
 /** What a simulated cluster is made of: nodes, settings and times. */
 import type { Duration, Settings } from '@tealdock/wire';
 import type { WireObserver } from '../wire-trace/wire-trace.js';
-import type { StateCaps } from '../fakes/fake-state.js';
+import type { StateLimits } from '../fakes/fake-state.js';
 
 const DEFAULT_MAX_VALUE_BYTES = 4096;
-const DEFAULT_MAX_TRANSACTION_WRITES = 8;
+const DEFAULT_TRANSACTION_WRITE_LIMIT = 8;
 /** CPUs that a team may use where a test names no limit. */
 export const DEFAULT_CPU_LIMIT = 100;
 
@@ -31,7 +31,7 @@
   limits?: { sockets: number; requestsPerSecond: number; writesPerSecond: number };
   maxValueBytes?: number;
   /** What the limits of the state service will be lowered to. */
-  next?: StateCaps;
+  announcedLimits?: StateLimits;
   /** What the controllers take for the workers' lease; a wrong one breaks a guard on purpose. */
   believedLease?: number;
   times?: DeploymentTimes;
@@ -89,7 +89,7 @@
       requestsPerSecond: 100,
       writesPerSecond: 100,
       maxValueBytes: DEFAULT_MAX_VALUE_BYTES,
-      maxTransactionWrites: DEFAULT_MAX_TRANSACTION_WRITES,
+      maxTransactionWrites: DEFAULT_TRANSACTION_WRITE_LIMIT,
     },
     cloud: { requestsPerSecond: 6, listLag: 1000 },
     maxConnections: 4000,
@@ -97,10 +97,10 @@
 }
 
 /** The limits of the state service that hold, or the lower of these and announced ones. */
-export function stateLimits(options: ClusterOptions, announced?: StateCaps): StateCaps {
+export function stateLimits(options: ClusterOptions, announced?: StateLimits): StateLimits {
   const {
     maxValueBytes = DEFAULT_MAX_VALUE_BYTES,
-    maxTransactionWrites = DEFAULT_MAX_TRANSACTION_WRITES,
+    maxTransactionWrites = DEFAULT_TRANSACTION_WRITE_LIMIT,
   } = options;
   return {
     maxValueBytes: Math.min(maxValueBytes, announced?.maxValueBytes ?? Infinity),
@@ -115,7 +115,7 @@
 export function clusterSettings(
   member: string,
   options: ClusterOptions,
-  limits: StateCaps,
+  limits: StateLimits,
 ): Settings {
   const { cpuLimit = DEFAULT_CPU_LIMIT, guarantee, believedLease, times = USUAL_TIMES } = options;
   const settings = settingsFor(member, cpuLimit, guarantee, times);
--- a/packages/testing/src/simulation/controller-processes.ts
+++ b/packages/testing/src/simulation/controller-processes.ts
@@ -10,7 +10,7 @@
   Random,
   Reply,
 } from '@tealdock/controller';
-import type { StateCaps } from '../fakes/fake-state.js';
+import type { StateLimits } from '../fakes/fake-state.js';
 import {
   USUAL_TIMES,
   clusterSettings,
@@ -52,7 +52,7 @@
   boot(name: string): void {
     this.olderVersions.delete(name);
     const { options } = this.context;
-    this.start(name, stateLimits(options, options.next));
+    this.start(name, stateLimits(options, options.announcedLimits));
   }
 
   /**
@@ -108,15 +108,18 @@
 
   /** The most sockets that a living process has held, its own calls included. */
   maxSocketCount(): number {
-    return Math.max(...[...this.running.values()].map(({ sockets }) => sockets.most));
+    return Math.max(...[...this.running.values()].map(({ sockets }) => sockets.maxCount));
   }
 
   /** Requests that found no socket at the living processes. */
   turnedAwayCount(): number {
-    return [...this.running.values()].reduce((sum, { sockets }) => sum + sockets.turnedAway, 0);
+    return [...this.running.values()].reduce(
+      (sum, { sockets }) => sum + sockets.turnedAwayCount,
+      0,
+    );
   }
 
-  private start(name: string, limits: StateCaps): void {
+  private start(name: string, limits: StateLimits): void {
     const { options, clock, random, logOf } = this.context;
     const { leaderLease } = options.times ?? USUAL_TIMES;
     const process = new ControllerProcess({
--- a/packages/testing/src/simulation/random-faults.ts
+++ b/packages/testing/src/simulation/random-faults.ts
@@ -3,9 +3,9 @@
 import { SimulatedCluster } from './simulated-cluster.js';
 import { job } from './small-job.js';
 
-const JOBS = 12;
-const TROUBLED = 120_000;
-const FAULT_EVERY = 4000;
+const JOB_COUNT = 12;
+const FAULT_PERIOD_MS = 120_000;
+const FAULT_INTERVAL_MS = 4000;
 
 const pick = <T>(cluster: SimulatedCluster, from: T[]): T | undefined =>
   from[Math.floor(cluster.random() * from.length)];
@@ -29,8 +29,8 @@
 function hangWorker(cluster: SimulatedCluster): void {
   const worker = pick(cluster, [...cluster.workers.values()]);
   if (!worker) return;
-  worker.hanging = true;
-  cluster.at(cluster.random() * 25_000, () => (worker.hanging = false));
+  worker.isHung = true;
+  cluster.at(cluster.random() * 25_000, () => (worker.isHung = false));
 }
 
 function cut(cluster: SimulatedCluster): void {
@@ -46,7 +46,7 @@
   cluster.at(cluster.random() * 15_000, () => cluster.state.restore());
 }
 
-function losses(cluster: SimulatedCluster): void {
+function loseStateCalls(cluster: SimulatedCluster): void {
   cluster.stateLink.fault = () => {
     const dice = cluster.random();
     return dice < 0.1 ? 'lost_before' : dice < 0.2 ? 'lost_after' : undefined;
@@ -54,19 +54,19 @@
   cluster.at(cluster.random() * 10_000, () => (cluster.stateLink.fault = null));
 }
 
-function take(cluster: SimulatedCluster): void {
+function reclaimMachine(cluster: SimulatedCluster): void {
   const id = pick(cluster, [...cluster.cloud.machines.keys()]);
   if (id) cluster.cloud.take(id);
 }
 
-function cutAnswers(cluster: SimulatedCluster): void {
+function cutResponses(cluster: SimulatedCluster): void {
   const id = pick(cluster, [...cluster.workers.keys()]);
   if (!id) return;
   cluster.network.cutResponsesTo(id);
   cluster.at(cluster.random() * 40_000, () => cluster.network.restoreResponsesTo(id));
 }
 
-function copies(cluster: SimulatedCluster): void {
+function duplicateHeartbeats(cluster: SimulatedCluster): void {
   cluster.fleet.duplicateDelay = () =>
     cluster.random() < 0.3 ? 100 + cluster.random() * 60_000 : null;
   cluster.at(cluster.random() * 20_000, () => (cluster.fleet.duplicateDelay = null));
@@ -77,7 +77,7 @@
   cluster.at(cluster.random() * 30_000, () => cluster.network.cuts.clear());
 }
 
-function part(cluster: SimulatedCluster): void {
+function partition(cluster: SimulatedCluster): void {
   const machines = [...cluster.workers.values()].filter((w) => w.machine.zone === 'b');
   cluster.network.partition([
     pick(cluster, cluster.nodeNames)!,
@@ -86,11 +86,11 @@
   cluster.at(cluster.random() * 45_000, () => cluster.network.cuts.clear());
 }
 
-function reboot(cluster: SimulatedCluster): void {
+function rebootMachine(cluster: SimulatedCluster): void {
   pick(cluster, [...cluster.workers.values()])?.reboot();
 }
 
-function blink(cluster: SimulatedCluster): void {
+function restartQuickly(cluster: SimulatedCluster): void {
   const name = pick(cluster, cluster.nodeNames)!;
   if (!cluster.processes.running.has(name)) return;
   cluster.crash(name);
@@ -107,12 +107,12 @@
   cluster.at(cluster.random() * 15_000, () => (cluster.stateLink.fault = null));
 }
 
-function slow(cluster: SimulatedCluster): void {
+function slowStateService(cluster: SimulatedCluster): void {
   cluster.stateLink.extraDelay = () => (cluster.random() < 0.5 ? cluster.random() * 1500 : 0);
   cluster.at(cluster.random() * 15_000, () => (cluster.stateLink.extraDelay = null));
 }
 
-function unheard(cluster: SimulatedCluster): void {
+function cutHeartbeats(cluster: SimulatedCluster): void {
   const id = pick(cluster, [...cluster.workers.keys()]);
   if (!id) return;
   cluster.network.cutHeartbeatsOf(id);
@@ -120,25 +120,25 @@
 }
 
 /** The state service refuses one node, perhaps the leader, and soon perhaps everybody. */
-function refuse(cluster: SimulatedCluster): void {
+function refuseNode(cluster: SimulatedCluster): void {
   const name =
     (cluster.random() < 0.7 ? cluster.leader() : null) ?? pick(cluster, cluster.nodeNames)!;
-  cluster.state.refused.add(name);
-  cluster.at(5000 + cluster.random() * 15_000, () => cluster.state.refused.delete(name));
+  cluster.state.refusedNodes.add(name);
+  cluster.at(5000 + cluster.random() * 15_000, () => cluster.state.refusedNodes.delete(name));
   if (cluster.random() < 0.5) cluster.at(500 + cluster.random() * 3000, () => outage(cluster));
 }
 
 /** Users call off what runs, and its machines hang. */
-function cancelNow(cluster: SimulatedCluster): void {
+function cancelOnHungMachine(cluster: SimulatedCluster): void {
   const here = [...cluster.workers.values()].filter((w) => w.tasks.length > 0);
   const worker = pick(cluster, here);
   const piece = worker?.tasks.find((t) => t.status === 'running')?.piece;
   const node = pick(cluster, [...cluster.processes.running.keys()]);
   if (!worker || !piece || !node) return;
   const id = piece.split('/')[0]!;
-  if (cluster.checker.accepted(id)) cluster.cancel(id, node);
-  worker.hanging = true;
-  cluster.at(cluster.random() * 30_000, () => (worker.hanging = false));
+  if (cluster.checker.isAccepted(id)) cluster.cancel(id, node);
+  worker.isHung = true;
+  cluster.at(cluster.random() * 30_000, () => (worker.isHung = false));
 }
 
 function changeLeaders(cluster: SimulatedCluster): void {
@@ -157,13 +157,13 @@
 
 const FAULTS = [
   lateWrites,
-  slow,
-  unheard,
-  unheard,
-  refuse,
-  refuse,
-  cancelNow,
-  cancelNow,
+  slowStateService,
+  cutHeartbeats,
+  cutHeartbeats,
+  refuseNode,
+  refuseNode,
+  cancelOnHungMachine,
+  cancelOnHungMachine,
   changeLeaders,
   crash,
   crash,
@@ -172,18 +172,18 @@
   cut,
   cut,
   outage,
-  losses,
-  take,
-  cutAnswers,
-  copies,
+  loseStateCalls,
+  reclaimMachine,
+  cutResponses,
+  duplicateHeartbeats,
   isolate,
-  part,
-  part,
-  reboot,
-  blink,
+  partition,
+  partition,
+  rebootMachine,
+  restartQuickly,
 ];
 
-function user(cluster: SimulatedCluster, number: number, { jobFields }: Workload): void {
+function addUser(cluster: SimulatedCluster, number: number, { jobFields }: Workload): void {
   const node = () => pick(cluster, [...cluster.processes.running.keys()]);
   const id = `run-${String(number).padStart(6, '0')}`;
   // Some wait for earlier ones, as far as those were accepted.
@@ -191,7 +191,7 @@
   const earlier = () =>
     [number - 1, number - 2, number - 5]
       .map((n) => `run-${String(n).padStart(6, '0')}`)
-      .filter((other) => cluster.checker.accepted(other));
+      .filter((other) => cluster.checker.isAccepted(other));
   const body = job(number, {
     batch: 1 + Math.floor(cluster.random() * 6),
     expected_s: 2 + cluster.random() * 30,
@@ -200,18 +200,18 @@
   });
   const step = () => {
     const at = node();
-    if (cluster.checker.final(id) !== null) return;
+    if (cluster.checker.finalStatus(id) !== null) return;
     // A retry is the same request again, so what it names is settled at the first.
     if (chained) body['waits_on'] ??= earlier();
-    if (at && !cluster.checker.accepted(id)) cluster.submit(body, at);
+    if (at && !cluster.checker.isAccepted(id)) cluster.submit(body, at);
     else if (at) cluster.poll(id, at);
     cluster.at(2500, step);
   };
-  cluster.at(cluster.random() * TROUBLED, step);
+  cluster.at(cluster.random() * FAULT_PERIOD_MS, step);
   if (cluster.random() < 0.3) {
-    cluster.at(cluster.random() * TROUBLED * 1.2, () => {
+    cluster.at(cluster.random() * FAULT_PERIOD_MS * 1.2, () => {
       const at = node();
-      if (at && cluster.checker.accepted(id)) cluster.cancel(id, at);
+      if (at && cluster.checker.isAccepted(id)) cluster.cancel(id, at);
     });
   }
 }
@@ -269,16 +269,16 @@
 } {
   const cluster = new SimulatedCluster({ capacity: 6, cpuLimit: 16, ...options });
   for (let i = 0; i < workload.ownedMachines; i++) cluster.cloud.add(i % 2 ? 'a' : 'b');
-  const ids = Array.from({ length: JOBS }, (_, i) => i + 1);
-  for (const i of ids) user(cluster, i, workload);
-  for (let at = 8000; at < TROUBLED; at += FAULT_EVERY) {
+  const ids = Array.from({ length: JOB_COUNT }, (_, i) => i + 1);
+  for (const i of ids) addUser(cluster, i, workload);
+  for (let at = 8000; at < FAULT_PERIOD_MS; at += FAULT_INTERVAL_MS) {
     cluster.at(at, () => pick(cluster, FAULTS)!(cluster));
   }
-  cluster.run(TROUBLED);
+  cluster.run(FAULT_PERIOD_MS);
   cluster.run(30_000);
   cluster.endFaults();
   const name = (i: number) => `run-${String(i).padStart(6, '0')}`;
-  const open = () => ids.map(name).filter((id) => cluster.checker.final(id) === null);
+  const open = () => ids.map(name).filter((id) => cluster.checker.finalStatus(id) === null);
   cluster.runUntil(() => open().length === 0, 400_000);
   return { cluster, open: open() };
 }
--- a/packages/testing/src/simulation/seeded-random.ts
+++ b/packages/testing/src/simulation/seeded-random.ts
@@ -10,12 +10,12 @@
 }
 
 const GOLDEN_RATIO = 0x9e3779b1;
-const FIRST_DRAWS = 16;
+const DISCARDED_DRAW_COUNT = 16;
 
 /** The same for seeds that follow each other, whose first draws would otherwise be alike. */
 export function mixedRandom(seed: number): Random {
   const random = seededRandom(Math.imul(seed, GOLDEN_RATIO));
-  for (let i = 0; i < FIRST_DRAWS; i++) random();
+  for (let i = 0; i < DISCARDED_DRAW_COUNT; i++) random();
   return random;
 }
 
--- a/packages/testing/src/simulation/simulated-cluster.ts
+++ b/packages/testing/src/simulation/simulated-cluster.ts
@@ -2,7 +2,7 @@
 import type { Duration, Instant, JobSpec } from '@tealdock/wire';
 import type { Call, CallResult, Log, Random, Reply } from '@tealdock/controller';
 import { RuleChecker } from '../checker/rule-checker.js';
-import { roomsOf } from '../checker/free-capacity.js';
+import { freeCapacityOf } from '../checker/free-capacity.js';
 import { FakeCloud } from '../fakes/fake-cloud.js';
 import { FakeState } from '../fakes/fake-state.js';
 import {
@@ -62,7 +62,7 @@
     this.times = times;
     this.random = seededRandom(options.seed ?? DEFAULT_SEED);
     this.state = new FakeState(now, options.limits);
-    this.state.caps = stateLimits(options);
+    this.state.limits = stateLimits(options);
     this.cloud = new FakeCloud(now, capacity, (id) => this.fleet.drop(id));
     const checker = new RuleChecker(now, cpuLimits, times.cancellationLimit);
     this.checker = checker;
@@ -152,13 +152,13 @@
 
   /** The state service lowers its limits, without notice. */
   lowerStateLimits(): void {
-    this.state.caps = stateLimits(this.options, this.options.next);
+    this.state.limits = stateLimits(this.options, this.options.announcedLimits);
   }
 
   /** All faults are over: from now on nothing excuses a job that waits or is not known. */
   endFaults(): void {
     this.network.cuts.clear();
-    this.state.refused.clear();
+    this.state.refusedNodes.clear();
     this.stateLink.clearFaults();
     if (this.state.down) this.state.restore();
     this.fleet.clearFaults();
@@ -176,7 +176,7 @@
     this.processes.takeTurns();
     this.checker.check();
     if (this.now() % CAPACITY_CHECK_INTERVAL_MS === 0) {
-      this.checker.checkRooms(roomsOf(this.workers.values(), this.jobs));
+      this.checker.checkFreeCapacity(freeCapacityOf(this.workers.values(), this.jobs));
     }
   }
 
--- a/packages/testing/src/simulation/simulated-users.ts
+++ b/packages/testing/src/simulation/simulated-users.ts
@@ -29,7 +29,7 @@
   submit(job: Record<string, unknown>, node: string, done?: OnReply): void {
     const spec = parseSubmission(job);
     this.jobs.set(spec.id, spec);
-    this.checker.submitted(spec);
+    this.checker.noteSubmission(spec);
     this.post('/api/jobs', job, spec.id, node, done);
   }
 
@@ -54,9 +54,9 @@
   }
 
   private send({ node, method, path, body, jobId }: UserRequest, done?: OnReply): void {
-    const answered = this.checker.question(jobId);
+    const answered = this.checker.beginRequest(jobId);
     const { sockets } = this.processes.running.get(node) ?? {};
-    const connection = sockets?.ask(`user of ${jobId}`, 'user');
+    const connection = sockets?.request(`user of ${jobId}`, 'user');
     if (connection === 'turned away') {
       return done?.({ status: 503, body: {}, retryAfter: RETRY_AFTER_MS });
     }
--- a/packages/testing/src/simulation/state-service-link.ts
+++ b/packages/testing/src/simulation/state-service-link.ts
@@ -46,9 +46,9 @@
   }
 
   private execute(from: string, call: Call, done: (result: CallResult) => void): void {
-    const refusals = this.state.refusals;
+    const refusals = this.state.oversizedCount;
     this.state.handle(call.method, call.path, call.body, done, from);
-    if (!this.runsOlderVersion(from)) this.oversizedCount += this.state.refusals - refusals;
+    if (!this.runsOlderVersion(from)) this.oversizedCount += this.state.oversizedCount - refusals;
   }
 }
 
--- a/packages/testing/src/simulation/worker-fleet.ts
+++ b/packages/testing/src/simulation/worker-fleet.ts
@@ -2,12 +2,8 @@
 import { packBody, type Duration, type JobSpec } from '@tealdock/wire';
 import type { Call, CallResult, Reply } from '@tealdock/controller';
 import type { CloudMachine } from '../fakes/fake-cloud.js';
-import {
-  FakeWorker,
-  type TaskImage,
-  type WireCommands,
-  type WorkerHost,
-} from '../fakes/fake-worker.js';
+import { FakeWorker } from '../fakes/fake-worker.js';
+import type { TaskImage, WireCommands, WorkerHost } from '../fakes/worker-protocol.js';
 import type { RuleChecker } from '../checker/rule-checker.js';
 import { NODES, type ClusterOptions, type DeploymentTimes } from './cluster-options.js';
 import { ONE_WAY_LATENCY_MS, type ControllerProcesses } from './controller-processes.js';
@@ -30,9 +26,9 @@
 
 /** Starts a worker on each machine that is up, carries its heartbeats, and runs its tasks. */
 export class WorkerFleet implements WorkerHost {
-  readonly nodes = NODES;
+  readonly nodeNames = NODES;
   readonly heartbeatInterval: Duration;
-  readonly lease: Duration;
+  readonly leaseDuration: Duration;
   /** The worker of each machine that is up. */
   readonly workers = new Map<string, FakeWorker>();
   /** What the way between a worker and a node takes beyond the usual. */
@@ -49,7 +45,7 @@
 
   constructor(private readonly context: FleetOptions) {
     this.heartbeatInterval = context.times.heartbeatInterval;
-    this.lease = context.times.lease;
+    this.leaseDuration = context.times.lease;
   }
 
   now(): number {
@@ -59,7 +55,7 @@
   /** Starts a worker on each machine that has come up, and gives every worker its turn. */
   tick(machines: Iterable<CloudMachine>): void {
     for (const machine of machines) {
-      if (machine.up <= this.now() && !this.workers.has(machine.id)) {
+      if (machine.readyAt <= this.now() && !this.workers.has(machine.id)) {
         this.workers.set(machine.id, new FakeWorker(this, machine));
       }
     }
@@ -71,16 +67,16 @@
     const worker = this.workers.get(id);
     if (!worker) return;
     for (const task of worker.tasks) {
-      if (task.status === 'running') this.ended(task.piece, id, 'gone');
+      if (task.status === 'running') this.noteEnd(task.piece, id, 'gone');
     }
-    worker.gone = true;
+    worker.isGone = true;
     this.workers.delete(id);
   }
 
   clearFaults(): void {
     this.duplicateDelay = this.duplicateTarget = null;
     this.extraLatency = 0;
-    for (const worker of this.workers.values()) worker.hanging = false;
+    for (const worker of this.workers.values()) worker.isHung = false;
   }
 
   /** To a worker's own address: held up where the machine hangs, lost where it is cut off. */
@@ -89,14 +85,19 @@
     const worker = this.workers.get(id);
     if (!worker || this.context.network.isCut(from, id)) return lost();
     this.directCommandCount++;
-    worker.commands(call.body as WireCommands, done);
+    worker.receiveCommands(call.body as WireCommands, done);
   }
 
-  address(machine: string): string {
+  commandAddress(machine: string): string {
     return `${machine}:1`;
   }
 
-  carry(worker: FakeWorker, node: string, body: unknown, done: (r: CallResult) => void): void {
+  sendHeartbeat(
+    worker: FakeWorker,
+    node: string,
+    body: unknown,
+    done: (r: CallResult) => void,
+  ): void {
     const { network, processes, clock } = this.context;
     const id = worker.machine.id;
     if (network.isCut(id, node)) return;
@@ -107,7 +108,7 @@
         done({ kind: 'answer', status, body: content }),
       );
     clock.after(latency, () => {
-      const connection = processes.running.get(node)?.sockets.ask(id, 'worker');
+      const connection = processes.running.get(node)?.sockets.request(id, 'worker');
       if (connection === 'turned away') return respond({ status: 503, body: {} });
       this.post(node, packBody(body), (reply) => {
         connection?.answered();
@@ -117,11 +118,11 @@
   }
 
   /** The worker closes its connection to a node; a machine that dies closes nothing. */
-  hangUp(worker: FakeWorker, node: string): void {
+  closeConnection(worker: FakeWorker, node: string): void {
     this.context.processes.running.get(node)?.sockets.hangUp(worker.machine.id);
   }
 
-  runTime(piece: string): Duration | null {
+  runTimeOf(piece: string): Duration | null {
     const { options, jobs } = this.context;
     const spec = jobs.get(piece.split('/')[0]!);
     return spec ? (options.runTimeOf?.(piece) ?? options.runTime ?? spec.estimate) : null;
@@ -135,16 +136,16 @@
       : null;
   }
 
-  fails(piece: string, machine: string): boolean {
+  taskFails(piece: string, machine: string): boolean {
     return this.context.options.fails?.(piece, machine) ?? false;
   }
 
-  started(piece: string, machine: string): void {
-    this.context.checker.started(piece, machine);
+  noteStart(piece: string, machine: string): void {
+    this.context.checker.noteStart(piece, machine);
   }
 
-  ended(piece: string, machine: string, reason: string): void {
-    this.context.checker.ended(piece, machine, reason);
+  noteEnd(piece: string, machine: string, reason: string): void {
+    this.context.checker.noteEnd(piece, machine, reason);
   }
 
   private planDuplicate(node: string, body: unknown): void {
--- a/packages/testing/src/smoke.ts
+++ b/packages/testing/src/smoke.ts
@@ -15,7 +15,7 @@
 import { closeStandIn, serveStandIn } from './soak/stand-in-server.js';
 
 const BUNDLE = 'target/main.cjs';
-const PATIENCE = 20_000;
+const STARTUP_TIMEOUT_MS = 20_000;
 
 function settingsText(ports: { http: number; peer: number; state: number; cloud: number }): string {
   return [
@@ -51,7 +51,7 @@
 }
 
 async function waitHealthy(port: number): Promise<void> {
-  const end = performance.now() + PATIENCE;
+  const end = performance.now() + STARTUP_TIMEOUT_MS;
   while (!(await healthy(port))) {
     assert.ok(performance.now() < end, 'the node never became healthy');
     await new Promise((resolve) => setTimeout(resolve, 100));
--- a/packages/testing/src/soak/fault-injector.ts
+++ b/packages/testing/src/soak/fault-injector.ts
@@ -110,13 +110,13 @@
     return {
       state_refuses_leader_then_all: ({ node, lasts, dice }: PlannedFault) => {
         const leader = this.leaderOr(node);
-        site.state.refused.add(leader);
+        site.state.refusedNodes.add(leader);
         // In half of all runs the other controllers can't tell it anything either.
         if (dice < 0.5) this.holdPeers(leader, ALONE + lasts);
         this.later(ALONE, () => (site.state.down = true));
         site.faultState(leader, { watchesCut: true });
         this.later(ALONE + lasts, () => {
-          site.state.refused.delete(leader);
+          site.state.refusedNodes.delete(leader);
           site.state.restore();
         });
         this.later(ALONE + lasts + WATCH_LAG, () => site.faultState(leader, { watchesCut: false }));
@@ -194,9 +194,9 @@
 
   private hang(fault: PlannedFault): void {
     const workers = this.struck(fault).flatMap((id) => this.site.workers.worker(id) ?? []);
-    for (const worker of workers) worker.hanging = true;
+    for (const worker of workers) worker.isHung = true;
     this.later(fault.lasts, () => {
-      for (const worker of workers) worker.hanging = false;
+      for (const worker of workers) worker.isHung = false;
     });
   }
 
@@ -235,11 +235,11 @@
 
   /** Until the machine has seen a higher token. */
   private hearOneAnswer(id: string): void {
-    const token = this.site.workers.worker(id)?.fence ?? 0;
+    const token = this.site.workers.worker(id)?.fencingToken ?? 0;
     this.cutOff(id, false);
     const look = () => {
       const worker = this.site.workers.worker(id);
-      if (worker && worker.fence > token) this.cutOff(id, true);
+      if (worker && worker.fencingToken > token) this.cutOff(id, true);
       else if (worker) this.later(LOOK_EVERY, look);
     };
     look();
--- a/packages/testing/src/soak/loopback-site.ts
+++ b/packages/testing/src/soak/loopback-site.ts
@@ -4,7 +4,7 @@
 import { join } from 'node:path';
 import type { CallResult } from '@tealdock/controller';
 import type { Duration, JobSpec } from '@tealdock/wire';
-import { FakeCloud, TYPE } from '../fakes/fake-cloud.js';
+import { FakeCloud, MACHINE_TYPE } from '../fakes/fake-cloud.js';
 import { FakeState } from '../fakes/fake-state.js';
 import { RuleChecker } from '../checker/rule-checker.js';
 import { ControllerProcess } from './controller-process.js';
@@ -87,7 +87,7 @@
     const limits = new Map([['team', this.cpuLimit]]);
     this.checker = new RuleChecker(now, limits, times.cancellationLimit);
     this.state = new FakeState(now, { requestsPerSecond: 250, writesPerSecond: 60 });
-    this.state.caps = { maxValueBytes: 16 * 1024, maxTransactionWrites: 12 };
+    this.state.limits = { maxValueBytes: 16 * 1024, maxTransactionWrites: 12 };
     this.cloud = new FakeCloud(now, machines, (id) => this.workers.drop(id));
     this.workers = new SoakWorkers(
       now,
@@ -100,7 +100,7 @@
   }
 
   private get cpuLimit(): number {
-    return Math.floor(this.machines * TYPE.cpus * LIMIT_PART);
+    return Math.floor(this.machines * MACHINE_TYPE.cpus * LIMIT_PART);
   }
 
   async start(): Promise<void> {
@@ -146,7 +146,7 @@
   /** From now on nothing excuses a job that waits or is not known. */
   endFaults(): void {
     this.stateFaults.clear();
-    this.state.refused.clear();
+    this.state.refusedNodes.clear();
     if (this.state.down) this.state.restore();
     for (const link of this.links.values()) link.release();
     for (const process of this.processes.values()) {
@@ -225,7 +225,7 @@
     this.longestStall = Math.max(this.longestStall, performance.now() - planned);
     this.state.tick();
     for (const machine of this.cloud.machines.values())
-      if (machine.up <= performance.now()) void this.workers.start(machine);
+      if (machine.readyAt <= performance.now()) void this.workers.start(machine);
     this.workers.tick();
     this.checker.check();
     const next = performance.now() + TICK_EVERY;
--- a/packages/testing/src/soak/scale.ts
+++ b/packages/testing/src/soak/scale.ts
@@ -79,9 +79,9 @@
     this.cancellations();
     const { faults, checker, longestStall } = this.site;
     this.say(
-      `rules broken: ${checker.broken.length}; errors: ${faults.length}; starts ${checker.starts}`,
+      `rules broken: ${checker.violations.length}; errors: ${faults.length}; starts ${checker.startCount}`,
     );
-    for (const problem of [...checker.broken, ...faults].slice(0, 5)) this.say(problem);
+    for (const problem of [...checker.violations, ...faults].slice(0, 5)) this.say(problem);
     this.say(`the stand-ins stood still for ${Math.round(longestStall)} ms at the most`);
   }
 
--- a/packages/testing/src/soak/soak-run.ts
+++ b/packages/testing/src/soak/soak-run.ts
@@ -80,7 +80,7 @@
       faults: plan.length,
       accepted: users.counts.accepted,
       cancellationsConfirmed: users.cancelled(),
-      startsChecked: site.checker.starts,
+      startsChecked: site.checker.startCount,
       answersChecked: users.counts.answers,
       longestStallMs: Math.round(site.longestStall),
       tookMs: Math.round(performance.now() - began),
@@ -102,7 +102,7 @@
   await pause(TIMES.cancellationLimit);
   const left = site.workers.running > 0 && ended ? [`${site.workers.running} tasks run on`] : [];
   return [
-    ...new Set(site.checker.broken),
+    ...new Set(site.checker.violations),
     ...site.faults,
     ...open,
     ...left,
--- a/packages/testing/src/soak/users.ts
+++ b/packages/testing/src/soak/users.ts
@@ -71,12 +71,12 @@
 
   /** Accepted jobs that no user has been told the end of. */
   open(): string[] {
-    return [...this.wanted].filter((id) => this.site.checker.final(id) === null);
+    return [...this.wanted].filter((id) => this.site.checker.finalStatus(id) === null);
   }
 
   /** Jobs that users were told are cancelled. */
   cancelled(): number {
-    return [...this.wanted].filter((id) => this.site.checker.final(id) === 'aborted').length;
+    return [...this.wanted].filter((id) => this.site.checker.finalStatus(id) === 'aborted').length;
   }
 
   /** Users call off jobs that run, at any node. */
@@ -113,7 +113,7 @@
     const spec = parseSubmission(body);
     if (!this.site.jobs.has(spec.id)) {
       this.site.jobs.set(spec.id, spec);
-      this.site.checker.submitted(spec);
+      this.site.checker.noteSubmission(spec);
     }
     void this.ask('POST', '/api/jobs', body, spec.id, SUBMIT_TIMEOUT).then((status) => {
       if (status !== 200 && status !== 201)
@@ -132,7 +132,7 @@
   private cancel(id: string): void {
     void this.ask('POST', `/api/jobs/${id}/cancel`, null, id, SUBMIT_TIMEOUT).then((status) => {
       if (status !== 200) return this.later(RETRY, () => this.cancel(id));
-      if (this.site.checker.final(id) === 'aborted' && !this.cancelledAt.has(id))
+      if (this.site.checker.finalStatus(id) === 'aborted' && !this.cancelledAt.has(id))
         this.cancelledAt.set(id, performance.now());
       if (this.random() < REPEATED_PART)
         this.later(RETRY, () => void this.poll(id, this.anyNode()));
@@ -158,7 +158,7 @@
     timeout: Duration,
     node: string = this.anyNode(),
   ): Promise<number | null> {
-    const answered = this.site.checker.question(id);
+    const answered = this.site.checker.beginRequest(id);
     const result = await this.send(method, path, body, timeout, node);
     if (result.kind !== 'answer') return null;
     this.counts.answers++;
--- a/packages/testing/src/soak/worker-host.ts
+++ b/packages/testing/src/soak/worker-host.ts
@@ -3,12 +3,8 @@
 import { HttpClient } from '@tealdock/adapters';
 import type { Duration, Instant, JobSpec } from '@tealdock/wire';
 import type { CloudMachine } from '../fakes/fake-cloud.js';
-import {
-  FakeWorker,
-  type WireCommands,
-  type WorkerHost,
-  type WorkerTask,
-} from '../fakes/fake-worker.js';
+import { FakeWorker } from '../fakes/fake-worker.js';
+import type { WireCommands, WorkerHost, WorkerTask } from '../fakes/worker-protocol.js';
 import type { RuleChecker } from '../checker/rule-checker.js';
 import { closeStandIn, serveStandIn, type Listening } from './stand-in-server.js';
 import { NODES, type SiteTimes } from './site-times.js';
@@ -51,9 +47,9 @@
 
 /** Carries the reports and commands of all workers, and tells the checker what runs where. */
 export class SoakWorkers implements WorkerHost {
-  readonly nodes = [...NODES];
+  readonly nodeNames = [...NODES];
   readonly heartbeatInterval: Duration;
-  readonly lease: Duration;
+  readonly leaseDuration: Duration;
   /** How long reports waited for their answers. */
   readonly answerTimes: Duration[] = [];
   /** When the last task of each job left its machine. */
@@ -67,10 +63,10 @@
     private readonly checker: RuleChecker,
     private readonly jobs: ReadonlyMap<string, JobSpec>,
     private readonly ports: ReadonlyMap<string, number>,
-    private readonly runTimeOf: (job: JobSpec) => Duration,
+    private readonly runTimeOfJob: (job: JobSpec) => Duration,
   ) {
     this.heartbeatInterval = times.heartbeatInterval;
-    this.lease = times.lease;
+    this.leaseDuration = times.lease;
   }
 
   get names(): string[] {
@@ -116,8 +112,8 @@
     const machine = this.machines.get(id);
     if (!machine) return;
     for (const t of machine.worker.tasks)
-      if (t.status === 'running') this.ended(t.piece, id, 'gone');
-    machine.worker.gone = true;
+      if (t.status === 'running') this.noteEnd(t.piece, id, 'gone');
+    machine.worker.isGone = true;
     this.machines.delete(id);
     machine.client.close();
     closeStandIn(machine.server);
@@ -137,7 +133,7 @@
   endFaults(): void {
     for (const [id, { worker }] of this.machines) {
       this.fault(id, NO_FAULTS);
-      worker.hanging = false;
+      worker.isHung = false;
     }
   }
 
@@ -148,18 +144,23 @@
   private command(id: string, body: unknown, done: (result: CallResult) => void): void {
     const machine = this.machines.get(id);
     if (!machine) return done({ kind: 'lost' });
-    const carryOut = () => machine.worker.commands(body as WireCommands, done);
+    const carryOut = () => machine.worker.receiveCommands(body as WireCommands, done);
     if (machine.faults.commandsHeld) machine.heldCommands.push(carryOut);
     else carryOut();
   }
 
   // --- what a worker asks of its host ------------------------------------------
 
-  address(machine: string): string {
+  commandAddress(machine: string): string {
     return `${LOOPBACK}:${this.machines.get(machine)?.server.port ?? 1}`;
   }
 
-  carry(worker: FakeWorker, node: string, body: unknown, done: (r: CallResult) => void): void {
+  sendHeartbeat(
+    worker: FakeWorker,
+    node: string,
+    body: unknown,
+    done: (r: CallResult) => void,
+  ): void {
     const machine = this.machines.get(worker.machine.id);
     const port = this.ports.get(node);
     if (!machine || port === undefined || machine.faults.reportsLost) return;
@@ -174,30 +175,30 @@
     });
   }
 
-  hangUp(worker: FakeWorker): void {
+  closeConnection(worker: FakeWorker): void {
     const machine = this.machines.get(worker.machine.id);
     machine?.client.close();
   }
 
-  runTime(piece: string): number | null {
+  runTimeOf(piece: string): number | null {
     const job = this.jobs.get(jobOf(piece));
-    return job ? this.runTimeOf(job) : null;
+    return job ? this.runTimeOfJob(job) : null;
   }
 
   imageOf(): null {
     return null;
   }
 
-  fails(): boolean {
+  taskFails(): boolean {
     return false;
   }
 
-  started(piece: string, machine: string): void {
-    this.checker.started(piece, machine);
+  noteStart(piece: string, machine: string): void {
+    this.checker.noteStart(piece, machine);
   }
 
-  ended(piece: string, machine: string, reason: string): void {
+  noteEnd(piece: string, machine: string, reason: string): void {
     this.lastEnded.set(jobOf(piece), this.now());
-    this.checker.ended(piece, machine, reason);
+    this.checker.noteEnd(piece, machine, reason);
   }
 }
--- a/packages/testing/src/unit/authority.test.ts
+++ b/packages/testing/src/unit/authority.test.ts
@@ -101,7 +101,7 @@
   cluster.run(2000);
   cancelled(cluster, 1, 'n-0');
   const leader = cluster.leader()!;
-  const { machine, fence } = [...cluster.workers.values()][0]!;
+  const { machine, fencingToken: fence } = [...cluster.workers.values()][0]!;
   const place = { host: 'm-000099', addr: 'x:1', flavour: machine.type, hall: 'a', spare: false };
   const task = { piece: `${A}/0`, try_no: 9, status: 'running' };
   const report = (tally: number) =>
