--- a/packages/testing/src/scenarios/dependency-faults.test.ts
+++ b/packages/testing/src/scenarios/dependency-faults.test.ts
@@ -82,7 +82,7 @@
     end: (_cluster, workers) => workers.forEach((w) => (w.isHung = false)),
   },
   {
-    name: 'have copies of their reports come late',
+    name: 'have copies of their heartbeats come late',
     begin: (cluster) => (cluster.fleet.duplicateDelay = () => 2000 + cluster.random() * 40_000),
     end: (cluster) => (cluster.fleet.duplicateDelay = null),
   },
--- a/packages/testing/src/scenarios/fleet.test.ts
+++ b/packages/testing/src/scenarios/fleet.test.ts
@@ -96,7 +96,7 @@
   assert.equal(table.workers, 0);
 });
 
-test('a worker that reports in time keeps its connection', () => {
+test('a worker whose heartbeats come in time keeps its connection', () => {
   const table = new Table();
   for (let i = 0; i < 20; i++) {
     table.ask('m-1', 'worker');
@@ -163,8 +163,8 @@
   keepsRules(cluster);
 });
 
-// Behind a thousand reports the answer to a renewal came after the lease was over.
-test('answers to own calls do not queue up behind a thousand reports', () => {
+// Behind a thousand heartbeats the answer to a renewal came after the lease was over.
+test('answers to own calls do not queue up behind a thousand heartbeats', () => {
   const queue = new CommandQueue();
   const report = { method: 'POST', path: '/hello', body: Buffer.alloc(0), via: 'public' } as const;
   for (let id = 0; id < 1000; id++) queue.push({ kind: 'request', id, ...report });
--- a/packages/testing/src/scenarios/late-messages.test.ts
+++ b/packages/testing/src/scenarios/late-messages.test.ts
@@ -21,7 +21,7 @@
   },
 );
 
-// Its reports do not come, so it is told directly; it hangs and hears that only as it goes on.
+// Its heartbeats do not come, so it is told directly; it hangs and hears that only as it goes on.
 onEachDeployment('a direct command waits in a machine that hangs', (times) => {
   const cluster = busy(times, 2, 6);
   const victim = workers(cluster)[0]!;
@@ -40,7 +40,7 @@
 });
 
 onEachDeployment(
-  'old reports arrive after newer ones, also of an earlier session or attempt',
+  'old heartbeats arrive after newer ones, also of an earlier agent epoch or attempt',
   (times) => {
     for (const delay of [2500, times.lease * 0.8, times.lease * 1.7]) {
       const cluster = start(times, { runTime: 9000 });
@@ -59,7 +59,7 @@
 );
 
 onEachDeployment(
-  'a report is held back until a new leader has acted, and then arrives there',
+  'a heartbeat is held back until a new leader has acted, and then arrives there',
   (times) => {
     for (const delay of [times.leaderLease + 1500, times.leaderLease + 6000, times.lease]) {
       const cluster = start(times, { runTime: 12_000 });
@@ -80,7 +80,7 @@
 
 // Made before the last leader's start came, it shows a machine without tasks.
 onEachDeployment(
-  'a report of before a start arrives at the next leader as the first one',
+  'a heartbeat of before a start arrives at the next leader as the first one',
   (times) => {
     const cluster = start(times);
     cluster.fleet.duplicateDelay = () => 13_000;
--- a/packages/testing/src/scenarios/renewals-after-takeover.test.ts
+++ b/packages/testing/src/scenarios/renewals-after-takeover.test.ts
@@ -28,7 +28,7 @@
 }
 
 // Guarded against: an answer that raises a worker's token also renews its lease. When it stops
-// nothing, since the report was made under an older token, each change of leaders keeps the
+// nothing, since the heartbeat was made under an older token, each change of leaders keeps the
 // tasks of a cancelled job for another lease.
 onEachDeployment('a leader that renews a lease stops what is over, whatever the token', (times) => {
   const cluster = busy(times, 2, 4);
--- a/packages/testing/src/scenarios/scenarios.test.ts
+++ b/packages/testing/src/scenarios/scenarios.test.ts
@@ -70,7 +70,7 @@
 });
 
 // Its answer would renew a lease if a worker heard it, so a task of no live job is stopped.
-test('a late report after a take-over changes nothing and starts nothing', () => {
+test('a late heartbeat after a take-over changes nothing and starts nothing', () => {
   const cluster = settled({}, 1);
   const worker = [...cluster.workers.values()][0]!;
   const token = worker.fencingToken;
--- a/packages/testing/src/scenarios/single-faults.test.ts
+++ b/packages/testing/src/scenarios/single-faults.test.ts
@@ -4,7 +4,7 @@
 import { job } from '../index.js';
 import { A, ask, finished, keepsRules, others, running, settled, status } from './steps.js';
 
-// Its reports arrive while no answer does: it looks idle, the best of volunteers.
+// Its heartbeats arrive while no answer does: it looks idle, the best of volunteers.
 test('a machine that hears nothing does not eat start after start', () => {
   const cluster = settled({}, 2);
   const unanswered = [...cluster.workers.keys()][0]!;
@@ -48,7 +48,7 @@
   ['nearly a lease', 15_000],
   ['well over a lease', 50_000],
 ] as const) {
-  test(`copies of reports come late by ${name}, through a take-over and returns`, () => {
+  test(`copies of heartbeats come late by ${name}, through a take-over and returns`, () => {
     const cluster = settled({ capacity: 4, runTime: 8000 }, 2);
     cluster.fleet.duplicateDelay = () => delay;
     for (let i = 1; i <= 4; i++) cluster.submit(job(i, { batch: 6 }), 'n-0');
@@ -64,7 +64,7 @@
   });
 }
 
-test('a late copy does not end the long poll of a newer report', () => {
+test('a late copy does not end the long poll of a newer heartbeat', () => {
   const cluster = settled({ capacity: 1 }, 1);
   const worker = [...cluster.workers.values()][0]!;
   const errors = () => cluster.logLines.filter((l) => l.message === 'start lost').length;
--- a/packages/testing/src/soak/fault-plan.ts
+++ b/packages/testing/src/soak/fault-plan.ts
@@ -37,9 +37,13 @@
 export type FaultKind = (typeof SHORT_KINDS)[number] | (typeof LONG_KINDS)[number];
 
 /** How often leaders are ended in a series, and how far apart. */
-export const SERIES = { count: 4, every: 3500 } as const;
+export const LEADER_KILLS = { count: 4, every: 3500 } as const;
 /** Rounds in which machines hear one answer of the next leader, just within their lease. */
-export const TAKEOVERS = { count: 3, away: TIMES.lease - 3500, every: TIMES.lease - 1000 } as const;
+export const TAKEOVER_ROUNDS = {
+  count: 3,
+  away: TIMES.lease - 3500,
+  every: TIMES.lease - 1000,
+} as const;
 
 /** One fault; the node counts where it strikes one, and the leader of that moment elsewhere. */
 export interface PlannedFault {
@@ -55,21 +59,33 @@
 }
 
 /** Longer than a cancellation may take. */
-const LONG: Duration = Math.max(TIMES.cancellationLimit + 2500, TAKEOVERS.count * TAKEOVERS.every);
-const GAPS: [least: Duration, most: Duration] = [1000, 5000];
-const LENGTHS: [least: Duration, most: Duration] = [800, 11_000];
-const MOST_CANCELS = 5;
+const LONG_FAULT_MS: Duration = Math.max(
+  TIMES.cancellationLimit + 2500,
+  TAKEOVER_ROUNDS.count * TAKEOVER_ROUNDS.every,
+);
+const GAP_RANGE_MS: [least: Duration, most: Duration] = [1000, 5000];
+const DURATION_RANGE_MS: [least: Duration, most: Duration] = [800, 11_000];
+const CANCELLATION_LIMIT = 5;
 /** What a long fault must not keep alive. */
-const CANCELS_WITH_LONG = 8;
+const LONG_FAULT_CANCELLATION_COUNT = 8;
 /** Faults that begin within a time; two or three overlap, and one of them is long. */
 export function planFaults(random: Random, within: Duration): PlannedFault[] {
   const plan: PlannedFault[] = [];
   const long = pick(random, LONG_KINDS);
   const longAt = between(random, 0, within / 2);
-  for (let at = between(random, 0, GAPS[0]); at < within; at += between(random, ...GAPS)) {
-    plan.push(plannedFault(random, pick(random, SHORT_KINDS), at, between(random, ...LENGTHS)));
+  for (
+    let at = between(random, 0, GAP_RANGE_MS[0]);
+    at < within;
+    at += between(random, ...GAP_RANGE_MS)
+  ) {
+    plan.push(
+      plannedFault(random, pick(random, SHORT_KINDS), at, between(random, ...DURATION_RANGE_MS)),
+    );
   }
-  plan.push({ ...plannedFault(random, long, longAt, LONG), cancels: CANCELS_WITH_LONG });
+  plan.push({
+    ...plannedFault(random, long, longAt, LONG_FAULT_MS),
+    cancels: LONG_FAULT_CANCELLATION_COUNT,
+  });
   return plan.sort((a, b) => a.at - b.at);
 }
 
@@ -79,8 +95,8 @@
   at: Duration,
   lasts: Duration,
 ): PlannedFault {
-  const cancels = Math.floor(random() * MOST_CANCELS);
-  const least = kind === 'leaders_in_series' ? SERIES.count * SERIES.every : 0;
+  const cancels = Math.floor(random() * CANCELLATION_LIMIT);
+  const least = kind === 'leaders_in_series' ? LEADER_KILLS.count * LEADER_KILLS.every : 0;
   return {
     kind,
     at,
--- a/packages/testing/src/soak/loopback-site.ts
+++ b/packages/testing/src/soak/loopback-site.ts
@@ -21,9 +21,9 @@
 import { TcpLink } from './tcp-link.js';
 import { SoakWorkers } from './worker-host.js';
 
-const TICK_EVERY: Duration = 25;
+const TICK_INTERVAL_MS: Duration = 25;
 /** What part of all machines the team may use: its limit is reached. */
-const LIMIT_PART = 0.8;
+const TEAM_LIMIT_FRACTION = 0.8;
 
 /** What befalls a node's calls to the state service. */
 export interface StateFaults {
@@ -54,7 +54,7 @@
   level?: number;
 }
 
-const LEVEL_ERROR = 50;
+const ERROR_LEVEL = 50;
 
 /** Everything that a soak runs against. */
 export class LoopbackSite {
@@ -100,7 +100,7 @@
   }
 
   private get cpuLimit(): number {
-    return Math.floor(this.machines * MACHINE_TYPE.cpus * LIMIT_PART);
+    return Math.floor(this.machines * MACHINE_TYPE.cpus * TEAM_LIMIT_FRACTION);
   }
 
   async start(): Promise<void> {
@@ -123,7 +123,7 @@
     }
     for (let i = 0; i < this.machines; i++) this.cloud.add(i % 2 === 0 ? 'a' : 'b');
     for (const process of this.processes.values()) process.start();
-    this.beat(performance.now());
+    this.tick(performance.now());
   }
 
   /** Name of the controller whose key stands, if any does. */
@@ -139,7 +139,7 @@
       .map(([, link]) => link);
   }
 
-  faultState(name: NodeName, faults: Partial<StateFaults>): void {
+  setStateFaults(name: NodeName, faults: Partial<StateFaults>): void {
     this.stateFaults.set(name, { ...(this.stateFaults.get(name) ?? NO_STATE_FAULTS), ...faults });
   }
 
@@ -169,7 +169,7 @@
 
   private async portsOf(name: NodeName): Promise<NodePorts> {
     const state = await this.serve((method, path, body, done) =>
-      this.askState(name, method, path, body, done),
+      this.callState(name, method, path, body, done),
     );
     return { ...listenPortsOf(name), state, links: new Map() };
   }
@@ -188,20 +188,20 @@
 
   private processOf(name: NodeName, file: string, operatorFile: string): ControllerProcess {
     return new ControllerProcess(name, file, operatorFile, {
-      line: (node, line) => this.noteLine(node, line),
+      line: (node, line) => this.noteLogLine(node, line),
       endedByItself: (node, code) =>
         this.faults.push(`${node} ended by itself: ${code ?? 'signal'}`),
     });
   }
 
-  private noteLine(node: string, line: string): void {
+  private noteLogLine(node: string, line: string): void {
     this.logLines.push(`${Math.round(performance.now())} ${node} ${line}`);
     if (!line.startsWith('{')) return void this.faults.push(`${node}: ${line}`);
     const { level = 0, msg = '' } = JSON.parse(line) as LogLine;
-    if (level >= LEVEL_ERROR) this.faults.push(`${node}: ${msg}: ${line}`);
+    if (level >= ERROR_LEVEL) this.faults.push(`${node}: ${msg}: ${line}`);
   }
 
-  private askState(
+  private callState(
     node: string,
     method: string,
     path: string,
@@ -221,14 +221,14 @@
   }
 
   /** Time goes on for all stand-ins; a worker's lease ends before the rules are checked. */
-  private beat(planned: number): void {
+  private tick(planned: number): void {
     this.longestStall = Math.max(this.longestStall, performance.now() - planned);
     this.state.tick();
     for (const machine of this.cloud.machines.values())
       if (machine.readyAt <= performance.now()) void this.workers.start(machine);
     this.workers.tick();
     this.checker.check();
-    const next = performance.now() + TICK_EVERY;
-    this.timer = setTimeout(() => this.beat(next), TICK_EVERY);
+    const next = performance.now() + TICK_INTERVAL_MS;
+    this.timer = setTimeout(() => this.tick(next), TICK_INTERVAL_MS);
   }
 }
--- a/packages/testing/src/soak/main.ts
+++ b/packages/testing/src/soak/main.ts
@@ -6,10 +6,10 @@
 import { playSeed, type SoakResult } from './soak-run.js';
 
 /** A run with as many machines as controllers have trouble with, for each so many others. */
-const LARGE_EVERY = 10;
-const LARGE = 300;
+const LARGE_RUN_INTERVAL = 10;
+const LARGE_MACHINE_COUNT = 300;
 /** A run whose stand-ins stood still for longer says nothing about the rules. */
-const MOST_STALL_MS = 1000;
+const MAX_STALL_MS = 1000;
 
 const { values } = parseArgs({
   options: {
@@ -25,13 +25,13 @@
 const print = (text: string): void => void process.stdout.write(`${text}\n`);
 
 const machinesFor = (seed: number): number =>
-  seed % LARGE_EVERY === 0 ? LARGE : Number(values.machines);
+  seed % LARGE_RUN_INTERVAL === 0 ? LARGE_MACHINE_COUNT : Number(values.machines);
 
 /**
  * Plays a seed in a process of its own, so that runs do not hold each other up. It ends with this
  * one, which it knows by the IPC channel.
  */
-function playApart(seed: number): Promise<SoakResult> {
+function playInChild(seed: number): Promise<SoakResult> {
   const args = ['--one', '--seeds', String(seed), '--machines', String(machinesFor(seed))];
   const script = process.argv[1] ?? '';
   if (values.log !== undefined) args.push('--log', values.log);
@@ -48,14 +48,14 @@
   );
 }
 
-const fine = (result: SoakResult): boolean =>
-  result.problems.length === 0 && result.longestStallMs <= MOST_STALL_MS;
+const isFine = (result: SoakResult): boolean =>
+  result.problems.length === 0 && result.longestStallMs <= MAX_STALL_MS;
 
 function show(result: SoakResult): void {
   const { seed, machines, faults, accepted, cancellationsConfirmed, startsChecked } = result;
   const { answersChecked, longestStallMs, tookMs } = result;
   print(
-    `${fine(result) ? 'ok' : 'not ok'} seed ${seed}: ${machines} machines, ${faults} faults, ` +
+    `${isFine(result) ? 'ok' : 'not ok'} seed ${seed}: ${machines} machines, ${faults} faults, ` +
       `${accepted} jobs, ${cancellationsConfirmed} cancellations confirmed, ` +
       `${startsChecked} starts, ${answersChecked} answers, ` +
       `stall ${longestStallMs} ms, ${Math.round(tookMs / 1000)} s`,
@@ -68,14 +68,14 @@
   const results: SoakResult[] = [];
   const work = async () => {
     for (let seed = left.shift(); seed !== undefined; seed = left.shift()) {
-      const result = await playApart(seed);
+      const result = await playInChild(seed);
       show(result);
       results.push(result);
     }
   };
   await Promise.all(Array.from({ length: Number(values.jobs) }, work));
   const sum = (of: (result: SoakResult) => number) => results.reduce((all, r) => all + of(r), 0);
-  const failed = results.filter((result) => !fine(result)).length;
+  const failed = results.filter((result) => !isFine(result)).length;
   print(
     `soak: ${sum((r) => r.faults)} faults, ${sum((r) => r.cancellationsConfirmed)} cancellations ` +
       `confirmed, ${sum((r) => r.startsChecked)} starts, ${sum((r) => r.answersChecked)} answers`,
@@ -91,7 +91,7 @@
   const options = {
     seed,
     machines: Number(values.machines),
-    troubled: Number(values.seconds) * 1000,
+    faultPeriod: Number(values.seconds) * 1000,
     logFolder: values.log ?? null,
   };
   print(JSON.stringify(await playSeed(options)));
--- a/packages/testing/src/soak/scale.ts
+++ b/packages/testing/src/soak/scale.ts
@@ -7,16 +7,16 @@
 import { SoakUsers } from './users.js';
 import { pause, until } from './wait.js';
 
-const SAMPLE_EVERY: Duration = 1000;
-const LOADED: Duration = 45_000;
-const AFTER_TAKEOVER: Duration = 20_000;
-const PATIENCE: Duration = 180_000;
+const SAMPLE_INTERVAL_MS: Duration = 1000;
+const LOAD_DURATION_MS: Duration = 45_000;
+const TAKEOVER_DURATION_MS: Duration = 20_000;
+const WAIT_LIMIT_MS: Duration = 180_000;
 /** Workers give an answer up after this long. */
-const ANSWER_TIMEOUT: Duration = 4000;
-const SUBMISSIONS = 2;
+const RESPONSE_TIMEOUT_MS: Duration = 4000;
+const SUBMISSIONS_PER_SECOND = 2;
 /** Tasks of a job, as a part of the machines. */
-const TASKS_PART = 1 / 100;
-const TICKS_PER_SECOND = 100;
+const TASKS_PER_MACHINE = 1 / 100;
+const CPU_TICKS_PER_SECOND = 100;
 const KB_PER_MB = 1024;
 
 /** What a process used of its host. */
@@ -34,7 +34,7 @@
   const status = readFileSync(`/proc/${pid}/status`, 'utf8');
   const peak = /VmHWM:\s+(\d+)/.exec(status)?.[1] ?? '0';
   return {
-    cpuSeconds: (Number(fields[11]) + Number(fields[12])) / TICKS_PER_SECOND,
+    cpuSeconds: (Number(fields[11]) + Number(fields[12])) / CPU_TICKS_PER_SECOND,
     peakMb: Math.round(Number(peak) / KB_PER_MB),
   };
 }
@@ -58,21 +58,21 @@
     this.site = new LoopbackSite(machines, DEPLOYED_TIMES, seededRandom(1));
     this.users = new SoakUsers(this.site, seededRandom(2), {
       runTimes: [30, 90],
-      submissions: SUBMISSIONS,
-      tasks: Math.max(4, Math.round(machines * TASKS_PART * 2)),
+      submissions: SUBMISSIONS_PER_SECOND,
+      tasks: Math.max(4, Math.round(machines * TASKS_PER_MACHINE * 2)),
     });
   }
 
   async play(): Promise<void> {
     const began = performance.now();
     await this.site.start();
-    await until(() => this.site.workers.names.length === this.machines, PATIENCE);
+    await until(() => this.site.workers.names.length === this.machines, WAIT_LIMIT_MS);
     await this.accounted(began);
     this.say(`first term: all machines up and accounted for after ${this.since(began)} ms`);
     this.users.start();
-    await this.leaderUsage('start of load', LOADED);
-    this.site.workers.answerTimes.length = 0;
-    await this.leaderUsage('steady load', LOADED);
+    await this.leaderUsage('start of load', LOAD_DURATION_MS);
+    this.site.workers.responseTimes.length = 0;
+    await this.leaderUsage('steady load', LOAD_DURATION_MS);
     this.answers('steady load');
     await this.takeOver('the leader ends', (leader) => [leader]);
     await this.takeOver('all controllers end', () => [...NODES]);
@@ -105,7 +105,7 @@
         (line) =>
           Number(line.split(' ')[0]) >= from && line.includes('machine registry reconciled'),
       );
-    await until(() => mark() !== undefined, PATIENCE);
+    await until(() => mark() !== undefined, WAIT_LIMIT_MS);
     const took = /"tookMs":(\d+)/.exec(mark() ?? '')?.[1];
     return took === undefined ? null : Number(took);
   }
@@ -113,7 +113,7 @@
   private async takeOver(what: string, ended: (leader: NodeName) => NodeName[]): Promise<void> {
     const leader = this.site.leader() ?? NODES[0];
     const from = Math.round(performance.now());
-    this.site.workers.answerTimes.length = 0;
+    this.site.workers.responseTimes.length = 0;
     for (const node of ended(leader)) {
       this.site.processes.get(node)?.kill();
       setTimeout(() => this.site.processes.get(node)?.start(), 6000);
@@ -122,7 +122,7 @@
     this.say(
       `${what}: all accounted for ${took ?? 'never'} ms after the election, ${this.since(from)} ms after the end`,
     );
-    await this.leaderUsage(`after ${what}`, AFTER_TAKEOVER);
+    await this.leaderUsage(`after ${what}`, TAKEOVER_DURATION_MS);
     this.answers(what);
   }
 
@@ -139,7 +139,7 @@
     const end = performance.now() + lasts;
     while (before && performance.now() < end) {
       const from = performance.now();
-      await pause(SAMPLE_EVERY);
+      await pause(SAMPLE_INTERVAL_MS);
       const now = usageOf(pid);
       if (!now) {
         this.say(`${when}: the leader's process ended: ${this.site.faults.join('; ')}`);
@@ -157,15 +157,15 @@
   }
 
   private answers(when: string): void {
-    const times = this.site.workers.answerTimes;
-    const late = times.filter((time) => time > ANSWER_TIMEOUT).length;
-    this.say(`${when}: reports answered after ${spread(times)}, ${late} too late`);
+    const times = this.site.workers.responseTimes;
+    const late = times.filter((time) => time > RESPONSE_TIMEOUT_MS).length;
+    this.say(`${when}: heartbeats answered after ${spread(times)}, ${late} too late`);
   }
 
   private cancellations(): void {
     const times: number[] = [];
     for (const [job, at] of this.users.cancelledAt) {
-      const gone = this.site.workers.lastEnded.get(job);
+      const gone = this.site.workers.lastEndByJob.get(job);
       if (gone !== undefined && gone > at) times.push(gone - at);
     }
     this.say(
--- a/packages/testing/src/soak/soak-run.ts
+++ b/packages/testing/src/soak/soak-run.ts
@@ -15,7 +15,7 @@
   seed: number;
   machines: number;
   /** Faults begin within this time. */
-  troubled: Duration;
+  faultPeriod: Duration;
   /** Where the controllers' log goes; nowhere if null. */
   logFolder: string | null;
 }
@@ -36,10 +36,10 @@
   tookMs: number;
 }
 
-const SETTLE: Duration = 4000;
+const SETTLE_MS: Duration = 4000;
 /** All jobs have an end within this time, once all faults are over. */
-const ENDS_WITHIN: Duration = 90_000;
-const MOST_PROBLEMS = 20;
+const ALL_END_LIMIT_MS: Duration = 90_000;
+const PROBLEM_LIMIT = 20;
 /** A machine of the fake has so many CPUs, and most tasks run for tens of seconds. */
 const loadFor = (machines: number): Load => ({
   runTimes: [1, 12],
@@ -49,17 +49,17 @@
 
 /** Plays one seed. Its schedule of faults repeats; what processes do between them may differ. */
 export async function playSeed(options: SoakOptions): Promise<SoakResult> {
-  const { seed, machines, troubled, logFolder } = options;
+  const { seed, machines, faultPeriod, logFolder } = options;
   const began = performance.now();
   const random = mixedRandom(seed);
-  const plan = planFaults(random, troubled);
+  const plan = planFaults(random, faultPeriod);
   const site = new LoopbackSite(machines, TIMES, mixedRandom(seed + 1_000_000));
   const users = new SoakUsers(site, mixedRandom(seed + 2_000_000), loadFor(machines));
   const injector = new FaultInjector(site, (count) => users.cancelSome(count));
   try {
     await site.start();
     await until(() => site.leader() !== null, 20_000);
-    await pause(SETTLE);
+    await pause(SETTLE_MS);
     users.start();
     await pause(between(random, 1000, 3000));
     injector.start(plan);
@@ -76,10 +76,10 @@
     return {
       seed,
       machines,
-      problems: problems.slice(0, MOST_PROBLEMS),
+      problems: problems.slice(0, PROBLEM_LIMIT),
       faults: plan.length,
       accepted: users.counts.accepted,
-      cancellationsConfirmed: users.cancelled(),
+      cancellationsConfirmed: users.cancelledCount(),
       startsChecked: site.checker.startCount,
       answersChecked: users.counts.answers,
       longestStallMs: Math.round(site.longestStall),
@@ -95,10 +95,10 @@
 /** All faults are over: each job ends, every node says the same of it, and nothing runs on. */
 async function endsWell(site: LoopbackSite, users: SoakUsers): Promise<string[]> {
   // A question that a dead process took with it must not be the last one about its job.
-  await users.askAll();
-  const ended = await until(() => users.open().length === 0, ENDS_WITHIN);
-  const open = ended ? [] : [`jobs without an end: ${users.open().join(', ')}`];
-  await users.askAll();
+  await users.pollAll();
+  const ended = await until(() => users.openJobs().length === 0, ALL_END_LIMIT_MS);
+  const open = ended ? [] : [`jobs without an end: ${users.openJobs().join(', ')}`];
+  await users.pollAll();
   await pause(TIMES.cancellationLimit);
   const left = site.workers.running > 0 && ended ? [`${site.workers.running} tasks run on`] : [];
   return [
--- a/packages/testing/src/soak/users.ts
+++ b/packages/testing/src/soak/users.ts
@@ -8,17 +8,17 @@
 import { NODES } from './site-times.js';
 import { LOOPBACK } from './loopback.js';
 
-const SUBMIT_TIMEOUT: Duration = 5000;
-const POLL_TIMEOUT: Duration = 2000;
-const RETRY: Duration = 1000;
-const POLL_EVERY: Duration = 60;
-const SOCKETS = 64;
+const SUBMIT_TIMEOUT_MS: Duration = 5000;
+const POLL_TIMEOUT_MS: Duration = 2000;
+const RETRY_DELAY_MS: Duration = 1000;
+const POLL_INTERVAL_MS: Duration = 60;
+const SOCKET_COUNT = 64;
 /** Part of all jobs that users cancel, and part of all answers that make them ask once more. */
-const CANCELLED_PART = 0.5;
+const CANCELLED_FRACTION = 0.5;
 /** They would run for longer than a cancellation may take, in s. */
-const UNWANTED_RUN_TIMES: Range = [40, 70];
-const CANCELLED_AFTER: Range = [0, 25_000];
-const REPEATED_PART = 0.2;
+const CANCELLED_RUN_TIMES_S: Range = [40, 70];
+const CANCELLED_AFTER_MS: Range = [0, 25_000];
+const REPEATED_FRACTION = 0.2;
 
 type Range = [least: number, most: number];
 
@@ -40,13 +40,13 @@
 /** Puts the load on a site. Ids come in order here; nothing depends on it. */
 export class SoakUsers {
   readonly counts: UserCounts = { accepted: 0, answers: 0 };
-  private readonly client = new HttpClient(SOCKETS);
+  private readonly client = new HttpClient(SOCKET_COUNT);
   /** When users were first told that a job is cancelled. */
   readonly cancelledAt = new Map<string, Instant>();
-  private readonly wanted = new Set<string>();
+  private readonly acceptedIds = new Set<string>();
   private readonly timers = new Set<NodeJS.Timeout>();
   private submitting = true;
-  private last = 0;
+  private lastNumber = 0;
   private closed = false;
 
   constructor(
@@ -70,41 +70,42 @@
   }
 
   /** Accepted jobs that no user has been told the end of. */
-  open(): string[] {
-    return [...this.wanted].filter((id) => this.site.checker.finalStatus(id) === null);
+  openJobs(): string[] {
+    return [...this.acceptedIds].filter((id) => this.site.checker.finalStatus(id) === null);
   }
 
   /** Jobs that users were told are cancelled. */
-  cancelled(): number {
-    return [...this.wanted].filter((id) => this.site.checker.finalStatus(id) === 'aborted').length;
+  cancelledCount(): number {
+    return [...this.acceptedIds].filter((id) => this.site.checker.finalStatus(id) === 'aborted')
+      .length;
   }
 
   /** Users call off jobs that run, at any node. */
   cancelSome(count: number): void {
     const running = this.site.workers.runningJobs();
-    const open = this.open().filter((id) => running.has(id));
+    const open = this.openJobs().filter((id) => running.has(id));
     for (const id of open.slice(0, count)) this.cancel(id);
   }
 
   /** Asks every node about every job. */
-  async askAll(): Promise<void> {
+  async pollAll(): Promise<void> {
     for (const node of NODES) {
-      await Promise.all([...this.wanted].map((id) => this.poll(id, node)));
+      await Promise.all([...this.acceptedIds].map((id) => this.poll(id, node)));
     }
   }
 
   private submitNext(): void {
     if (!this.submitting) return;
-    const id = ++this.last;
-    const unwanted = this.random() < CANCELLED_PART;
-    const runTimes = unwanted ? UNWANTED_RUN_TIMES : this.load.runTimes;
+    const id = ++this.lastNumber;
+    const unwanted = this.random() < CANCELLED_FRACTION;
+    const runTimes = unwanted ? CANCELLED_RUN_TIMES_S : this.load.runTimes;
     const body = job(id, {
       batch: Math.ceil(this.random() * this.load.tasks),
       expected_s: between(this.random, ...runTimes),
       urgency: pick(this.random, ['normal', 'idle', 'urgent']),
     });
     this.submit(body, unwanted);
-    this.later((1000 / this.load.submissions) * between(this.random, 0.3, 1.7), () =>
+    this.after((1000 / this.load.submissions) * between(this.random, 0.3, 1.7), () =>
       this.submitNext(),
     );
   }
@@ -115,38 +116,39 @@
       this.site.jobs.set(spec.id, spec);
       this.site.checker.noteSubmission(spec);
     }
-    void this.ask('POST', '/api/jobs', body, spec.id, SUBMIT_TIMEOUT).then((status) => {
+    void this.ask('POST', '/api/jobs', body, spec.id, SUBMIT_TIMEOUT_MS).then((status) => {
       if (status !== 200 && status !== 201)
-        return this.later(RETRY, () => this.submit(body, unwanted));
-      if (!this.wanted.has(spec.id)) this.accepted(spec.id, unwanted);
-      if (this.random() < REPEATED_PART) this.later(RETRY, () => this.submit(body, unwanted));
+        return this.after(RETRY_DELAY_MS, () => this.submit(body, unwanted));
+      if (!this.acceptedIds.has(spec.id)) this.noteAccepted(spec.id, unwanted);
+      if (this.random() < REPEATED_FRACTION)
+        this.after(RETRY_DELAY_MS, () => this.submit(body, unwanted));
     });
   }
 
-  private accepted(id: string, unwanted: boolean): void {
-    this.wanted.add(id);
+  private noteAccepted(id: string, unwanted: boolean): void {
+    this.acceptedIds.add(id);
     this.counts.accepted++;
-    if (unwanted) this.later(between(this.random, ...CANCELLED_AFTER), () => this.cancel(id));
+    if (unwanted) this.after(between(this.random, ...CANCELLED_AFTER_MS), () => this.cancel(id));
   }
 
   private cancel(id: string): void {
-    void this.ask('POST', `/api/jobs/${id}/cancel`, null, id, SUBMIT_TIMEOUT).then((status) => {
-      if (status !== 200) return this.later(RETRY, () => this.cancel(id));
+    void this.ask('POST', `/api/jobs/${id}/cancel`, null, id, SUBMIT_TIMEOUT_MS).then((status) => {
+      if (status !== 200) return this.after(RETRY_DELAY_MS, () => this.cancel(id));
       if (this.site.checker.finalStatus(id) === 'aborted' && !this.cancelledAt.has(id))
         this.cancelledAt.set(id, performance.now());
-      if (this.random() < REPEATED_PART)
-        this.later(RETRY, () => void this.poll(id, this.anyNode()));
+      if (this.random() < REPEATED_FRACTION)
+        this.after(RETRY_DELAY_MS, () => void this.poll(id, this.anyNode()));
     });
   }
 
   private pollNext(): void {
-    const asked = this.random() < REPEATED_PART ? [...this.wanted] : this.open();
+    const asked = this.random() < REPEATED_FRACTION ? [...this.acceptedIds] : this.openJobs();
     if (asked.length > 0) void this.poll(pick(this.random, asked), this.anyNode());
-    this.later(POLL_EVERY, () => this.pollNext());
+    this.after(POLL_INTERVAL_MS, () => this.pollNext());
   }
 
   private poll(id: string, node: string): Promise<number | null> {
-    return this.ask('GET', `/api/jobs/${id}`, null, id, POLL_TIMEOUT, node);
+    return this.ask('GET', `/api/jobs/${id}`, null, id, POLL_TIMEOUT_MS, node);
   }
 
   /** Status of the answer; null where none came. */
@@ -182,7 +184,7 @@
     return pick(this.random, NODES);
   }
 
-  private later(delay: Duration, run: () => void): void {
+  private after(delay: Duration, run: () => void): void {
     if (this.closed) return;
     const timer = setTimeout(() => {
       this.timers.delete(timer);
--- a/packages/testing/src/soak/wait.ts
+++ b/packages/testing/src/soak/wait.ts
@@ -1,7 +1,7 @@
 /** Waiting in real time. */
 import type { Duration } from '@tealdock/wire';
 
-const LOOK_EVERY: Duration = 100;
+const CHECK_INTERVAL_MS: Duration = 100;
 
 /** Lets that much time pass. */
 export const pause = (duration: Duration): Promise<void> =>
@@ -10,6 +10,6 @@
 /** Waits until the condition holds; false if it does not within the limit. */
 export async function until(condition: () => boolean, limit: Duration): Promise<boolean> {
   const end = performance.now() + limit;
-  while (!condition() && performance.now() < end) await pause(LOOK_EVERY);
+  while (!condition() && performance.now() < end) await pause(CHECK_INTERVAL_MS);
   return condition();
 }
--- a/packages/testing/src/soak/worker-host.ts
+++ b/packages/testing/src/soak/worker-host.ts
@@ -1,4 +1,4 @@
-/** Workers of a soak: they report over real connections, and are commanded over their own. */
+/** Workers of a soak: they send heartbeats over real connections, and are commanded over their own. */
 import type { CallResult } from '@tealdock/controller';
 import { HttpClient } from '@tealdock/adapters';
 import type { Duration, Instant, JobSpec } from '@tealdock/wire';
@@ -11,28 +11,28 @@
 import { LOOPBACK } from './loopback.js';
 
 /** Longer than a worker waits, so that it is the worker that gives up. */
-const CALL_TIMEOUT: Duration = 8000;
+const CALL_TIMEOUT_MS: Duration = 8000;
 
 /** What befalls the traffic of one machine. */
 export interface MachineFaults {
-  /** Reports leave, and no answer comes. */
-  answersLost: boolean;
-  /** Reports don't leave. */
-  reportsLost: boolean;
-  /** No connection for a report can be opened. */
-  reportsRefused: boolean;
+  /** Heartbeats leave, and no answer comes. */
+  responsesLost: boolean;
+  /** Heartbeats don't leave. */
+  heartbeatsLost: boolean;
+  /** No connection for a heartbeat can be opened. */
+  heartbeatsRefused: boolean;
   /** Direct commands arrive only after this is over, in order. */
   commandsHeld: boolean;
   /** What an answer takes beyond the usual. */
-  answerDelay: Duration;
+  responseDelay: Duration;
 }
 
 const NO_FAULTS: MachineFaults = {
-  answersLost: false,
-  reportsLost: false,
-  reportsRefused: false,
+  responsesLost: false,
+  heartbeatsLost: false,
+  heartbeatsRefused: false,
   commandsHeld: false,
-  answerDelay: 0,
+  responseDelay: 0,
 };
 
 interface SoakMachine {
@@ -45,15 +45,15 @@
 
 const jobOf = (piece: string): string => piece.split('/')[0] ?? '';
 
-/** Carries the reports and commands of all workers, and tells the checker what runs where. */
+/** Carries the heartbeats and commands of all workers, and tells the checker what runs where. */
 export class SoakWorkers implements WorkerHost {
   readonly nodeNames = [...NODES];
   readonly heartbeatInterval: Duration;
   readonly leaseDuration: Duration;
-  /** How long reports waited for their answers. */
-  readonly answerTimes: Duration[] = [];
+  /** How long heartbeats waited for their answers. */
+  readonly responseTimes: Duration[] = [];
   /** When the last task of each job left its machine. */
-  readonly lastEnded = new Map<string, Instant>();
+  readonly lastEndByJob = new Map<string, Instant>();
   private readonly machines = new Map<string, SoakMachine>();
   private readonly starting = new Set<string>();
 
@@ -123,7 +123,7 @@
     for (const { worker } of this.machines.values()) worker.tick();
   }
 
-  fault(id: string, faults: Partial<MachineFaults>): void {
+  setFaults(id: string, faults: Partial<MachineFaults>): void {
     const machine = this.machines.get(id);
     if (!machine) return;
     Object.assign(machine.faults, faults);
@@ -132,7 +132,7 @@
 
   endFaults(): void {
     for (const [id, { worker }] of this.machines) {
-      this.fault(id, NO_FAULTS);
+      this.setFaults(id, NO_FAULTS);
       worker.isHung = false;
     }
   }
@@ -149,8 +149,6 @@
     else carryOut();
   }
 
-  // --- what a worker asks of its host ------------------------------------------
-
   commandAddress(machine: string): string {
     return `${LOOPBACK}:${this.machines.get(machine)?.server.port ?? 1}`;
   }
@@ -163,15 +161,15 @@
   ): void {
     const machine = this.machines.get(worker.machine.id);
     const port = this.ports.get(node);
-    if (!machine || port === undefined || machine.faults.reportsLost) return;
-    if (machine.faults.reportsRefused) return done({ kind: 'unsent' });
+    if (!machine || port === undefined || machine.faults.heartbeatsLost) return;
+    if (machine.faults.heartbeatsRefused) return done({ kind: 'unsent' });
     const sent = this.now();
     const call = { host: LOOPBACK, port, method: 'POST', path: '/hello', body };
-    machine.client.send({ ...call, timeout: CALL_TIMEOUT }, (result) => {
-      if (machine.faults.answersLost) return;
-      this.answerTimes.push(this.now() - sent);
-      if (machine.faults.answerDelay === 0) done(result);
-      else setTimeout(() => done(result), machine.faults.answerDelay);
+    machine.client.send({ ...call, timeout: CALL_TIMEOUT_MS }, (result) => {
+      if (machine.faults.responsesLost) return;
+      this.responseTimes.push(this.now() - sent);
+      if (machine.faults.responseDelay === 0) done(result);
+      else setTimeout(() => done(result), machine.faults.responseDelay);
     });
   }
 
@@ -198,7 +196,7 @@
   }
 
   noteEnd(piece: string, machine: string, reason: string): void {
-    this.lastEnded.set(jobOf(piece), this.now());
+    this.lastEndByJob.set(jobOf(piece), this.now());
     this.checker.noteEnd(piece, machine, reason);
   }
 }
