--- a/packages/controller/src/authority/invariants.ts
+++ b/packages/controller/src/authority/invariants.ts
@@ -23,5 +23,5 @@
   violation: Violation,
 ): void {
   runtime.stats.count(`violations.${invariant}`);
-  runtime.env.log('error', { invariant, ...violation }, 'invariant violated');
+  runtime.log('error', { invariant, ...violation }, 'invariant violated');
 }
--- a/packages/controller/src/authority/renewal-log.ts
+++ b/packages/controller/src/authority/renewal-log.ts
@@ -14,6 +14,6 @@
     if (outcome === this.lastOutcome) return;
     this.lastOutcome = outcome;
     const fields = { outcome, ...evidenceFields(decision.evidence) };
-    this.runtime.env.log('info', fields, 'renewal authority changed');
+    this.runtime.log('info', fields, 'renewal authority changed');
   }
 }
--- a/packages/controller/src/machines/machine.ts
+++ b/packages/controller/src/machines/machine.ts
@@ -1,6 +1,6 @@
 /** A machine as the leader knows it in one term. */
 import type { Duration, Instant, MachineType } from '@tealdock/wire';
-import type { Place, Resources } from '@tealdock/scheduler';
+import type { MachinePool, Resources } from '@tealdock/scheduler';
 import type { Binding } from '../jobs/binding.js';
 import { ImageCache } from './image-cache.js';
 import { ImageFetches, type ImageFetch } from './image-fetches.js';
@@ -10,7 +10,7 @@
 import { MachineUsage } from './machine-usage.js';
 
 /** One machine; each concern has an object of its own, images and their fetches are here. */
-export class Machine implements Place {
+export class Machine implements MachinePool {
   readonly heartbeats = new MachineHeartbeats();
   readonly registration = new MachineRegistration();
   readonly health = new MachineHealth();
--- a/packages/controller/src/term/live-jobs.ts
+++ b/packages/controller/src/term/live-jobs.ts
@@ -81,14 +81,14 @@
   addJob(id: string, stored: unknown, version: number): void {
     if (this.byId.has(id) || this.endedJobs.has(id)) return;
     const value = readLive(stored);
-    if (!value) return this.runtime.env.log('error', { job: id }, 'stored job unreadable');
+    if (!value) return this.runtime.log('error', { job: id }, 'stored job unreadable');
     const ageMs = Math.max(0, this.runtime.wallClock.getTime() - value.submitted);
     const job = new LiveJob(value.spec, version, this.runtime.now - ageMs);
     this.byId.set(id, job);
     this.graph.add(job);
     if (this.options.term.stateLoaded) this.graph.readPredecessorEnds(job);
     const { jobClass, taskCount, image, imageGb } = value.spec;
-    this.runtime.env.log(
+    this.runtime.log(
       'debug',
       { job: id, jobClass, tasks: taskCount, image, imageGb },
       'live job added',
@@ -96,9 +96,9 @@
   }
 
   /** A node reports a cancellation that it has committed; the watch may show it later or never. */
-  cancellationReceived(id: string): void {
+  applyCancellation(id: string): void {
     const live = this.byId.has(id);
-    this.runtime.env.log('debug', { job: id, live }, 'cancellation received');
+    this.runtime.log('debug', { job: id, live }, 'cancellation received');
     this.endedJobs.add(id);
     this.endJob(id);
   }
@@ -112,7 +112,7 @@
     if (!job) return;
     this.byId.delete(id);
     this.endedJobs.add(id);
-    this.runtime.env.log('info', { job: id, done: job.progress.doneTaskCount }, 'job ended');
+    this.runtime.log('info', { job: id, done: job.progress.doneTaskCount }, 'job ended');
     this.options.onEnded(job);
     this.graph.remove(job, end);
   }
--- a/packages/controller/src/term/machine-maintenance.ts
+++ b/packages/controller/src/term/machine-maintenance.ts
@@ -75,14 +75,14 @@
     const tookMs = this.runtime.now - electedAt;
     this.runtime.stats.record('takeover.ready_ms', tookMs);
     const fields = { fencingToken, tookMs: Math.round(tookMs) };
-    this.runtime.env.log('info', fields, 'machine registry reconciled');
+    this.runtime.log('info', fields, 'machine registry reconciled');
   }
 
   /** The leases of these machines are certainly over: their workers have killed all tasks. */
   private endExpired(expired: Machine[]): void {
     const { bindings, fleet } = this.targets;
     const machines = expired.map(({ id }) => id);
-    this.runtime.env.log('info', { machines }, 'worker leases expired');
+    this.runtime.log('info', { machines }, 'worker leases expired');
     for (const machine of expired) {
       bindings.endDispatched(machine, 'lease ran out');
       machine.registration.markReconciled();
--- a/packages/controller/src/term/machine-registry.ts
+++ b/packages/controller/src/term/machine-registry.ts
@@ -1,6 +1,6 @@
 /** The stored registry of machines that may have tasks, and the machines that have left it. */
-import type { Place } from '@tealdock/scheduler';
-import type { StateItem } from '@tealdock/wire';
+import type { MachinePool } from '@tealdock/scheduler';
+import { millisecondsOf, secondsOf, type StateItem } from '@tealdock/wire';
 import type { Leadership } from '../leadership/leadership.js';
 import { Machine } from '../machines/machine.js';
 import { BoundedSet } from '../runtime/bounded.js';
@@ -10,14 +10,12 @@
 import { ShardedTable } from '../state/sharded-table.js';
 import type { StateStore } from '../state/state-store.js';
 import type { Bindings } from './bindings.js';
-import type { DirtyMachines } from './dirty-machines.js';
 import type { Fleet } from './fleet.js';
 
 /** Machines that join within this time share a commit. */
 const JOIN_BATCH_DELAY_MS = 150;
 /** Terminated machines that are remembered. */
 const MAX_TERMINATED_COUNT = 5000;
-const MS_PER_SECOND = 1000;
 
 /** An image that a machine is expected to have in its cache. */
 export interface CachedImage {
@@ -25,13 +23,6 @@
   gb: number;
 }
 
-/** The parts of a term that the registry changes. */
-export interface RegistryTargets {
-  readonly fleet: Fleet;
-  readonly bindings: Bindings;
-  readonly dirtyMachines: DirtyMachines;
-}
-
 /**
  * A machine is stored in the registry before its first start, so that a later leader waits for
  * each machine that may have tasks (docs/safety.md, Rebuild).
@@ -45,7 +36,8 @@
     private readonly runtime: Runtime,
     state: StateStore,
     leadership: Leadership,
-    private readonly targets: RegistryTargets,
+    private readonly fleet: Fleet,
+    private readonly bindings: Bindings,
   ) {
     this.table = new ShardedTable(runtime, state, leadership, {
       keyPrefix: REGISTRY_PREFIX,
@@ -71,13 +63,13 @@
   }
 
   /** Returns the machine; adds it if its heartbeat is the first that this term gets of it. */
-  getOrAdd(id: string, place: Place): Machine {
-    let machine = this.targets.fleet.get(id);
+  getOrAdd(id: string, place: MachinePool): Machine {
+    let machine = this.fleet.get(id);
     if (!machine) {
       machine = this.newMachine(id, place);
       // It is not in the registry, so no term has ever sent a start to it.
       machine.registration.markReconciled();
-      this.targets.fleet.add(machine);
+      this.fleet.add(machine);
     }
     machine.registration.recordObserved(this.runtime.now);
     return machine;
@@ -93,19 +85,18 @@
   markReturning(machine: Machine): void {
     if (machine.registration.isReturning) return;
     machine.registration.markReturning();
-    this.targets.bindings.releaseUndispatched(machine);
+    this.bindings.releaseUndispatched(machine);
     this.store(machine);
   }
 
   /** The cloud has confirmed with status 200 that the machine is gone, with all tasks on it. */
   recordTerminated(id: string): void {
-    const { fleet, bindings } = this.targets;
-    const machine = fleet.get(id);
+    const machine = this.fleet.get(id);
     this.terminated.add(id);
     if (!machine) return;
-    bindings.releaseUndispatched(machine);
-    bindings.endDispatched(machine, 'returned to the cloud');
-    fleet.remove(id);
+    this.bindings.releaseUndispatched(machine);
+    this.bindings.endDispatched(machine, 'returned to the cloud');
+    this.fleet.remove(id);
     this.table.remove(id);
   }
 
@@ -114,7 +105,7 @@
     return this.terminated.has(id);
   }
 
-  private newMachine(id: string, place: Place): Machine {
+  private newMachine(id: string, place: MachinePool): Machine {
     const machine = new Machine(id, place.type, place.zone, place.spot);
     for (const { image, gb } of this.hintedImages.get(id) ?? []) machine.recordImageUse(image, gb);
     return machine;
@@ -123,14 +114,14 @@
   private loadMachine(id: string, entry: RegistryEntry): void {
     const [type, zone, spot, returning, firstObservedSeconds] = entry;
     const place = { type, zone, spot: spot === 1 };
-    const machine = this.targets.fleet.get(id) ?? this.newMachine(id, place);
-    const ageMs = this.runtime.wallClock.getTime() - firstObservedSeconds * MS_PER_SECOND;
+    const machine = this.fleet.get(id) ?? this.newMachine(id, place);
+    const ageMs = this.runtime.wallClock.getTime() - millisecondsOf(firstObservedSeconds);
     machine.registration.restore({
       isReturning: returning === 1,
       firstObservedAt: this.runtime.now - Math.max(0, ageMs),
       isReconciled: machine.heartbeats.lastCountedAt !== null,
     });
-    this.targets.fleet.add(machine);
+    this.fleet.add(machine);
   }
 
   private store(machine: Machine): void {
@@ -142,17 +133,16 @@
       machine.zone,
       machine.spot ? 1 : 0,
       machine.registration.isReturning ? 1 : 0,
-      Math.round(firstObservedAtMs / MS_PER_SECOND),
+      Math.round(secondsOf(firstObservedAtMs)),
     ]);
   }
 
   private markRegistered(entries: [string, RegistryEntry][]): void {
-    const { fleet, bindings, dirtyMachines } = this.targets;
     for (const [id, [, , , returning]] of entries) {
-      const machine = fleet.get(id);
+      const machine = this.fleet.get(id);
       if (!machine) continue;
       machine.registration.recordRegistered(returning === 1);
-      if (bindings.hasUndispatched(id)) dirtyMachines.add(id);
+      this.bindings.markDirtyIfUndispatched(id);
     }
   }
 }
--- a/packages/controller/src/term/rebuild.ts
+++ b/packages/controller/src/term/rebuild.ts
@@ -91,6 +91,6 @@
     const { fencingToken, jobs, machines, electedAt } = this.term;
     this.runtime.stats.record('takeover.load_ms', this.runtime.now - electedAt);
     const fields = { fencingToken, jobs: jobs.size, machines: machines.size };
-    this.runtime.env.log('info', fields, 'stored state loaded');
+    this.runtime.log('info', fields, 'stored state loaded');
   }
 }
--- a/packages/controller/src/term/worker-commands.ts
+++ b/packages/controller/src/term/worker-commands.ts
@@ -97,7 +97,7 @@
       .filter(({ task, state }) => state !== 'exited' && this.authority.mayStop(jobOf(task)))
       .map(({ task, attempt }) => {
         this.runtime.stats.count('stops.uncounted');
-        this.runtime.env.log(
+        this.runtime.log(
           'debug',
           { task, attempt, machine, reason: JOB_NOT_LIVE_REASON },
           'stop dispatched',
@@ -112,7 +112,7 @@
       this.runtime.stats.count(`starts.refused.${decision.reason}`);
       const fields = { machine: machine.id, reason: decision.reason };
       const evidence = evidenceFields(decision.evidence);
-      this.runtime.env.log('debug', { ...fields, ...evidence }, 'starts refused');
+      this.runtime.log('debug', { ...fields, ...evidence }, 'starts refused');
       return [];
     }
     this.runtime.stats.record('evidence.start_age_ms', decision.evidence.age);
@@ -128,7 +128,7 @@
     binding.dispatch(machine.heartbeats.sequenceNumber);
     machine.recordStartDispatched(binding, this.runtime.now);
     this.runtime.stats.record('starts.booked_to_sent_ms', this.runtime.now - binding.assignedAt);
-    this.runtime.env.log(
+    this.runtime.log(
       'debug',
       {
         task: binding.task,
--- a/packages/testing/src/fakes/fake-sockets.ts
+++ b/packages/testing/src/fakes/fake-sockets.ts
@@ -6,7 +6,7 @@
   WORKER_SOCKET_COUNT,
   socketShares,
 } from '@tealdock/controller';
-import { Connections, type Closable, type Holder } from '@tealdock/adapters';
+import { Connections, type Closable, type ClientKind } from '@tealdock/adapters';
 
 /** A client's end of a connection. */
 class ClientConnection implements Closable {
@@ -43,33 +43,33 @@
   }
 
   tick(): void {
-    this.connections.sweep();
+    this.connections.closeIdleConnections();
   }
 
-  request(client: string, holder: Holder): ClientConnection | 'turned away' {
-    const line = this.connectionsByClient.get(client) ?? this.open(client);
-    if (line && this.connections.asked(line, holder)) return line;
+  request(client: string, kind: ClientKind): ClientConnection | 'turned away' {
+    const connection = this.connectionsByClient.get(client) ?? this.open(client);
+    if (connection && this.connections.admitRequest(connection, kind)) return connection;
     this.turnedAwayCount++;
-    line?.destroy();
+    connection?.destroy();
     return 'turned away';
   }
 
-  answered(line: ClientConnection): void {
-    this.connections.answered(line);
+  answered(connection: ClientConnection): void {
+    this.connections.requestAnswered(connection);
   }
 
   hangUp(client: string): void {
-    const line = this.connectionsByClient.get(client);
-    if (line) this.connections.closed(line);
+    const connection = this.connectionsByClient.get(client);
+    if (connection) this.connections.connectionClosed(connection);
     this.connectionsByClient.delete(client);
   }
 
   private open(client: string): ClientConnection | null {
     if (this.connectionsByClient.size >= this.maxClientCount) return null;
-    const line = new ClientConnection(this, client);
-    this.connectionsByClient.set(client, line);
-    this.connections.opened(line);
+    const connection = new ClientConnection(this, client);
+    this.connectionsByClient.set(client, connection);
+    this.connections.connectionOpened(connection);
     this.maxCount = Math.max(this.maxCount, this.connectionsByClient.size + this.ownCount);
-    return line;
+    return connection;
   }
 }
--- a/packages/testing/src/simulation/controller-process.ts
+++ b/packages/testing/src/simulation/controller-process.ts
@@ -10,7 +10,7 @@
   type Random,
   type Reply,
 } from '@tealdock/controller';
-import { CallGates, CommandQueue } from '@tealdock/adapters';
+import { CallRateLimiter, CommandQueue } from '@tealdock/adapters';
 import { FakeSockets } from '../fakes/fake-sockets.js';
 import type { SimulatedClock } from './simulated-clock.js';
 
@@ -20,7 +20,7 @@
   /** Text of the operators' settings file. */
   operatorSettings: string;
   /** Whether calls wait for their share of the state service's limits. */
-  hasCallGates: boolean;
+  hasRateLimits: boolean;
   clock: SimulatedClock;
   random: Random;
   log: Log;
@@ -33,14 +33,14 @@
   readonly name: string;
   readonly sockets: FakeSockets;
   /** Null where the limits of the state service are not enforced. */
-  readonly gates: CallGates | null;
+  readonly rateLimiter: CallRateLimiter | null;
   private readonly controller: Controller;
   private readonly clock: SimulatedClock;
   private readonly queue = new CommandQueue();
   private readonly pendingReplies = new Map<number, (reply: Reply) => void>();
   private lastRequestId = 0;
 
-  constructor({ settings, operatorSettings, hasCallGates, clock, random, log }: ProcessOptions) {
+  constructor({ settings, operatorSettings, hasRateLimits, clock, random, log }: ProcessOptions) {
     this.name = settings.member;
     this.clock = clock;
     this.controller = new Controller({
@@ -51,10 +51,10 @@
       stats: new Stats(),
     });
     this.sockets = new FakeSockets(settings, () => clock.now());
-    this.gates = hasCallGates
-      ? new CallGates(settings, {
+    this.rateLimiter = hasRateLimits
+      ? new CallRateLimiter(settings, {
           now: () => clock.now(),
-          wake: (delay, run) => clock.after(delay, run),
+          schedule: (delay, run) => clock.after(delay, run),
         })
       : null;
   }
@@ -66,7 +66,7 @@
   /** Processes what has arrived; returns what the controller wants done. */
   takeTurn(): Effect[] {
     if (this.isHung) return [];
-    return this.controller.process(this.queue.take(), this.clock.now(), this.clock.date());
+    return this.controller.process(this.queue.nextBatch(), this.clock.now(), this.clock.date());
   }
 
   /** Numbers a request and keeps who waits for its reply; the caller pushes it. */
--- a/packages/testing/src/simulation/controller-processes.ts
+++ b/packages/testing/src/simulation/controller-processes.ts
@@ -125,7 +125,7 @@
     const process = new ControllerProcess({
       settings: clusterSettings(name, options, limits),
       operatorSettings: `[leadership]\nlease_s = ${leaderLease / 1000}\n`,
-      hasCallGates: options.limits !== undefined,
+      hasRateLimits: options.limits !== undefined,
       clock,
       random,
       log: logOf(name),
@@ -142,7 +142,8 @@
     if (effect.kind === 'reply') this.reply(process, effect.id, effect.reply);
     else if (effect.kind === 'heartbeat') this.sendHeartbeats(process, effect);
     else if (effect.kind === 'broadcast') this.broadcast(process, effect.message);
-    else if (effect.kind === 'set_write_fraction') process.gates?.setWriteFraction(effect.fraction);
+    else if (effect.kind === 'set_write_fraction')
+      process.rateLimiter?.setWriteFraction(effect.fraction);
     else this.call(process, effect.id, effect.call);
   }
 
@@ -152,7 +153,7 @@
     const done = (result: CallResult) =>
       clock.after(ONE_WAY_LATENCY_MS, () => this.returnResult(process, id, result));
     const send = () => clock.after(ONE_WAY_LATENCY_MS, () => route(process.name, call, done));
-    if (process.gates) process.gates.pass(call, send, () => done({ kind: 'unsent' }));
+    if (process.rateLimiter) process.rateLimiter.submit(call, send, () => done({ kind: 'unsent' }));
     else send();
   }
 
