--- a/packages/testing/src/fakes/fake-sockets.ts
+++ b/packages/testing/src/fakes/fake-sockets.ts
@@ -46,30 +46,30 @@
     this.connections.closeIdleConnections();
   }
 
-  request(client: string, holder: ClientKind): ClientConnection | 'turned away' {
-    const line = this.connectionsByClient.get(client) ?? this.open(client);
-    if (line && this.connections.admitRequest(line, holder)) return line;
+  request(client: string, kind: ClientKind): ClientConnection | 'turned away' {
+    const connection = this.connectionsByClient.get(client) ?? this.open(client);
+    if (connection && this.connections.admitRequest(connection, kind)) return connection;
     this.turnedAwayCount++;
-    line?.destroy();
+    connection?.destroy();
     return 'turned away';
   }
 
-  answered(line: ClientConnection): void {
-    this.connections.requestAnswered(line);
+  answered(connection: ClientConnection): void {
+    this.connections.requestAnswered(connection);
   }
 
   hangUp(client: string): void {
-    const line = this.connectionsByClient.get(client);
-    if (line) this.connections.connectionClosed(line);
+    const connection = this.connectionsByClient.get(client);
+    if (connection) this.connections.connectionClosed(connection);
     this.connectionsByClient.delete(client);
   }
 
   private open(client: string): ClientConnection | null {
     if (this.connectionsByClient.size >= this.maxClientCount) return null;
-    const line = new ClientConnection(this, client);
-    this.connectionsByClient.set(client, line);
-    this.connections.connectionOpened(line);
+    const connection = new ClientConnection(this, client);
+    this.connectionsByClient.set(client, connection);
+    this.connections.connectionOpened(connection);
     this.maxCount = Math.max(this.maxCount, this.connectionsByClient.size + this.ownCount);
-    return line;
+    return connection;
   }
 }
