--- a/packages/testing/src/fakes/fake-cloud.ts
+++ b/packages/testing/src/fakes/fake-cloud.ts
@@ -13,6 +13,7 @@
 
 const answer = (status: number, body: unknown): CallResult => ({ kind: 'answer', status, body });
 
+/** The one machine type of the cloud, in the protocol's form. */
 export const MACHINE_TYPE = {
   label: 'small',
   cpus: 4,
--- a/packages/testing/src/run-tests.ts
+++ b/packages/testing/src/run-tests.ts
@@ -16,7 +16,7 @@
 function chooseFiles(named: string[]): string[] {
   if (named.length === 0) return findTestFiles();
   const missing = named.filter((file) => !existsSync(file));
-  if (missing.length > 0) throw new Error(`no such test file: ${missing.join(', ')}`);
+  if (missing.length > 0) throw new RangeError(`no such test file: ${missing.join(', ')}`);
   return named;
 }
 
--- a/packages/testing/src/scenarios/steps.ts
+++ b/packages/testing/src/scenarios/steps.ts
@@ -7,10 +7,12 @@
 import { SimulatedCluster } from '../simulation/simulated-cluster.js';
 
 /** Id of a job by its number. */
+/** Identifier of the job with this number. */
 export const idOf = (n: number): string => `run-${String(n).padStart(6, '0')}`;
 
-/** The first jobs of a scenario. */
+/** The first job of a scenario. */
 export const A = idOf(1);
+/** The second job of a scenario. */
 export const B = idOf(2);
 
 /** A cluster with machines up and a leader that knows them. */
@@ -48,6 +50,7 @@
     .filter((t) => t.status === 'running').length;
 }
 
+/** State of the job in a response; undefined where the response names none. */
 export const status = (r: Reply | null): unknown => (r?.body as { status?: string } | null)?.status;
 
 /** Whether a job is called done within the limit. */
--- a/packages/testing/src/soak/loopback-site.ts
+++ b/packages/testing/src/soak/loopback-site.ts
@@ -89,14 +89,13 @@
     this.state = new FakeState(now, { requestsPerSecond: 250, writesPerSecond: 60 });
     this.state.limits = { maxValueBytes: 16 * 1024, maxTransactionWrites: 12 };
     this.cloud = new FakeCloud(now, machines, (id) => this.workers.drop(id));
-    this.workers = new SoakWorkers(
+    this.workers = new SoakWorkers({
       now,
       times,
-      this.checker,
-      this.jobs,
-      this.httpPorts,
-      (job) => job.estimate,
-    );
+      checker: this.checker,
+      jobs: this.jobs,
+      ports: this.httpPorts,
+    });
   }
 
   private get cpuLimit(): number {
--- a/packages/testing/src/soak/site-times.ts
+++ b/packages/testing/src/soak/site-times.ts
@@ -26,6 +26,7 @@
   leaderLease: 5000,
 };
 
+/** Names of the controllers. */
 export const NODES = ['n-0', 'n-1', 'n-2'] as const;
 /** Name of a controller. */
 export type NodeName = (typeof NODES)[number];
--- a/packages/testing/src/soak/users.ts
+++ b/packages/testing/src/soak/users.ts
@@ -22,6 +22,14 @@
 
 type Range = [least: number, most: number];
 
+/** A user's request to some node. */
+interface UserRequest {
+  method: string;
+  path: string;
+  body: unknown;
+  timeout: Duration;
+}
+
 /** How much the users do. */
 export interface Load {
   /** Run times of tasks, in s. */
@@ -116,7 +124,8 @@
       this.site.jobs.set(spec.id, spec);
       this.site.checker.noteSubmission(spec);
     }
-    void this.ask('POST', '/api/jobs', body, spec.id, SUBMIT_TIMEOUT_MS).then((status) => {
+    const request = { method: 'POST', path: '/api/jobs', body, timeout: SUBMIT_TIMEOUT_MS };
+    void this.ask(spec.id, request).then((status) => {
       if (status !== 200 && status !== 201)
         return this.after(RETRY_DELAY_MS, () => this.submit(body, unwanted));
       if (!this.acceptedIds.has(spec.id)) this.noteAccepted(spec.id, unwanted);
@@ -132,7 +141,9 @@
   }
 
   private cancel(id: string): void {
-    void this.ask('POST', `/api/jobs/${id}/cancel`, null, id, SUBMIT_TIMEOUT_MS).then((status) => {
+    const path = `/api/jobs/${id}/cancel`;
+    const request = { method: 'POST', path, body: null, timeout: SUBMIT_TIMEOUT_MS };
+    void this.ask(id, request).then((status) => {
       if (status !== 200) return this.after(RETRY_DELAY_MS, () => this.cancel(id));
       if (this.site.checker.finalStatus(id) === 'aborted' && !this.cancelledAt.has(id))
         this.cancelledAt.set(id, performance.now());
@@ -148,36 +159,27 @@
   }
 
   private poll(id: string, node: string): Promise<number | null> {
-    return this.ask('GET', `/api/jobs/${id}`, null, id, POLL_TIMEOUT_MS, node);
+    const path = `/api/jobs/${id}`;
+    return this.ask(id, { method: 'GET', path, body: null, timeout: POLL_TIMEOUT_MS }, node);
   }
 
   /** Status of the answer; null where none came. */
   private async ask(
-    method: string,
-    path: string,
-    body: unknown,
     id: string,
-    timeout: Duration,
+    request: UserRequest,
     node: string = this.anyNode(),
   ): Promise<number | null> {
     const answered = this.site.checker.beginRequest(id);
-    const result = await this.send(method, path, body, timeout, node);
+    const result = await this.send(request, node);
     if (result.kind !== 'answer') return null;
     this.counts.answers++;
     answered(result.status, result.body);
     return result.status;
   }
 
-  private send(
-    method: string,
-    path: string,
-    body: unknown,
-    timeout: Duration,
-    node: string,
-  ): Promise<CallResult> {
+  private send(request: UserRequest, node: string): Promise<CallResult> {
     const port = this.site.httpPorts.get(node) ?? 0;
-    const call = { host: LOOPBACK, port, method, path, body, timeout };
-    return this.client.request(call);
+    return this.client.request({ host: LOOPBACK, port, ...request });
   }
 
   private anyNode(): string {
--- a/packages/testing/src/soak/worker-host.ts
+++ b/packages/testing/src/soak/worker-host.ts
@@ -45,6 +45,16 @@
 
 const jobOf = (piece: string): string => piece.split('/')[0] ?? '';
 
+/** What the workers of a site share with the rest of it. */
+interface WorkerSite {
+  now: () => Instant;
+  times: SiteTimes;
+  checker: RuleChecker;
+  jobs: ReadonlyMap<string, JobSpec>;
+  /** Port of each controller's public address, by the name of the node. */
+  ports: ReadonlyMap<string, number>;
+}
+
 /** Carries the heartbeats and commands of all workers, and tells the checker what runs where. */
 export class SoakWorkers implements WorkerHost {
   readonly nodeNames = [...NODES];
@@ -57,16 +67,13 @@
   private readonly machines = new Map<string, SoakMachine>();
   private readonly starting = new Set<string>();
 
-  constructor(
-    readonly now: () => Instant,
-    times: SiteTimes,
-    private readonly checker: RuleChecker,
-    private readonly jobs: ReadonlyMap<string, JobSpec>,
-    private readonly ports: ReadonlyMap<string, number>,
-    private readonly runTimeOfJob: (job: JobSpec) => Duration,
-  ) {
-    this.heartbeatInterval = times.heartbeatInterval;
-    this.leaseDuration = times.lease;
+  constructor(private readonly site: WorkerSite) {
+    this.heartbeatInterval = site.times.heartbeatInterval;
+    this.leaseDuration = site.times.lease;
+  }
+
+  now(): Instant {
+    return this.site.now();
   }
 
   get names(): string[] {
@@ -160,7 +167,7 @@
     done: (r: CallResult) => void,
   ): void {
     const machine = this.machines.get(worker.machine.id);
-    const port = this.ports.get(node);
+    const port = this.site.ports.get(node);
     if (!machine || port === undefined || machine.faults.heartbeatsLost) return;
     if (machine.faults.heartbeatsRefused) return done({ kind: 'unsent' });
     const sent = this.now();
@@ -179,8 +186,8 @@
   }
 
   runTimeOf(piece: string): number | null {
-    const job = this.jobs.get(jobOf(piece));
-    return job ? this.runTimeOfJob(job) : null;
+    const job = this.site.jobs.get(jobOf(piece));
+    return job?.estimate ?? null;
   }
 
   imageOf(): null {
@@ -192,11 +199,11 @@
   }
 
   noteStart(piece: string, machine: string): void {
-    this.checker.noteStart(piece, machine);
+    this.site.checker.noteStart(piece, machine);
   }
 
   noteEnd(piece: string, machine: string, reason: string): void {
     this.lastEndByJob.set(jobOf(piece), this.now());
-    this.checker.noteEnd(piece, machine, reason);
+    this.site.checker.noteEnd(piece, machine, reason);
   }
 }
