--- a/packages/controller/src/node/leader-reachability.ts
+++ b/packages/controller/src/node/leader-reachability.ts
@@ -22,7 +22,7 @@
   /** Checks from now on, whenever this node leads. */
   start(): void {
     this.runtime.every(CHECK_INTERVAL_MS, () => {
-      if (this.isUnreachable()) this.leadership.resign('no reports arrive');
+      if (this.isUnreachable()) this.leadership.resign('no heartbeats arrive');
       return true;
     });
   }
