--- a/packages/controller/src/autoscaling/autoscaler.ts
+++ b/packages/controller/src/autoscaling/autoscaler.ts
@@ -3,7 +3,7 @@
 import { planRentals, type MachinePool } from '@tealdock/scheduler';
 import type { Leadership } from '../leadership/leadership.js';
 import type { Machine } from '../machines/machine.js';
-import type { Fleet, MachineTypes } from '../placement/fleet.js';
+import type { FleetPolicy, MachineTypes } from '../placement/fleet-policy.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { StateStore } from '../state/state-store.js';
 import type { Term } from '../term/term.js';
@@ -25,7 +25,7 @@
 const RECONCILIATION_TIMEOUT_MS = 15_000;
 
 /** Scales out for the backlog, and scales in by machines that are of no use. */
-export class Autoscaler implements Fleet {
+export class Autoscaler implements FleetPolicy {
   private readonly inventory: MachineInventory;
   private readonly pricing: FleetPricing;
   private readonly backlog: RentalBacklog;
--- a/packages/controller/src/autoscaling/fleet-capacity.ts
+++ b/packages/controller/src/autoscaling/fleet-capacity.ts
@@ -1,7 +1,7 @@
 /** Free capacity of the fleet, with that of machines still to come. */
 import type { FreeCapacity, MachinePool, Resources } from '@tealdock/scheduler';
 import type { Machine } from '../machines/machine.js';
-import type { MachineTypes } from '../placement/fleet.js';
+import type { MachineTypes } from '../placement/fleet-policy.js';
 import type { Runtime } from '../runtime/runtime.js';
 import { socketShares } from '../runtime/sockets.js';
 import type { Term } from '../term/term.js';
--- a/packages/controller/src/autoscaling/fleet-pricing.ts
+++ b/packages/controller/src/autoscaling/fleet-pricing.ts
@@ -1,7 +1,7 @@
 /** What work on the machines of the fleet costs. */
 import type { MachineType } from '@tealdock/wire';
 import type { Machine } from '../machines/machine.js';
-import type { MachineTypes } from '../placement/fleet.js';
+import type { MachineTypes } from '../placement/fleet-policy.js';
 import type { MachineInventory } from './machine-inventory.js';
 
 /** Capacity is cheap up to this multiple of the lowest price. */
--- a/packages/controller/src/autoscaling/rental-backlog.ts
+++ b/packages/controller/src/autoscaling/rental-backlog.ts
@@ -2,7 +2,7 @@
 import type { Instant } from '@tealdock/wire';
 import { listOfferings, minSlotPrice, type BacklogEntry, type Offering } from '@tealdock/scheduler';
 import type { LiveJob } from '../jobs/live-job.js';
-import type { MachineTypes } from '../placement/fleet.js';
+import type { MachineTypes } from '../placement/fleet-policy.js';
 import { fetchTime } from '../placement/image-availability.js';
 import { jobsWithinGuarantee, latestStart } from '../placement/start-deadlines.js';
 import type { Runtime } from '../runtime/runtime.js';
--- a/packages/controller/src/autoscaling/rental-requests.ts
+++ b/packages/controller/src/autoscaling/rental-requests.ts
@@ -1,7 +1,7 @@
 /** Requests for machines, each repeated under its name until the cloud has answered. */
 import { MACHINES_PATH, parseRented, renderRent, type Instant } from '@tealdock/wire';
 import { listOfferings, type MachinePool, type Offering } from '@tealdock/scheduler';
-import type { MachineTypes } from '../placement/fleet.js';
+import type { MachineTypes } from '../placement/fleet-policy.js';
 import { parseOrNull } from '../runtime/call-results.js';
 import { PRIORITY, type CallResult } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
--- a/packages/controller/src/autoscaling/return-rules.ts
+++ b/packages/controller/src/autoscaling/return-rules.ts
@@ -1,7 +1,7 @@
 /** Which machines are of no use and go back to the cloud. */
 import type { Duration } from '@tealdock/wire';
 import type { Machine } from '../machines/machine.js';
-import type { MachineTypes } from '../placement/fleet.js';
+import type { MachineTypes } from '../placement/fleet-policy.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { Term } from '../term/term.js';
 import type { MachineInventory, Provisioning } from './machine-inventory.js';
--- a/packages/controller/src/placement/capacity-reservation.ts
+++ b/packages/controller/src/placement/capacity-reservation.ts
@@ -4,7 +4,7 @@
 import type { LiveJob } from '../jobs/live-job.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { Term } from '../term/term.js';
-import type { Fleet } from './fleet.js';
+import type { FleetPolicy } from './fleet-policy.js';
 import { fetchTime, type ImageHolders, type ImageRanks } from './image-availability.js';
 import type { JobUrgency } from './job-urgency.js';
 import type { MachineCapacity } from './machine-capacity.js';
@@ -42,7 +42,7 @@
     private readonly term: Term,
     private readonly teams: TeamCapacity,
     private readonly urgency: JobUrgency,
-    private readonly fleet: Fleet,
+    private readonly fleetPolicy: FleetPolicy,
   ) {}
 
   /** A task fitted on no machine. */
@@ -124,7 +124,7 @@
       (cycle.hasOtherTeams(job) && this.urgency.mayReclaimGuarantee(job));
     if (!hasVictims) return false;
     const waited = now - (job.placement.starvedSince ?? now);
-    return !this.fleet.canScaleOut() || waited >= this.urgency.scaleOutWait(job);
+    return !this.fleetPolicy.canScaleOut() || waited >= this.urgency.scaleOutWait(job);
   }
 
   private planPreemption(
--- a/packages/controller/src/placement/fleet.ts
+++ b/packages/controller/src/placement/fleet-policy.ts
@@ -8,7 +8,7 @@
 }
 
 /** Price and growth of the fleet. */
-export interface Fleet {
+export interface FleetPolicy {
   /** What work on the machine adds to the bill per hour; 0 where it costs nothing more. */
   price(machine: Machine, type: MachineType): number;
   /** Whether any machines can be rented just now. */
--- a/packages/controller/src/placement/job-placement.ts
+++ b/packages/controller/src/placement/job-placement.ts
@@ -4,7 +4,7 @@
 import type { Runtime } from '../runtime/runtime.js';
 import type { Term } from '../term/term.js';
 import type { CapacityReservation, PlacementSearch } from './capacity-reservation.js';
-import type { Fleet } from './fleet.js';
+import type { FleetPolicy } from './fleet-policy.js';
 import { fitGang } from './gang-placement.js';
 import { ImageHolders, ImageRanks } from './image-availability.js';
 import type { JobUrgency } from './job-urgency.js';
@@ -23,7 +23,7 @@
   readonly teams: TeamCapacity;
   readonly urgency: JobUrgency;
   readonly reservation: CapacityReservation;
-  readonly fleet: Fleet;
+  readonly fleetPolicy: FleetPolicy;
 }
 
 /**
@@ -83,7 +83,7 @@
 
   private volunteersFor({ job, ranks }: PlacementSearch, cycle: SchedulingCycle): Volunteers {
     const machines = cycle.allowedWithFreeCapacity(job);
-    return new Volunteers(job, machines, { ranks, fleet: this.parts.fleet });
+    return new Volunteers(job, machines, { ranks, fleetPolicy: this.parts.fleetPolicy });
   }
 
   private searchFor(job: LiveJob, cycle: SchedulingCycle): PlacementSearch {
--- a/packages/controller/src/placement/job-urgency.ts
+++ b/packages/controller/src/placement/job-urgency.ts
@@ -4,7 +4,7 @@
 import type { LiveJob } from '../jobs/live-job.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { Term } from '../term/term.js';
-import type { MachineTypes } from './fleet.js';
+import type { MachineTypes } from './fleet-policy.js';
 import { jobsWithinGuarantee, nextStartDeadline } from './start-deadlines.js';
 import type { TeamCapacity } from './team-capacity.js';
 
--- a/packages/controller/src/placement/scheduler.ts
+++ b/packages/controller/src/placement/scheduler.ts
@@ -7,7 +7,7 @@
 import type { Term } from '../term/term.js';
 import { CapacityReservation } from './capacity-reservation.js';
 import { Drain } from './drain.js';
-import type { Fleet, MachineTypes } from './fleet.js';
+import type { FleetPolicy, MachineTypes } from './fleet-policy.js';
 import { JobPlacement } from './job-placement.js';
 import { JobUrgency } from './job-urgency.js';
 import { capacityOf, type MachineCapacity } from './machine-capacity.js';
@@ -36,14 +36,14 @@
     private readonly runtime: Runtime,
     private readonly term: Term,
     private readonly catalog: MachineTypes,
-    fleet: Fleet,
+    fleetPolicy: FleetPolicy,
   ) {
     const teams = new TeamCapacity(runtime, term, catalog);
     const urgency = new JobUrgency(runtime, term, catalog, teams);
-    const reservation = new CapacityReservation(runtime, term, teams, urgency, fleet);
+    const reservation = new CapacityReservation(runtime, term, teams, urgency, fleetPolicy);
     this.teams = teams;
     this.urgency = urgency;
-    this.placement = new JobPlacement(runtime, term, { teams, urgency, reservation, fleet });
+    this.placement = new JobPlacement(runtime, term, { teams, urgency, reservation, fleetPolicy });
     this.drain = new Drain(runtime, term);
   }
 
--- a/packages/controller/src/placement/team-capacity.ts
+++ b/packages/controller/src/placement/team-capacity.ts
@@ -11,7 +11,7 @@
 import { machineTypeOf } from '../machines/machine.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { Term } from '../term/term.js';
-import type { MachineTypes } from './fleet.js';
+import type { MachineTypes } from './fleet-policy.js';
 
 /** What may run on a machine of unknown type. */
 const UNKNOWN_RESOURCES: Resources = { cpus: Infinity, gpus: Infinity, memoryGb: 0 };
--- a/packages/controller/src/placement/volunteers.ts
+++ b/packages/controller/src/placement/volunteers.ts
@@ -9,7 +9,7 @@
   type Volunteer,
 } from '@tealdock/scheduler';
 import type { LiveJob } from '../jobs/live-job.js';
-import type { Fleet } from './fleet.js';
+import type { FleetPolicy } from './fleet-policy.js';
 import type { ImageRanks } from './image-availability.js';
 import type { MachineCapacity } from './machine-capacity.js';
 
@@ -20,7 +20,7 @@
 /** How volunteers are compared. */
 export interface VolunteerRules {
   ranks: ImageRanks;
-  fleet: Fleet;
+  fleetPolicy: FleetPolicy;
 }
 
 /**
@@ -40,7 +40,7 @@
     private readonly rules: VolunteerRules,
   ) {
     this.requested = resourcesOf(job.spec);
-    this.consolidates = rules.fleet.consolidates();
+    this.consolidates = rules.fleetPolicy.consolidates();
     for (const capacity of machines) {
       if (!fits(this.requested, capacity.free)) continue;
       const volunteer = this.volunteerOn(capacity);
@@ -81,7 +81,7 @@
     return {
       capacity,
       allocatedFraction: allocatedFraction(type, free),
-      price: this.rules.fleet.price(machine, type),
+      price: this.rules.fleetPolicy.price(machine, type),
       recentComputeTime: machine.usage.recentComputeTime / Math.max(1, type.cpus),
       imageRank,
     };
