--- a/packages/controller/src/autoscaling/autoscaler.ts
+++ b/packages/controller/src/autoscaling/autoscaler.ts
@@ -75,17 +75,17 @@
     this.repeat(SCALE_OUT_INTERVAL_MS, () => this.scaleOut());
   }
 
-  /** See `Fleet`. */
+  /** See `FleetPolicy`. */
   price(machine: Machine, type: MachineType): number {
     return this.pricing.price(machine, type);
   }
 
-  /** See `Fleet`. */
+  /** See `FleetPolicy`. */
   canScaleOut(): boolean {
     return this.rentals.offerings().length > 0;
   }
 
-  /** See `Fleet`. */
+  /** See `FleetPolicy`. */
   consolidates(): boolean {
     return this.inventory.policy === 'frugal';
   }
