--- a/packages/controller/src/term/binding-invariants.ts
+++ b/packages/controller/src/term/binding-invariants.ts
@@ -1,4 +1,4 @@
-/** Safety invariants that are checked as worker commands are collected (docs/safety.md). */
+/** Safety invariants that are checked when commands for a worker are collected (docs/safety.md). */
 import type { Authority } from '../authority/authority.js';
 import { evidenceFields } from '../authority/decision.js';
 import { reportViolation, type Invariant } from '../authority/invariants.js';
@@ -6,7 +6,7 @@
 import type { LiveJob } from '../jobs/live-job.js';
 import type { Runtime } from '../runtime/runtime.js';
 
-/** What the checks read of a term. */
+/** The part of a term that the checks read. */
 export interface CheckedTerm {
   readonly fencingToken: number;
   readonly jobs: ReadonlyMap<string, LiveJob>;
@@ -21,18 +21,21 @@
   ) {}
 
   /**
-   * True, and reported, if the task of an assigned binding must not start: its job has ended, is
-   * not released yet, or needs a cancelled job. Assignments are released with their job, so none
-   * is expected.
+   * Returns true and reports a violation if the task of an assigned binding must not start: its
+   * job has ended, waits for a predecessor, or has a cancelled predecessor. This is not expected,
+   * since undispatched assignments are dropped when their job ends.
    */
-  violatesStart(binding: Binding): boolean {
+  forbidsStart(binding: Binding): boolean {
     const job = this.term.jobs.get(binding.job);
     if (job?.dependencies.isReleased && !job.dependencies.hasCancelledPredecessor) return false;
     this.report('started_ended_job', binding);
     return true;
   }
 
-  /** Checks that a task whose job is not live is being stopped, and is gone by its deadline. */
+  /**
+   * Reports a violation if an observed task has no stop request although its job is not live, and,
+   * once, if a task is still bound after its termination deadline.
+   */
   checkRenewal(binding: Binding): void {
     if (!binding.stopRequest && binding.isObserved && this.authority.mayStop(binding.job))
       this.report('renewed_without_stop', binding);
--- a/packages/controller/src/term/bindings.ts
+++ b/packages/controller/src/term/bindings.ts
@@ -1,4 +1,4 @@
-/** Which task is bound to which machine: assignments, stop requests, and ends by proof. */
+/** Bindings of tasks to machines: assignment, adoption, stop requests and proven ends. */
 import { splitTaskId, taskId, type Instant } from '@tealdock/wire';
 import type { LiveJob } from '../jobs/live-job.js';
 import type { Leadership } from '../leadership/leadership.js';
@@ -10,17 +10,17 @@
 import type { UsageLedger } from '../machines/usage-ledger.js';
 import type { DirtyMachines } from './dirty-machines.js';
 
-/** Attempts of one term at one task; their numbers never meet another term's. */
+/** Attempt numbers in the range of one term for one task; the ranges of terms do not overlap. */
 const MAX_TERM_ATTEMPT_COUNT = 65_536;
 
-/** A task that a heartbeat shows and that has not exited. */
+/** A task that a heartbeat lists as not exited. */
 interface ActiveTask {
   readonly task: string;
   readonly attempt: number;
   readonly state: ActiveTaskState;
 }
 
-/** What bindings read of a term, and the sums and marks that only they change. */
+/** The parts of a term that bindings read, and the ledger and marks that they update. */
 export interface BindingContext {
   readonly fencingToken: number;
   readonly jobs: ReadonlyMap<string, LiveJob>;
@@ -30,8 +30,9 @@
 }
 
 /**
- * The bindings of one term, and the only writer of the sums over them. A binding ends only
- * with a proof that the task is not on its machine any more (docs/safety.md, Bindings).
+ * The bindings of one term, and the only code that updates the sums over them. Once dispatched, a
+ * binding ends only with proof that its task is no longer on the machine (docs/safety.md,
+ * Bindings).
  */
 export class Bindings implements BindingObserver {
   constructor(
@@ -40,8 +41,8 @@
     private readonly term: BindingContext,
   ) {}
 
-  /** Gives a task to a machine. Its start leaves with the machine's next response. */
-  assign(job: LiveJob, index: number, machine: Machine, isProtected = false): void {
+  /** Assigns a task to a machine. The machine's next heartbeat response may carry the start. */
+  assign(job: LiveJob, index: number, machine: Machine, isProtectedFromPreemption = false): void {
     const count = job.nextAttempt(index);
     if (count >= MAX_TERM_ATTEMPT_COUNT) return this.leadership.resign('attempt numbers used up');
     const attempt = this.term.fencingToken * MAX_TERM_ATTEMPT_COUNT + count;
@@ -58,15 +59,15 @@
       now: this.runtime.now,
       observer: this,
     };
-    const binding = Binding.assigned(initial, isProtected);
+    const binding = Binding.assigned(initial, isProtectedFromPreemption);
     this.bindToMachine(machine, binding);
     job.bind(binding);
     this.term.dirtyMachines.add(machine.id);
   }
 
   /**
-   * Binds a task that a heartbeat shows, and that this term has not assigned. One that no
-   * live job needs is orphaned and stopped.
+   * Binds a task that a heartbeat lists but that this term has not assigned. If no live job needs
+   * the task, the binding is orphaned and the task is stopped.
    */
   adopt(machine: Machine, { task, attempt, state }: ActiveTask): Binding {
     const { job: jobId, index } = splitTaskId(task) ?? { job: task, index: 0 };
@@ -90,7 +91,7 @@
     return machine?.bindings.get(bindingKey(binding.task, binding.attempt)) === binding;
   }
 
-  /** Only with proof that the task is not on the machine any more. */
+  /** Ends a binding. To be called only with proof that the task is no longer on the machine. */
   end(binding: Binding, proof: string): void {
     this.runtime.log(
       'debug',
@@ -101,37 +102,40 @@
     this.unbind(binding);
   }
 
-  /** Ends all of a machine whose start may have reached it. */
+  /** Ends all bindings of the machine except the undispatched ones; needs proof as `end` does. */
   endDispatched(machine: Machine, proof: string): void {
     for (const binding of [...machine.bindings.values()])
       if (!binding.isAssigned) this.end(binding, proof);
   }
 
-  /** Takes back what was assigned to a machine and has not been dispatched. */
+  /** Unbinds the tasks that are assigned to the machine but not dispatched. */
   releaseUndispatched(machine: Machine): void {
     for (const binding of [...machine.bindings.values()])
       if (binding.isAssigned) this.unbind(binding);
   }
 
-  /** No longer wanted: released if not dispatched, else stopped and counted until it is gone. */
+  /**
+   * Drops a binding that is no longer needed. It is unbound if undispatched; otherwise its task is
+   * stopped, and counted until it is gone.
+   */
   discard(binding: Binding, reason: string): void {
     if (binding.isAssigned) return this.unbind(binding);
     binding.orphan();
     this.requestStop(binding, { gracePeriod: 0, reason });
   }
 
-  /** The job ended at `endedAt`, as far as known: the task must be gone within the limit. */
+  /** The task must be gone within the cancellation limit after its job's end at `endedAt`. */
   setTerminationDeadline(binding: Binding, endedAt: Instant): void {
     binding.setTerminationDeadline(endedAt + this.runtime.settings.cancellationLimit);
   }
 
-  /** Has a task stopped by the next response to its machine. */
+  /** Requests a stop; heartbeat responses carry it once the task is observed. */
   requestStop(binding: Binding, request: StopRequest): void {
     binding.requestStop(request);
     this.term.dirtyMachines.add(binding.machine);
   }
 
-  /** True while something is assigned to the machine that no response has carried yet. */
+  /** True while the machine has assigned tasks whose start has not been dispatched. */
   hasUndispatched(machineId: string): boolean {
     const machine = this.term.machines.get(machineId);
     if (machine)
@@ -139,18 +143,18 @@
     return false;
   }
 
-  /** Marks the machine dirty if it has a start to get, since starts that had to wait may leave. */
+  /** Marks the machine dirty if it has undispatched starts; called when they may be allowed now. */
   markDirtyIfUndispatched(machineId: string): void {
     if (this.hasUndispatched(machineId)) this.term.dirtyMachines.add(machineId);
   }
 
-  /** For bindings only: their transitions call it. */
+  /** To be called only by `Binding`, when its usage changes. */
   applyUsageChange(binding: Binding, apply: () => void): void {
     this.term.ledger.applyChange(binding, apply);
     this.term.machines.get(binding.machine)?.usage.invalidate();
   }
 
-  /** For bindings only: their transitions call it. */
+  /** To be called only by `Binding`, when the state of its task changes. */
   onTaskStateChanged(binding: Binding): void {
     this.term.machines.get(binding.machine)?.usage.invalidate();
   }
--- a/packages/controller/src/term/direct-stops.ts
+++ b/packages/controller/src/term/direct-stops.ts
@@ -1,4 +1,4 @@
-/** Stop commands that are sent to workers directly, not in an answer to a heartbeat. */
+/** Stop commands that are sent to workers by direct calls, not in responses to heartbeats. */
 import {
   COMMANDS_PATH,
   renderDirectCommands,
@@ -12,26 +12,26 @@
 
 const CHECK_INTERVAL_MS = 500;
 const CALL_TIMEOUT_MS = 2000;
-/** Pause before the commands are sent again while the task is still on the machine. */
+/** Minimum interval between two calls to one machine; stops are repeated while tasks remain. */
 const RESEND_DELAY_MS = 4000;
 const MAX_CALLS_IN_FLIGHT_COUNT = 12;
-/** A machine without heartbeats for this many intervals may not send any more. */
+/** A machine is silent if none of its heartbeats was counted for this many intervals. */
 const MISSED_HEARTBEAT_COUNT = 2;
 
-/** What direct stops depend on. */
+/** Dependencies of `DirectStops`. */
 export interface DirectStopsOptions {
   readonly term: TermView;
-  /** True if the job is known to have ended. */
+  /** True if the job is known to have ended; false also if that is unknown. */
   readonly hasEnded: (job: string) => boolean;
-  /** True while this node may answer heartbeats. */
+  /** True while this node may answer heartbeats, which renews worker leases. */
   readonly mayRenew: () => boolean;
 }
 
 /**
- * Stops tasks of ended jobs by a call to their worker where no answer to a heartbeat can do it:
- * this node may not answer now, or the worker's heartbeats don't arrive. The end of a job is
- * final, so a stop that arrives late or from a former leader is right too. Safety does not depend
- * on these calls, since worker leases expire in time anyway (docs/safety.md).
+ * Calls workers directly to stop tasks of ended jobs when a response to a heartbeat cannot carry
+ * the stop: this node may not answer heartbeats now, or none arrive from the worker. The end of a
+ * job is final, so a stop that arrives late or from a former leader is still correct. Safety does
+ * not depend on these calls, because worker leases expire in time anyway (docs/safety.md).
  */
 export class DirectStops {
   private readonly lastSentAt = new Map<string, Instant>();
@@ -42,21 +42,21 @@
     private readonly options: DirectStopsOptions,
   ) {}
 
-  /** Runs until the term closes. */
+  /** Checks all machines periodically until the term closes. */
   start(): void {
     const { term } = this.options;
     this.runtime.every(CHECK_INTERVAL_MS, () => {
-      if (!term.closed) this.sendMissing();
+      if (!term.closed) this.sendDueStops();
       return !term.closed;
     });
   }
 
-  private sendMissing(): void {
+  private sendDueStops(): void {
     const mayRenew = this.options.mayRenew();
     for (const machine of this.options.term.machines.values()) {
       if (this.callsInFlight >= MAX_CALLS_IN_FLIGHT_COUNT) return;
       if (machine.heartbeats.address === '' || machine.bindings.size === 0) continue;
-      if (mayRenew && !this.missesHeartbeats(machine)) continue;
+      if (mayRenew && !this.isSilent(machine)) continue;
       const lastSentAt = this.lastSentAt.get(machine.id) ?? -Infinity;
       if (this.runtime.now - lastSentAt < RESEND_DELAY_MS) continue;
       const stops = this.stopsFor(machine);
@@ -64,7 +64,7 @@
     }
   }
 
-  private missesHeartbeats(machine: Machine): boolean {
+  private isSilent(machine: Machine): boolean {
     const lastHeartbeatAt = machine.heartbeats.lastCountedAt ?? this.options.term.electedAt;
     const limitMs = this.runtime.settings.heartbeatInterval * MISSED_HEARTBEAT_COUNT;
     return this.runtime.now - lastHeartbeatAt > limitMs;
--- a/packages/controller/src/term/dirty-machines.ts
+++ b/packages/controller/src/term/dirty-machines.ts
@@ -1,8 +1,8 @@
-/** Machines that may have commands to get. */
+/** Set of machines that may have pending commands. */
 
 /**
- * Machines whose pending long poll may have commands to carry. Marking one too many is harmless:
- * whoever answers long polls checks for commands.
+ * Machines that may have commands for their pending long poll. A mark without a command is
+ * harmless, because the code that answers long polls checks for commands first.
  */
 export class DirtyMachines implements Iterable<string> {
   private readonly ids = new Set<string>();
@@ -17,7 +17,7 @@
     this.ids.delete(machineId);
   }
 
-  /** In the order of marking; marks may be set and removed meanwhile. */
+  /** Identifiers in the order of marking. Marks may be added and removed during the iteration. */
   [Symbol.iterator](): Iterator<string> {
     return this.ids.values();
   }
--- a/packages/controller/src/term/ended-job-lookup.ts
+++ b/packages/controller/src/term/ended-job-lookup.ts
@@ -1,4 +1,4 @@
-/** Resources and teams of tasks that heartbeats still show although their jobs have ended. */
+/** Looks up the resources and teams of tasks whose jobs have ended but which still run. */
 import type { JobSpec } from '@tealdock/wire';
 import { resourcesOf } from '@tealdock/scheduler';
 import type { Binding } from '../jobs/binding.js';
@@ -11,15 +11,16 @@
 import type { LiveJobs } from './live-jobs.js';
 import type { TermView } from './term-view.js';
 
-/** Pause after a read that failed. */
+/** Delay before a failed read is repeated. */
 const RETRY_DELAY_MS = 400;
 
 /**
- * Reads the ended keys of jobs that are not live. Quotas can't be kept until the resources and
- * teams of all bound tasks are known, so nothing is placed before (docs/safety.md, rule `quota`).
+ * Reads the ended keys of jobs that are not live but have bound tasks. Team quotas cannot be
+ * enforced until the resources and teams of all bound tasks are known, so no task is placed until
+ * then (docs/safety.md, rule `quota`).
  */
 export class EndedJobLookup {
-  /** Bindings of each job whose ended key is being read. */
+  /** Bindings by job identifier, for the jobs whose ended key is being read. */
   private readonly lookups = new Map<string, Binding[]>();
 
   constructor(
@@ -30,12 +31,12 @@
     private readonly bindings: Bindings,
   ) {}
 
-  /** True while the resources and team of every task that a heartbeat has shown are known. */
+  /** True while the resources and team of every task listed in a heartbeat are known. */
   get isComplete(): boolean {
     return this.term.stateLoaded && this.lookups.size === 0;
   }
 
-  /** Reads the ended key of the binding's job, and completes the binding from it. */
+  /** Sets the binding's team, resources and, if cancelled, deadline from its job's ended key. */
   lookUp(binding: Binding): void {
     const pending = this.lookups.get(binding.job);
     if (pending) return void pending.push(binding);
@@ -44,17 +45,18 @@
   }
 
   private readEnd(job: string): void {
-    this.state.getValue(endedKey(job), readEnded, PRIORITY.leader, (got) => {
+    this.state.getValue(endedKey(job), readEnded, PRIORITY.leader, (read) => {
       if (this.term.closed) return;
-      if (got.kind === 'failed') return this.runtime.after(RETRY_DELAY_MS, () => this.readEnd(job));
+      if (read.kind === 'failed')
+        return this.runtime.after(RETRY_DELAY_MS, () => this.readEnd(job));
       const bindings = this.lookups.get(job) ?? [];
       this.lookups.delete(job);
-      if (got.kind === 'found') {
+      if (read.kind === 'found') {
         this.liveJobs.recordEnded(job);
-        this.applySpec(bindings, got.value.spec);
-        if (got.value.state === 'cancelled') this.setTerminationDeadlines(bindings, got.value.at);
+        this.applySpec(bindings, read.value.spec);
+        if (read.value.state === 'cancelled') this.setTerminationDeadlines(bindings, read.value.at);
       }
-      if (this.isComplete) this.releaseStarts();
+      if (this.isComplete) this.markMachinesWithPendingStarts();
     });
   }
 
@@ -64,20 +66,23 @@
     }
   }
 
-  /** `cancelledAt` is wall-clock time of another node; undefined in values of older versions. */
+  /**
+   * `cancelledAt` is the wall-clock time, in ms, of the node that committed the cancellation. It is
+   * undefined in values that older versions wrote; the limit then counts from now.
+   */
   private setTerminationDeadlines(bindings: Binding[], cancelledAt: number | undefined): void {
     const { wallClock, settings, now } = this.runtime;
     const ageMs =
       cancelledAt === undefined
         ? 0
         : wallClock.getTime() - cancelledAt - 2 * settings.maxClockError;
-    // The user may get the confirmation up to one commit timeout after the key was written.
+    // The user may receive the confirmation up to one commit timeout after the key was written.
     const confirmedAt = now - Math.max(0, ageMs - COMMIT_TIMEOUT_MS);
     for (const binding of bindings) this.bindings.setTerminationDeadline(binding, confirmedAt);
   }
 
-  /** Starts were refused until all resources were known: they may leave now. */
-  private releaseStarts(): void {
+  /** Marks machines whose starts were refused because not all resources were known. */
+  private markMachinesWithPendingStarts(): void {
     for (const id of this.term.machines.keys()) this.bindings.markDirtyIfUndispatched(id);
   }
 }
--- a/packages/controller/src/term/failure-recorder.ts
+++ b/packages/controller/src/term/failure-recorder.ts
@@ -1,22 +1,23 @@
-/** Records outcomes of tasks: machines that fail are quarantined, jobs that fail back off. */
+/** Records task outcomes, which lead to quarantine of machines and backoff of jobs. */
 import type { TaskStatus } from '@tealdock/wire';
 import type { LiveJob } from '../jobs/live-job.js';
 import type { Machine } from '../machines/machine.js';
 import type { Runtime } from '../runtime/runtime.js';
 
-/** The one place that decides whether an outcome counts against a machine or against a job. */
+/** Decides whether a task's outcome counts against its machine, its job or both. */
 export class FailureRecorder {
   constructor(private readonly runtime: Runtime) {}
 
-  /** A task completed; `job` is undefined if this term does not want the task. */
+  /** Records a completed task; `job` is undefined if no live job of this term needs the task. */
   recordCompletion(machine: Machine, job: LiveJob | undefined): void {
     machine.health.recordTaskSuccess();
     job?.backoff.recordSuccess();
   }
 
   /**
-   * A task failed. Usually the machine is at fault, while a faulty job fails on every machine:
-   * once a job backs off, its failures no longer count against machines.
+   * Records a failed task; `job` is undefined if no live job of this term needs the task. A failure
+   * with reason `error` counts against the machine until the job itself is taken to be at fault,
+   * since a faulty job fails on every machine.
    */
   recordFailure(machine: Machine, job: LiveJob | undefined, { task, reason }: TaskStatus): void {
     this.runtime.log('info', { machine: machine.id, task, reason }, 'task failed');
@@ -26,8 +27,9 @@
   }
 
   /**
-   * A dispatched start never showed up in a heartbeat. Heartbeats may arrive while no answer
-   * reaches the machine; it then looks idle and would attract one start after the other.
+   * Records a dispatched start whose task is missing from a later heartbeat. A machine whose
+   * heartbeats arrive but which receives no responses looks idle and would otherwise be given one
+   * start after another.
    */
   recordLostStart(machine: Machine): void {
     const quarantineMs = machine.health.recordLostStart(this.runtime.now);
--- a/packages/controller/src/term/fleet.ts
+++ b/packages/controller/src/term/fleet.ts
@@ -1,7 +1,7 @@
 /** The machines that a term knows of. */
 import type { Machine } from '../machines/machine.js';
 
-/** Owner of the term's machines; only the methods of this class add and remove any. */
+/** Owns the machines of a term; they are added and removed only here. */
 export class Fleet {
   private readonly byId = new Map<string, Machine>();
 
@@ -15,7 +15,7 @@
     return this.byId.get(id);
   }
 
-  /** Adds a machine, or keeps its place if it is there already. */
+  /** Adds a machine. One with a known identifier is replaced and keeps its position. */
   add(machine: Machine): void {
     this.byId.set(machine.id, machine);
   }
@@ -25,7 +25,7 @@
     this.byId.delete(id);
   }
 
-  /** Machines of which it is not known yet whether tasks of older terms run there. */
+  /** Machines on which tasks of earlier terms may run that this term does not know of yet. */
   unreconciledMachines(): Machine[] {
     return [...this.byId.values()].filter((machine) => !machine.registration.isReconciled);
   }
--- a/packages/controller/src/term/heartbeat-processor.ts
+++ b/packages/controller/src/term/heartbeat-processor.ts
@@ -1,4 +1,4 @@
-/** Decides which worker heartbeats count, and what each is answered with. */
+/** Decides which worker heartbeats are applied, and which commands each response carries. */
 import type { WorkerCommand, WorkerHeartbeat } from '@tealdock/wire';
 import type { Machine } from '../machines/machine.js';
 import type { Runtime } from '../runtime/runtime.js';
@@ -8,20 +8,24 @@
 import type { TermStatus } from './term-view.js';
 import type { WorkerCommands } from './worker-commands.js';
 
-/** A worker adopts the fencing token of the first answer that it receives. */
-const MISSED_ANSWERS_TIMEOUT_MS = 8000;
+/**
+ * A worker adopts the fencing token of the first response that it receives. If its heartbeats carry
+ * an older token for longer than this, no responses reach it.
+ */
+const NO_RESPONSE_TIMEOUT_MS = 8000;
 
 /**
- * What became of a heartbeat. `counted`: it was the newest of its machine, and is applied.
- * `ignored`: it is outdated or carries another fencing token, so that it changes nothing.
- * Both are answered, which renews the worker's lease. `unanswered`: it must not be.
+ * Result of processing a heartbeat. `counted`: it carries this term's fencing token and is the
+ * newest of its machine, so it was applied. `ignored`: it is outdated or carries another fencing
+ * token, so its task list was not applied. Both are answered with status 200, which renews the
+ * worker's lease. `unanswered`: it must not be answered with status 200.
  */
 export type HeartbeatOutcome =
   | { kind: 'counted'; commands: WorkerCommand[] }
   | { kind: 'ignored'; commands: WorkerCommand[] }
   | { kind: 'unanswered' };
 
-/** The parts of a term that heartbeats change. */
+/** The parts of a term that a heartbeat may change. */
 export interface HeartbeatTargets {
   readonly bindings: Bindings;
   readonly machineRegistry: MachineRegistry;
@@ -29,7 +33,7 @@
   readonly workerCommands: WorkerCommands;
 }
 
-/** Applies heartbeats in the order in which the workers sent them; outdated ones are ignored. */
+/** Applies the newest heartbeat of each machine and ignores those that arrive out of order. */
 export class HeartbeatProcessor {
   constructor(
     private readonly runtime: Runtime,
@@ -37,13 +41,13 @@
     private readonly targets: HeartbeatTargets,
   ) {}
 
-  /** Applies a heartbeat. Commands in the outcome must be sent, since they count as dispatched. */
+  /** Processes a heartbeat. Commands in the result must be sent, since they count as dispatched. */
   process(heartbeat: WorkerHeartbeat): HeartbeatOutcome {
     const { machineRegistry, workerCommands } = this.targets;
     if (machineRegistry.isTerminated(heartbeat.machine)) return { kind: 'unanswered' };
     const machine = machineRegistry.getOrAdd(heartbeat.machine, heartbeat);
-    if (this.missesAnswers(machine, heartbeat)) return { kind: 'unanswered' };
-    // The answer renews the lease, whether or not the heartbeat counts.
+    if (this.receivesNoResponses(machine, heartbeat)) return { kind: 'unanswered' };
+    // The response renews the worker's lease even if the heartbeat is ignored.
     machine.heartbeats.recordLeaseRenewal(this.runtime.now);
     if (!this.isCurrent(machine, heartbeat)) {
       const commands = workerCommands.stopsForEndedJobs(machine.id, heartbeat.tasks);
@@ -54,8 +58,8 @@
   }
 
   /**
-   * The tasks of a heartbeat that was sent before the worker saw this term's fencing token may be
-   * outdated by a start of the last term, those of a late one by a newer heartbeat.
+   * False if the heartbeat's task list may be outdated: without this term's fencing token it may
+   * lack a start that the previous term sent, and a late heartbeat is superseded by a newer one.
    */
   private isCurrent(machine: Machine, heartbeat: WorkerHeartbeat): boolean {
     return (
@@ -64,14 +68,15 @@
   }
 
   /**
-   * True if the heartbeats still carry an older fencing token although they were answered under
-   * this term's: answers don't reach the machine. Further ones would only make its lease look
-   * renewed, and all placement would wait for it. Without answers its lease expires.
+   * True if the machine's heartbeats still carry an older fencing token although they have been
+   * answered with this term's token for some time, so the responses do not reach the machine.
+   * Further responses would only make its lease look renewed and hold up all placement; without
+   * them the lease expires.
    */
-  private missesAnswers(machine: Machine, heartbeat: WorkerHeartbeat): boolean {
+  private receivesNoResponses(machine: Machine, heartbeat: WorkerHeartbeat): boolean {
     if (machine.registration.isReconciled) return false;
     if (heartbeat.fencingToken === this.term.fencingToken) return false;
-    return machine.heartbeats.recordOlderToken(this.runtime.now) > MISSED_ANSWERS_TIMEOUT_MS;
+    return machine.heartbeats.recordOlderToken(this.runtime.now) > NO_RESPONSE_TIMEOUT_MS;
   }
 
   private apply(machine: Machine, heartbeat: WorkerHeartbeat): void {
--- a/packages/controller/src/term/job-completion.ts
+++ b/packages/controller/src/term/job-completion.ts
@@ -1,4 +1,4 @@
-/** Commits the ends of jobs and the progress of their tasks. */
+/** Stores the ends of jobs and the progress of their tasks. */
 import type { Precondition, Write } from '@tealdock/wire';
 import { priorityRank } from '@tealdock/scheduler';
 import { endOf, type JobEnd } from '../jobs/job-end-reader.js';
@@ -13,20 +13,20 @@
 import type { StrayKeys } from './stray-keys.js';
 import type { TermStatus } from './term-view.js';
 
-/** How often completed jobs are looked for. */
+/** Interval between checks for jobs whose end can be committed. */
 const FLUSH_INTERVAL_MS = 250;
-/** How often progress of jobs that go on is queued: one write holds that of many jobs. */
+/** Interval at which progress of unfinished jobs is queued; one write holds that of many jobs. */
 const PROGRESS_INTERVAL_MS = 1000;
-/** An end puts the ended key and removes the live one. */
+/** The end of a job writes its ended key and removes its live key. */
 const END_WRITE_COUNT = 2;
 
-/** What the completion of jobs needs of a term. */
+/** The part of a term that job completion needs. */
 export interface CompletionTerm extends TermStatus {
   readonly liveJobs: LiveJobs;
   readonly strayKeys: StrayKeys;
 }
 
-/** The end of one job, to be committed. */
+/** The end of one job as part of a transaction. */
 interface JobEndCommit {
   job: LiveJob;
   value: EndedValue;
@@ -35,13 +35,14 @@
 }
 
 /**
- * Commits completed tasks in batches. Until then a job does not show as done, and no worker is
- * told to forget such a task. A job whose tasks are all done moves from the live keys to the ended
- * ones in one transaction; the version of its live key decides between that and a cancellation.
+ * Commits completed tasks in batches. Until its commit a job is not shown as done, and workers are
+ * not told to forget its completed tasks. A job whose tasks are all done moves from its live key to
+ * its ended key in one transaction. The precondition on the version of the live key ensures that
+ * either this transaction or a concurrent cancellation succeeds, but not both.
  */
 export class JobCompletion {
   private commitInFlight = false;
-  /** Jobs whose tasks are all done, in the order in which that was seen. */
+  /** Jobs whose tasks are all done, in the order in which this term found them complete. */
   private readonly completedJobs = new Set<LiveJob>();
 
   constructor(
@@ -51,7 +52,7 @@
     private readonly term: CompletionTerm,
   ) {}
 
-  /** Runs until the term closes. */
+  /** Commits ends and queues progress periodically until the term closes. */
   start(): void {
     this.repeat(FLUSH_INTERVAL_MS, () => this.flush());
     this.repeat(PROGRESS_INTERVAL_MS, () => this.storeProgress());
@@ -76,17 +77,17 @@
     const writes = batch.flatMap(({ writes }) => writes);
     this.state.compareAndSwap(preconditions, writes, PRIORITY.leader, (committed) => {
       this.commitInFlight = false;
-      if (committed.kind === 'conflict') this.applyEndsByOthers(batch);
+      if (committed.kind === 'conflict') this.applyStoredEnds(batch);
       if (committed.kind !== 'ok') return;
       for (const { job, value } of batch) {
         this.applyEnd(job, { ...value, revision: committed.revision });
       }
-      // More jobs may be complete than one transaction takes.
+      // More ends may be waiting than fit into one transaction.
       if (!this.term.closed && this.leadership.validLease()) this.flush();
     });
   }
 
-  /** The next ends, as many as one transaction takes. */
+  /** The next ends of jobs, at most as many as fit into one transaction. */
   private nextBatch(): JobEndCommit[] {
     const { maxTransactionWrites } = this.runtime.settings.state;
     const maxEndCount = Math.floor(maxTransactionWrites / END_WRITE_COUNT);
@@ -96,10 +97,11 @@
   }
 
   /**
-   * Jobs that other jobs wait for come first, the most urgent of them before the rest: where
-   * the state service allows few changes, ends queue up, and a release waits for its end.
-   * The others follow in the order in which they were completed, so that none waits for long.
-   * Cancelled dependents come last, since a node that is asked about one ends it by itself.
+   * Jobs to end, in the order of their commits. Jobs that others depend on come first, by urgency:
+   * if the state service allows few writes, ends queue up, and dependents are released only by the
+   * commit. The other completed jobs follow in the order in which they were completed, so that none
+   * waits for long. Jobs with a cancelled predecessor come last, because any node that is asked for
+   * the state of such a job ends it itself.
    */
   private jobsToEnd(): LiveJob[] {
     const cancelled: LiveJob[] = [];
@@ -128,7 +130,7 @@
     }
   }
 
-  /** A few at a time, while there is nothing else to commit. */
+  /** Removes a few stray keys at a time; called only when no ends are to be committed. */
   private removeStrayKeys(): void {
     if (this.term.strayKeys.isEmpty) return;
     this.commitInFlight = true;
@@ -136,18 +138,19 @@
   }
 
   /**
-   * Some job of the batch has ended already, or leadership is lost. Whoever ended a job wrote its
-   * ended key; that may have been an earlier commit of this leader that got no answer.
+   * Handles a conflict: some job of the batch has ended already, or leadership is lost. Reads the
+   * ended keys and applies the ends found there. Another node may have written them, or an earlier
+   * commit of this leader whose response was lost.
    */
-  private applyEndsByOthers(batch: JobEndCommit[]): void {
+  private applyStoredEnds(batch: JobEndCommit[]): void {
     for (const { job } of batch) {
-      this.state.getValue(endedKey(job.id), readEnded, PRIORITY.leader, (got) => {
-        if (got.kind === 'found') this.applyEnd(job, endOf(got));
+      this.state.getValue(endedKey(job.id), readEnded, PRIORITY.leader, (read) => {
+        if (read.kind === 'found') this.applyEnd(job, endOf(read));
       });
     }
   }
 
-  /** The end of a job whose tasks are all done, or which depends on a cancelled job. */
+  /** Builds the commit for a job whose tasks are all done or that has a cancelled predecessor. */
   private commitFor(job: LiveJob): JobEndCommit {
     const { maxValueBytes } = this.runtime.settings.state;
     const state = job.dependencies.hasCancelledPredecessor ? 'cancelled' : 'done';
@@ -161,7 +164,7 @@
   }
 }
 
-/** The higher priority first, then the earlier due time; both include those of dependents. */
+/** Sorts by higher priority, then by earlier due time; both take dependents into account. */
 function byUrgency(a: LiveJob, b: LiveJob): number {
   const byPriority = priorityRank(b.spec) - priorityRank(a.spec);
   if (byPriority !== 0 || a.finishBy === b.finishBy) return byPriority;
--- a/packages/controller/src/term/job-watch.ts
+++ b/packages/controller/src/term/job-watch.ts
@@ -1,4 +1,4 @@
-/** Follows submissions and cancellations on all nodes, and knows how fresh that knowledge is. */
+/** Tracks submissions and cancellations by all nodes, and how recent that knowledge is. */
 import type { Instant, StateEvent, StateItem } from '@tealdock/wire';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
@@ -8,14 +8,17 @@
 import type { LiveJobs } from './live-jobs.js';
 import type { TermStatus } from './term-view.js';
 
-/** Pause after a call to the state service that failed. */
+/** Delay after a failed call to the state service. */
 const RETRY_DELAY_MS = 400;
-/** Short, since cancellations are known only up to the sending of an answered watch request. */
+/**
+ * Short, because a response to a watch proves knowledge of cancellations only up to the moment at
+ * which the watch request was sent.
+ */
 const WATCH_TIMEOUT_MS = 1000;
 
 /**
- * Watches the keys of live jobs. Answers that renew leases depend on how fresh this knowledge is
- * (docs/safety.md, Freshness of cancellations).
+ * Watches the keys of live jobs. Responses that renew worker leases are allowed only while this
+ * knowledge is recent enough (docs/safety.md, Freshness of cancellations).
  */
 export class JobWatch {
   private knownUntil: Instant = -Infinity;
@@ -30,22 +33,22 @@
     this.writeShare = new WriteShare(runtime, () => !term.closed);
   }
 
-  /** Every cancellation committed before this is known here; -Infinity before the first read. */
+  /** All cancellations committed before this instant are known; -Infinity before the first read. */
   get cancellationsKnownUntil(): Instant {
     return this.knownUntil;
   }
 
-  /** Starts to adjust the leader's share of the writes. */
+  /** Starts the periodic adjustment of the leader's share of the writes per second. */
   start(): void {
     this.writeShare.start();
   }
 
-  /** All live jobs were read by a request that was sent at this time. */
+  /** Records that the live jobs are known as of a request that was sent at this instant. */
   recordRead(requestedAt: Instant): void {
     this.knownUntil = requestedAt;
   }
 
-  /** Watches for the changes after this revision until the term closes. */
+  /** Watches for changes after this revision, repeatedly until the term closes. */
   watchFrom(revision: number): void {
     if (this.term.closed) return;
     const requestedAt = this.runtime.now;
@@ -61,7 +64,7 @@
     });
   }
 
-  /** The watch fell too far behind: compares the live jobs with all that are stored now. */
+  /** Reads all live jobs again, because the watch's revision is too old for the state service. */
   private reread(): void {
     if (this.term.closed) return;
     const requestedAt = this.runtime.now;
@@ -95,7 +98,8 @@
     const key = splitLiveKey(event.key);
     if (key?.rest !== 'spec') return;
     const job = this.liveJobs.jobs.get(key.job);
-    // A job that this leader ends is removed by its own commit.
+    // This leader itself ends a job that is complete or has a cancelled predecessor, so the
+    // removal of its key does not count as another node's write.
     const isEndingHere =
       job?.progress.isComplete === true || job?.dependencies.hasCancelledPredecessor === true;
     const isByOtherNode = !event.removed || (job !== undefined && !isEndingHere);
--- a/packages/controller/src/term/live-jobs.ts
+++ b/packages/controller/src/term/live-jobs.ts
@@ -1,4 +1,4 @@
-/** The live jobs of a term, their dependencies, and the progress of them that is stored. */
+/** The live jobs of a term, their dependencies, and their stored progress. */
 import type { StateItem } from '@tealdock/wire';
 import { DependencyGraph } from '../jobs/dependency-graph.js';
 import type { JobEnd } from '../jobs/job-end-reader.js';
@@ -13,26 +13,26 @@
 import type { RunTimeRatioView } from './run-time-ratios.js';
 import type { TermStatus } from './term-view.js';
 
-/** Ended jobs that are remembered. */
+/** Limit on the number of ended jobs that are remembered. */
 const MAX_ENDED_JOB_COUNT = 5000;
 
-/** What live jobs depend on, and whom they inform. */
+/** Dependencies of `LiveJobs`. */
 export interface LiveJobsOptions {
   term: TermStatus;
   runTimeRatios: RunTimeRatioView;
-  /** Called with each job that is no longer live, before the jobs that depend on it. */
+  /** Called with each job that is no longer live, before the end is applied to its dependents. */
   onEnded: (job: LiveJob) => void;
 }
 
 /**
- * Owner of the term's live jobs: they are added as their keys appear, and removed as they end on
- * any node.
+ * Owns the live jobs of a term. A job is added when its live key appears, and removed when any node
+ * has ended it.
  */
 export class LiveJobs {
   readonly graph: DependencyGraph;
   private readonly byId = new Map<string, LiveJob>();
   private readonly progress: ShardedTable<string>;
-  /** Jobs that have ended. The event of their submission may still be on its way. */
+  /** Jobs that have ended. The watch may still deliver their submission, which is then ignored. */
   private readonly endedJobs = new BoundedSet<string>(MAX_ENDED_JOB_COUNT);
 
   constructor(
@@ -57,27 +57,27 @@
     });
   }
 
-  /** By identifier, in the order in which they became known. */
+  /** Live jobs by identifier, in the order in which they became known. */
   get jobs(): ReadonlyMap<string, LiveJob> {
     return this.byId;
   }
 
-  /** Stops writing progress. */
+  /** Stops writes of progress. */
   close(): void {
     this.progress.close();
   }
 
-  /** The ended key of the job was read: it will never be live again. */
+  /** Records that the job's ended key was read, so it will never be live again. */
   recordEnded(id: string): void {
     this.endedJobs.add(id);
   }
 
-  /** True if the job is known to have ended, which is final; false also if that is unknown. */
+  /** True if the job is known to have ended, which is final. False also if that is not known. */
   hasEnded(id: string): boolean {
     return this.endedJobs.has(id);
   }
 
-  /** Adds a job as stored under its live key; no effect if it is known already or has ended. */
+  /** Adds a job from the value of its live key. No effect if it is known already or has ended. */
   addJob(id: string, stored: unknown, version: number): void {
     if (this.byId.has(id) || this.endedJobs.has(id)) return;
     const value = readLive(stored);
@@ -95,7 +95,7 @@
     );
   }
 
-  /** A node reports a cancellation that it has committed; the watch may show it later or never. */
+  /** Applies a cancellation committed by any node; the watch may show it later or not at all. */
   applyCancellation(id: string): void {
     const live = this.byId.has(id);
     this.runtime.log('debug', { job: id, live }, 'cancellation received');
@@ -104,8 +104,8 @@
   }
 
   /**
-   * Removes a job that is no longer live. Without `end` the graph reads how it ended, where other
-   * jobs depend on it. No effect if the job is not live here.
+   * Removes a job that is no longer live. If `end` is null and other jobs depend on the job, the
+   * dependency graph reads its ended key. No effect if the job is not among the live jobs.
    */
   endJob(id: string, end: JobEnd | null = null): void {
     const job = this.byId.get(id);
@@ -117,23 +117,23 @@
     this.graph.remove(job, end);
   }
 
-  /** Starts from the stored progress that an earlier leader has written. */
+  /** Loads the progress that earlier leaders have stored. */
   loadProgress(items: StateItem[]): void {
     this.applyStoredProgress(this.progress.load(items));
   }
 
-  /** Queues completed tasks of a job that are not stored yet for writing. */
+  /** Queues writes of the job's completed tasks that are not stored yet. */
   storeProgress(job: LiveJob): void {
     for (const chunk of job.progress.uncommittedChunks())
       this.progress.set(progressEntry(job.id, chunk), job.progress.encodeChunk(chunk));
   }
 
-  /** Drops the stored progress of a job whose ended key is stored. */
+  /** Drops the progress of a job whose ended key is stored; this needs no write of its own. */
   deleteProgress(job: LiveJob): void {
     for (const chunk of job.progress.chunks()) this.progress.forget(progressEntry(job.id, chunk));
   }
 
-  /** Entries of jobs that have ended are dropped. */
+  /** Applies stored progress to live jobs, and drops the entries of all other jobs. */
   private applyStoredProgress(entries: [string, string][]): void {
     for (const [entry, bits] of entries) {
       const { job: id, chunk } = splitProgressEntry(entry);
--- a/packages/controller/src/term/machine-maintenance.ts
+++ b/packages/controller/src/term/machine-maintenance.ts
@@ -1,4 +1,4 @@
-/** Periodic checks of a term's machines: silence, idleness, and leases that have expired. */
+/** Periodic checks of a term's machines: missing heartbeats, idleness and expired leases. */
 import type { Leadership } from '../leadership/leadership.js';
 import { LeaseExpiry } from '../machines/lease-expiry.js';
 import type { Machine } from '../machines/machine.js';
@@ -10,10 +10,10 @@
 import type { WorkerCommands } from './worker-commands.js';
 
 const CHECK_INTERVAL_MS = 1000;
-/** Tasks are taken back from a machine without heartbeats for this many intervals. */
+/** Undispatched bindings end after this many intervals without a counted heartbeat. */
 const UNDISPATCHED_TIMEOUT_FACTOR = 1.8;
 
-/** What the checks read of a term. */
+/** The part of a term that the checks read. */
 export interface MaintainedTerm extends TermView {
   readonly allMachinesReconciled: boolean;
 }
@@ -25,10 +25,10 @@
   readonly workerCommands: WorkerCommands;
 }
 
-/** Checks all machines of a term every second, while leadership is certain. */
+/** Checks all machines of a term every second while the leader lease is certainly valid. */
 export class MachineMaintenance {
   readonly leaseExpiry: LeaseExpiry;
-  private wasReconciled = false;
+  private isReconciledLogged = false;
 
   constructor(
     private readonly runtime: Runtime,
@@ -40,7 +40,7 @@
     this.leaseExpiry = new LeaseExpiry(runtime, state, term, (expired) => this.endExpired(expired));
   }
 
-  /** Runs until the term closes. */
+  /** Starts the checks, which run until the term closes. */
   start(): void {
     this.runtime.every(CHECK_INTERVAL_MS, () => {
       if (!this.term.closed) this.check();
@@ -49,10 +49,11 @@
   }
 
   private check(): void {
-    // While the lease is in doubt no heartbeat is answered, so missing ones prove nothing.
+    // No heartbeat is answered while the leader lease may have expired, so a missing heartbeat
+    // proves nothing.
     if (!this.leadership.validLease()) return;
     this.logReconciled();
-    this.targets.workerCommands.updateSmallestTask();
+    this.targets.workerCommands.updateMinTaskResources();
     if (this.term.stateLoaded) this.leaseExpiry.check();
     for (const machine of this.term.machines.values()) this.checkMachine(machine);
   }
@@ -67,10 +68,10 @@
     machine.usage.updateIdle(this.runtime.now);
   }
 
-  /** Logs once that all machines are reconciled, so that every job may be placed. */
+  /** Logs, once in a term, that all machines are reconciled and thus every job may be placed. */
   private logReconciled(): void {
-    if (this.wasReconciled || !this.term.allMachinesReconciled) return;
-    this.wasReconciled = true;
+    if (this.isReconciledLogged || !this.term.allMachinesReconciled) return;
+    this.isReconciledLogged = true;
     const { fencingToken, electedAt } = this.term;
     const tookMs = this.runtime.now - electedAt;
     this.runtime.stats.record('takeover.ready_ms', tookMs);
@@ -78,7 +79,7 @@
     this.runtime.log('info', fields, 'machine registry reconciled');
   }
 
-  /** The leases of these machines are certainly over: their workers have killed all tasks. */
+  /** Ends bindings on machines whose leases have certainly expired: all their tasks are killed. */
   private endExpired(expired: Machine[]): void {
     const { bindings, fleet } = this.targets;
     const machines = expired.map(({ id }) => id);
@@ -86,7 +87,7 @@
     for (const machine of expired) {
       bindings.endDispatched(machine, 'lease ran out');
       machine.registration.markReconciled();
-      // Known by a late heartbeat only and never registered, so it had no tasks.
+      // The machine was known only from a late heartbeat and never registered: it had no tasks.
       if (!machine.registration.isRegistered && machine.bindings.size === 0)
         fleet.remove(machine.id);
     }
--- a/packages/controller/src/term/machine-registry.ts
+++ b/packages/controller/src/term/machine-registry.ts
@@ -1,4 +1,4 @@
-/** The stored registry of machines that may have tasks, and the machines that have left it. */
+/** The stored registry of machines that may have tasks, and the set of terminated machines. */
 import type { MachinePool } from '@tealdock/scheduler';
 import { millisecondsOf, secondsOf, type StateItem } from '@tealdock/wire';
 import type { Leadership } from '../leadership/leadership.js';
@@ -12,9 +12,9 @@
 import type { Bindings } from './bindings.js';
 import type { Fleet } from './fleet.js';
 
-/** Machines that join within this time share a commit. */
+/** Machines that join within this time are stored in the same commit. */
 const JOIN_BATCH_DELAY_MS = 150;
-/** Terminated machines that are remembered. */
+/** Limit on the number of terminated machines that are remembered. */
 const MAX_TERMINATED_COUNT = 5000;
 
 /** An image that a machine is expected to have in its cache. */
@@ -24,13 +24,13 @@
 }
 
 /**
- * A machine is stored in the registry before its first start, so that a later leader waits for
- * each machine that may have tasks (docs/safety.md, Rebuild).
+ * Stores each machine before the first start is dispatched to it, so that a later leader knows
+ * all machines that may have tasks and waits for them (docs/safety.md, Rebuild).
  */
 export class MachineRegistry {
   private readonly table: ShardedTable<RegistryEntry>;
   private readonly terminated = new BoundedSet<string>(MAX_TERMINATED_COUNT);
-  private readonly hintedImages = new Map<string, CachedImage[]>();
+  private readonly imageHints = new Map<string, CachedImage[]>();
 
   constructor(
     private readonly runtime: Runtime,
@@ -47,27 +47,27 @@
     });
   }
 
-  /** Stops writing the registry. */
+  /** Stops writes to the registry. */
   close(): void {
     this.table.close();
   }
 
-  /** Adds the machines that an earlier leader has stored to the fleet. */
+  /** Adds the machines that earlier leaders have stored to the fleet. */
   load(items: StateItem[]): void {
     for (const [id, entry] of this.table.load(items)) this.loadMachine(id, entry);
   }
 
-  /** The last leader knew of these images on a machine; used when the machine is first seen. */
-  hintImages(machineId: string, images: CachedImage[]): void {
-    this.hintedImages.set(machineId, images);
+  /** Sets the images that the previous leader expected in the cache of a machine not yet added. */
+  setImageHints(machineId: string, images: CachedImage[]): void {
+    this.imageHints.set(machineId, images);
   }
 
-  /** Returns the machine; adds it if its heartbeat is the first that this term gets of it. */
-  getOrAdd(id: string, place: MachinePool): Machine {
+  /** Returns the machine that a heartbeat came from, and adds it to the fleet if it is unknown. */
+  getOrAdd(id: string, pool: MachinePool): Machine {
     let machine = this.fleet.get(id);
     if (!machine) {
-      machine = this.newMachine(id, place);
-      // It is not in the registry, so no term has ever sent a start to it.
+      machine = this.newMachine(id, pool);
+      // The machine is not in the registry, so no term has ever sent a start to it.
       machine.registration.markReconciled();
       this.fleet.add(machine);
     }
@@ -75,13 +75,13 @@
     return machine;
   }
 
-  /** Stores the machine unless that is done or under way. */
+  /** Stores the machine unless it is stored or being stored already. */
   registerIfNew(machine: Machine): void {
     if (!machine.registration.isRegistered && this.table.get(machine.id) === undefined)
       this.store(machine);
   }
 
-  /** The machine gets no more work, in this term and, as that is stored, in later ones. */
+  /** Stops placement on the machine for good; later terms read that from the registry. */
   markReturning(machine: Machine): void {
     if (machine.registration.isReturning) return;
     machine.registration.markReturning();
@@ -89,7 +89,7 @@
     this.store(machine);
   }
 
-  /** The cloud has confirmed with status 200 that the machine is gone, with all tasks on it. */
+  /** Removes a machine that the cloud has confirmed, with status 200, to be gone with its tasks. */
   recordTerminated(id: string): void {
     const machine = this.fleet.get(id);
     this.terminated.add(id);
@@ -100,21 +100,21 @@
     this.table.remove(id);
   }
 
-  /** True for a machine that this term has returned to the cloud. */
+  /** True if the machine was returned to the cloud in this term. */
   isTerminated(id: string): boolean {
     return this.terminated.has(id);
   }
 
-  private newMachine(id: string, place: MachinePool): Machine {
-    const machine = new Machine(id, place.type, place.zone, place.spot);
-    for (const { image, gb } of this.hintedImages.get(id) ?? []) machine.recordImageUse(image, gb);
+  private newMachine(id: string, pool: MachinePool): Machine {
+    const machine = new Machine(id, pool.type, pool.zone, pool.spot);
+    for (const { image, gb } of this.imageHints.get(id) ?? []) machine.recordImageUse(image, gb);
     return machine;
   }
 
   private loadMachine(id: string, entry: RegistryEntry): void {
     const [type, zone, spot, returning, firstObservedSeconds] = entry;
-    const place = { type, zone, spot: spot === 1 };
-    const machine = this.fleet.get(id) ?? this.newMachine(id, place);
+    const pool = { type, zone, spot: spot === 1 };
+    const machine = this.fleet.get(id) ?? this.newMachine(id, pool);
     const ageMs = this.runtime.wallClock.getTime() - millisecondsOf(firstObservedSeconds);
     machine.registration.restore({
       isReturning: returning === 1,
--- a/packages/controller/src/term/rebuild.ts
+++ b/packages/controller/src/term/rebuild.ts
@@ -1,4 +1,4 @@
-/** What a new leader reads from the state service before it acts. */
+/** Loads the stored state when a node becomes the leader. */
 import type { StateItem } from '@tealdock/wire';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
@@ -10,10 +10,10 @@
 import type { StrayKeys } from './stray-keys.js';
 import type { TermView } from './term-view.js';
 
-/** Pause after a read that failed; all is read again then. */
+/** Delay after a failed read, before everything is read again. */
 const RETRY_DELAY_MS = 400;
 
-/** The parts of a term that are filled from the stored state. */
+/** The parts of a term that are initialized from the stored state. */
 export interface RebuildTargets {
   readonly machineRegistry: MachineRegistry;
   readonly liveJobs: LiveJobs;
@@ -21,24 +21,24 @@
   readonly watch: JobWatch;
 }
 
-/** The two sharded tables, as stored. */
+/** Stored items of the machine registry and of the progress table. */
 interface StoredTables {
   registry: StateItem[];
   progress: StateItem[];
 }
 
-/** Reads machines, live jobs and progress once, as a term begins (docs/safety.md, Rebuild). */
+/** Reads machines, live jobs and progress when a term begins (docs/safety.md, Rebuild). */
 export class Rebuild {
   constructor(
     private readonly runtime: Runtime,
     private readonly state: StateStore,
     private readonly term: TermView,
     private readonly targets: RebuildTargets,
-    /** Called once, when all that is stored has been taken over. */
+    /** Called once, after the stored state has been applied to the term. */
     private readonly onLoaded: () => void,
   ) {}
 
-  /** Reads until it succeeds or the term closes, then starts the watch on live jobs. */
+  /** Repeats the reads until they succeed or the term closes, then starts the job watch. */
   load(): void {
     if (this.term.closed) return;
     const retry = () => this.runtime.after(RETRY_DELAY_MS, () => this.load());
@@ -57,7 +57,7 @@
     });
   }
 
-  /** Calls back with null if one of the reads fails. */
+  /** Calls back once, with null if one of the reads fails. */
   private readTables(onRead: (tables: StoredTables | null) => void): void {
     this.state.readAll(REGISTRY_PREFIX, PRIORITY.leader, (registry) => {
       if (registry.kind === 'failed') return onRead(null);
--- a/packages/controller/src/term/run-time-ratios.ts
+++ b/packages/controller/src/term/run-time-ratios.ts
@@ -1,8 +1,8 @@
-/** How long tasks of a job class run, compared with what their users estimate. */
+/** Actual run times of tasks relative to the estimates of their users, by job class. */
 
-/** Weight of the newest task in the average. */
+/** Weight of the newest task in the exponential moving average. */
 const NEWEST_WEIGHT_FRACTION = 0.1;
-/** A single task counts with at most this ratio. */
+/** Upper bound on the ratio that a single task contributes to the average. */
 const MAX_RATIO_FACTOR = 10;
 
 /** Read-only view of the ratios. */
@@ -11,7 +11,7 @@
   ratioOf(jobClass: string): number;
 }
 
-/** Moving averages of actual divided by estimated run time, by job class. */
+/** Exponential moving averages of actual divided by estimated run time, by job class. */
 export class RunTimeRatios implements RunTimeRatioView {
   private readonly ratios = new Map<string, number>();
 
@@ -19,7 +19,7 @@
     return this.ratios.get(jobClass) ?? 1;
   }
 
-  /** Includes a completed task in the average of its class. */
+  /** Adds a completed task's ratio of actual to estimated run time to the average of its class. */
   recordCompletion(jobClass: string, ratio: number): void {
     const known = this.ratioOf(jobClass);
     this.ratios.set(
@@ -29,12 +29,12 @@
     );
   }
 
-  /** Starts a class from the average of an earlier leader. */
+  /** Sets the average of a class to the one that a previous leader computed. */
   restore(jobClass: string, ratio: number): void {
     this.ratios.set(jobClass, ratio);
   }
 
-  /** Classes with completed tasks and their ratios. */
+  /** Ratios of the classes with completed tasks or with a restored average. */
   entries(): [string, number][] {
     return [...this.ratios];
   }
--- a/packages/controller/src/term/stray-keys.ts
+++ b/packages/controller/src/term/stray-keys.ts
@@ -1,12 +1,12 @@
-/** Removal of keys that belong to no job. */
+/** Removal of stored keys that do not belong to any job. */
 import type { Leadership } from '../leadership/leadership.js';
 import { PRIORITY } from '../runtime/ports.js';
 import type { StateStore } from '../state/state-store.js';
 
-/** Keys that one transaction removes. */
+/** Maximum number of keys that one transaction removes. */
 const MAX_BATCH_COUNT = 4;
 
-/** Keys below the live jobs' prefix that belong to no job; found when a term begins. */
+/** Keys under the live-job prefix without a job, found when a term loads the stored state. */
 export class StrayKeys {
   private readonly keys: string[] = [];
 
@@ -24,7 +24,7 @@
     return this.keys.length === 0;
   }
 
-  /** Removes the next few keys; they are queued again if the commit fails. Calls back once. */
+  /** Removes the next batch of keys, and queues them again if the commit fails. Calls back once. */
   removeBatch(onFinished: () => void): void {
     const batch = this.keys.splice(0, MAX_BATCH_COUNT);
     this.state.compareAndSwap(
--- a/packages/controller/src/term/successor-hints.ts
+++ b/packages/controller/src/term/successor-hints.ts
@@ -1,8 +1,8 @@
-/** What a leader passes on to its successor beside the stored state; nothing depends on it. */
+/** Hints that a leader gives its successor beyond the stored state; a term works without them. */
 import type { Hints } from '@tealdock/wire';
 import type { Term } from './term.js';
 
-/** Collects what this term has learnt and the state service does not hold. */
+/** Returns the statistics and image locations that the state service does not store. */
 export function collectHints(term: Term): Hints {
   const images = new Map<string, { index: number; gb: number }>();
   const machines = [...term.machines.values()].map((machine) => {
@@ -22,12 +22,12 @@
   };
 }
 
-/** Starts a term from what the last leader had learnt. */
+/** Initializes a new term with the hints of the previous leader. */
 export function applyHints(hints: Hints, term: Term): void {
   for (const { jobClass, ratio } of hints.ratios) term.runTimeRatios.restore(jobClass, ratio);
   term.fetchSharing.restore(hints.fetchSharing);
   for (const { id, held } of hints.machines) {
     const images = held.map((index) => hints.images[index]).filter((i) => i !== undefined);
-    term.machineRegistry.hintImages(id, images);
+    term.machineRegistry.setImageHints(id, images);
   }
 }
--- a/packages/controller/src/term/task-observer.ts
+++ b/packages/controller/src/term/task-observer.ts
@@ -1,4 +1,4 @@
-/** What the tasks in a heartbeat change: bindings, progress, and what is learnt from them. */
+/** Applies the task list of a heartbeat to bindings, job progress and learned statistics. */
 import { splitTaskId, type TaskStatus } from '@tealdock/wire';
 import type { ActiveTaskState } from '../jobs/binding-phase.js';
 import { bindingKey, type Binding } from '../jobs/binding.js';
@@ -12,7 +12,7 @@
 import type { RunTimeRatios } from './run-time-ratios.js';
 import type { TermView } from './term-view.js';
 
-/** The parts of a term that observed tasks change. */
+/** The parts of a term that the task list of a heartbeat may change. */
 export interface ObservationTargets {
   readonly bindings: Bindings;
   readonly lookup: EndedJobLookup;
@@ -20,7 +20,7 @@
   readonly fetchSharing: FetchSharing;
 }
 
-/** Brings the bindings of a machine in line with the tasks that its newest heartbeat lists. */
+/** Reconciles the bindings of a machine with the tasks that its newest heartbeat lists. */
 export class TaskObserver {
   private readonly failures: FailureRecorder;
 
@@ -32,10 +32,10 @@
     this.failures = new FailureRecorder(runtime);
   }
 
-  /** Applies a counted heartbeat: what it lists is on the machine, and nothing else is. */
+  /** Applies a counted heartbeat, which lists exactly the tasks that are on the machine. */
   observe(machine: Machine, tasks: TaskStatus[]): void {
     for (const status of tasks) this.observeTask(machine, status);
-    this.endMissing(machine, tasks);
+    this.endUnlisted(machine, tasks);
   }
 
   private observeTask(machine: Machine, status: TaskStatus): void {
@@ -55,7 +55,7 @@
     }
   }
 
-  /** Binds a task that this term has not assigned to the machine. */
+  /** Binds a listed task that this term has not assigned to the machine. */
   private adopt(machine: Machine, task: TaskStatus & { state: ActiveTaskState }): Binding {
     const binding = this.targets.bindings.adopt(machine, task);
     if (!this.term.jobs.has(binding.job)) this.targets.lookup.lookUp(binding);
@@ -104,8 +104,8 @@
     this.targets.runTimeRatios.recordCompletion(job.spec.jobClass, ratio);
   }
 
-  /** A heartbeat lists all tasks of its machine: what it lacks has ended, or never arrived. */
-  private endMissing(machine: Machine, tasks: TaskStatus[]): void {
+  /** Ends bindings whose dispatched tasks are not listed: they have ended or never arrived. */
+  private endUnlisted(machine: Machine, tasks: TaskStatus[]): void {
     const listed = new Set(tasks.map(({ task, attempt }) => bindingKey(task, attempt)));
     let isStartLost = false;
     for (const [key, binding] of [...machine.bindings]) {
--- a/packages/controller/src/term/term.ts
+++ b/packages/controller/src/term/term.ts
@@ -1,4 +1,4 @@
-/** One term of leadership. */
+/** One term of leadership, and the parts that it consists of. */
 import type { Instant } from '@tealdock/wire';
 import { Authority, type TermKnowledge } from '../authority/authority.js';
 import type { Granted } from '../authority/decision.js';
@@ -29,12 +29,12 @@
 import { WorkerCommands } from './worker-commands.js';
 
 /**
- * The leader's knowledge in one term of leadership: live jobs, machines, and which task is bound
- * to which machine. It is rebuilt from the state service and from heartbeats that carry this
- * term's fencing token; a binding ends only on proof (docs/safety.md).
+ * The leader's state in one term of leadership: live jobs, machines, and bindings of tasks to
+ * machines. It is rebuilt from the state service and from heartbeats that carry this term's fencing
+ * token. A dispatched binding ends only with proof (docs/safety.md).
  *
- * Each part owns its state, and the other parts see a read-only view of it: live jobs are added
- * and removed by `LiveJobs`, machines by `Fleet`, sums over bindings change through `Bindings`.
+ * Each part owns its state and gives the other parts a read-only view: only `LiveJobs` adds and
+ * removes live jobs, only `Fleet` machines, and only `Bindings` updates the sums over bindings.
  */
 export class Term implements TermView, TermKnowledge {
   readonly electedAt: Instant;
@@ -96,17 +96,17 @@
     });
   }
 
-  /** By identifier, in the order in which they became known. */
+  /** Live jobs by identifier, in the order in which they became known. */
   get jobs(): ReadonlyMap<string, LiveJob> {
     return this.liveJobs.jobs;
   }
 
-  /** By identifier, in the order in which they became known. */
+  /** Machines by identifier, in the order in which they became known. */
   get machines(): ReadonlyMap<string, Machine> {
     return this.fleet.machines;
   }
 
-  /** Sums over the bindings, by team and by zone. */
+  /** Sums over all bindings: resources by team, and counts by job and zone. */
   get ledger(): UsageView {
     return this.usageLedger;
   }
@@ -121,52 +121,53 @@
     return this.isClosed;
   }
 
-  /** Knows when the leases of workers end. */
+  /** Tells when the leases of workers have certainly expired. */
   get leaseExpiry(): LeaseExpiry {
     return this.maintenance.leaseExpiry;
   }
 
-  /** When the last heartbeat of any worker arrived, counted or not; at first, the election. */
+  /** When the newest heartbeat of any worker arrived, counted or not; initially the election. */
   get lastHeartbeatAt(): Instant {
     return this.newestHeartbeatAt;
   }
 
-  /** True once it is known of every registered machine which tasks run there. */
+  /** True while the tasks on every registered machine are known, with their resources and teams. */
   get allMachinesReconciled(): boolean {
     return this.observedJobsLoaded && this.unreconciledMachines().length === 0;
   }
 
-  /** True while the resources and team of every task that a heartbeat has shown are known. */
+  /** True while the resources and team of every task listed in a heartbeat are known. */
   get observedJobsLoaded(): boolean {
     return this.lookup.isComplete;
   }
 
-  /** Every cancellation committed before this is known; -Infinity before the first read. */
+  /** All cancellations committed before this instant are known; -Infinity before the first read. */
   get cancellationsKnownUntil(): Instant {
     return this.watch.cancellationsKnownUntil;
   }
 
-  /** What allows an answer that renews a worker's lease now; null if nothing does. */
+  /** The permission to renew worker leases now; null if it is refused. Logs each change. */
   renewalGrant(): Granted | null {
     const decision = this.authority.renewal();
     this.renewalLog.record(decision);
     return decision.granted ? decision : null;
   }
 
-  /** Machines of which it is not known yet whether tasks of older terms run there. */
+  /** Machines on which tasks of earlier terms may run that this term does not know of yet. */
   unreconciledMachines(): Machine[] {
     return this.fleet.unreconciledMachines();
   }
 
-  /** False for a job that has ended, and for one that this term has not read yet. */
+  /** True if the job is live; false also for a job that this term has not read yet. */
   isLive(job: string): boolean {
     return this.jobs.has(job);
   }
 
   /**
-   * Placement waits until all machines are reconciled. A job that was committed, or of which a
-   * predecessor ended, after this term's fencing token is an exception: no older term can have
-   * started any of its tasks (docs/safety.md, Rebuild).
+   * Whether tasks of the job may be placed. Placement waits until all machines are reconciled,
+   * except for a job that was committed, or a predecessor of which ended, at a later revision than
+   * this term's fencing token, since no earlier term can have started its tasks (docs/safety.md,
+   * Rebuild).
    */
   mayPlace(job: LiveJob, allMachinesReconciled: boolean): boolean {
     return (
@@ -175,21 +176,21 @@
     );
   }
 
-  /** Reads the stored state and begins the periodic checks; to be called once. */
+  /** Starts to load the stored state and starts the periodic checks. To be called once. */
   start(): void {
     this.rebuild.load();
     this.watch.start();
     this.maintenance.start();
   }
 
-  /** Leadership is lost: timers end at their next turn, and answers that come late are dropped. */
+  /** Ends the term: timers stop when next due, and results of pending calls are dropped. */
   close(): void {
     this.isClosed = true;
     this.machineRegistry.close();
     this.liveJobs.close();
   }
 
-  /** A heartbeat of some worker has arrived, whether or not it may be answered. */
+  /** Records that a worker's heartbeat has arrived, whether or not it may be answered. */
   recordHeartbeat(): void {
     this.newestHeartbeatAt = this.runtime.now;
   }
@@ -208,7 +209,7 @@
     return new Rebuild(this.runtime, state, this, targets, () => (this.isStateLoaded = true));
   }
 
-  /** The tasks of an ended job must be gone from their machines within the cancellation limit. */
+  /** Stops the tasks of an ended job; they must be gone within the cancellation limit. */
   private discardBindingsOf(job: LiveJob): void {
     for (const binding of job.bindings.values()) {
       this.bindings.discard(binding, 'job ended');
--- a/packages/controller/src/term/worker-commands.ts
+++ b/packages/controller/src/term/worker-commands.ts
@@ -1,4 +1,4 @@
-/** The commands that go to a worker in the answer to its heartbeat. */
+/** Commands that a worker receives in the response to its heartbeat. */
 import {
   splitTaskId,
   type Duration,
@@ -15,13 +15,13 @@
 import type { BindingInvariants } from './binding-invariants.js';
 import type { TermView } from './term-view.js';
 
-/** Logged reason for stopping a task that this term has no binding for. */
+/** Logged reason of a stop that is sent in response to a heartbeat that is not counted. */
 const JOB_NOT_LIVE_REASON = 'job not live';
 
-/** Start, stop and forget commands. Nothing else starts a task (docs/safety.md, Starts). */
+/** Creates start, stop and forget commands. No other code starts tasks (docs/safety.md, Starts). */
 export class WorkerCommands {
-  /** No task of a live job needs less of any resource than this. */
-  private smallestTask: Resources = NO_RESOURCES;
+  /** For each resource, the least amount that a task of any live job needs. */
+  private minTaskResources: Resources = NO_RESOURCES;
 
   constructor(
     private readonly runtime: Runtime,
@@ -30,15 +30,15 @@
     private readonly invariants: BindingInvariants,
   ) {}
 
-  /** Computes the least resources that a task of any live job needs. */
-  updateSmallestTask(): void {
+  /** Recomputes, for each resource, the least amount that a task of any live job needs. */
+  updateMinTaskResources(): void {
     const needed = [...this.term.jobs.values()].map((job) => resourcesOf(job.spec));
-    this.smallestTask = needed.length > 0 ? needed.reduce(minResources) : NO_RESOURCES;
+    this.minTaskResources = needed.length > 0 ? needed.reduce(minResources) : NO_RESOURCES;
   }
 
   /**
-   * True if an answer to the machine's newest heartbeat would carry a start or a stop now; true
-   * for an unknown machine too. Changes nothing.
+   * True if a response to the machine's newest heartbeat would now carry a start or a stop; also
+   * true for an unknown machine. Changes no state.
    */
   hasPendingCommands(machineId: string): boolean {
     const machine = this.term.machines.get(machineId);
@@ -53,22 +53,24 @@
   }
 
   /**
-   * How long an answer without commands may be held back, in ms. Zero for a machine without
-   * capacity for the smallest task: it can get no start, and its next heartbeat, which may show
-   * the end of a task, should not be delayed.
+   * How long a response without commands may be held open, in ms. Zero for a machine that is being
+   * returned, is about to be preempted, or has too little free capacity for any task: it can
+   * receive no start, and its next heartbeat, which may show the end of a task, should not be
+   * delayed.
    */
   longPollTimeoutOf(machineId: string, type: MachineType): Duration {
     const machine = this.term.machines.get(machineId);
     if (!machine || machine.registration.isReturning) return 0;
     if (machine.heartbeats.preemptionDeadline !== null) return 0;
-    return fits(this.smallestTask, machine.free(type))
+    return fits(this.minTaskResources, machine.free(type))
       ? this.runtime.operator.window.longPollTimeout
       : 0;
   }
 
   /**
-   * The commands of the answer to the machine's newest heartbeat, to be sent at once: assigned
-   * tasks count as dispatched from now on. Empty for an unknown machine.
+   * Returns the commands for the response to the machine's newest heartbeat. The response must be
+   * sent at once, since the started tasks count as dispatched from now on. Empty for an unknown
+   * machine.
    */
   dispatchCommands(machineId: string): WorkerCommand[] {
     const machine = this.term.machines.get(machineId);
@@ -89,8 +91,9 @@
   }
 
   /**
-   * Stops for a heartbeat that is not counted, since it is late or carries another fencing token.
-   * Its answer renews the worker's lease all the same, so tasks of ended jobs must be stopped.
+   * Returns stop commands for the response to a heartbeat that is not counted, because it is late
+   * or carries another fencing token. The response still renews the worker's lease, so it must
+   * stop tasks of ended jobs.
    */
   stopsForEndedJobs(machine: string, tasks: TaskStatus[]): WorkerCommand[] {
     return tasks
@@ -118,7 +121,7 @@
     this.runtime.stats.record('evidence.start_age_ms', decision.evidence.age);
     const starts: WorkerCommand[] = [];
     for (const binding of machine.bindings.values()) {
-      if (!binding.isAssigned || this.invariants.violatesStart(binding)) continue;
+      if (!binding.isAssigned || this.invariants.forbidsStart(binding)) continue;
       starts.push(this.dispatchStart(machine, binding, decision.evidence));
     }
     return starts;
@@ -141,7 +144,7 @@
     return { op: 'start', task: binding.task, attempt: binding.attempt };
   }
 
-  /** Null unless the task is to be stopped now; one that saves its state is left to finish. */
+  /** Null if no stop is to be sent now; a task that is saving its state keeps its grace period. */
   private stopCommandFor(binding: Binding): WorkerCommand | null {
     if (!binding.stopRequest || !binding.isObserved) return null;
     if (binding.taskState === 'saving' && binding.stopRequest.gracePeriod > 0) return null;
@@ -153,7 +156,10 @@
     };
   }
 
-  /** A task that is done may be forgotten once the state service has it, any other at once. */
+  /**
+   * Whether the worker may forget an exited task. A done task of a live job may be
+   * forgotten once the state service has stored that it is done, any other at once.
+   */
   private mayForget(task: string, reason: TaskStatus['reason']): boolean {
     const parsed = splitTaskId(task);
     const job = parsed ? this.term.jobs.get(parsed.job) : undefined;
@@ -166,5 +172,5 @@
   }
 }
 
-/** The job of a task; an identifier that can't be parsed stands for itself. */
+/** Job identifier of a task; the task identifier itself if it cannot be parsed. */
 const jobOf = (task: string): string => splitTaskId(task)?.job ?? task;
