--- a/packages/controller/src/authority/authority.ts
+++ b/packages/controller/src/authority/authority.ts
@@ -1,41 +1,43 @@
-/** The one place where a leader asks whether it may start tasks or renew worker leases. */
+/** Decides whether a leader may start tasks or renew worker leases; no other code decides this. */
 import type { Duration, Instant } from '@tealdock/wire';
 import { maxStaleness } from '../leadership/freshness.js';
 import type { LeaderLease } from '../leadership/leadership.js';
 import type { Runtime } from '../runtime/runtime.js';
 import { isFresh, refused, type Decision, type Evidence } from './decision.js';
 
-/** A task is started only while the known cancellations are at most this old. */
+/** A task is started only if all cancellations older than this are known. */
 const MAX_START_STALENESS_MS: Duration = 2000;
 
-/** What a term knows, as far as decisions depend on it. */
+/** The state of a term that decisions depend on. */
 export interface TermKnowledge {
-  /** The stored state has been read. */
+  /** True once the stored state has been read. */
   readonly stateLoaded: boolean;
+  /** True once leadership is lost. */
   readonly closed: boolean;
-  /** Every cancellation committed before this is known; -Infinity before the first read. */
+  /** All cancellations committed before this instant are known; -Infinity before the first read. */
   readonly cancellationsKnownUntil: Instant;
-  /** Resources and team of every task that a heartbeat has shown are known. */
+  /** True while the resources and team of every task listed in a heartbeat are known. */
   readonly observedJobsLoaded: boolean;
+  /** True if the job is live; false also for a job that this term has not read yet. */
   isLive(job: string): boolean;
 }
 
-/** The properties of a machine that a start depends on. */
+/** The properties of a machine that decide whether it may receive starts. */
 export interface StartTarget {
   readonly isRegistered: boolean;
   readonly isReconciled: boolean;
   readonly isReturning: boolean;
 }
 
-/** Holder of the leader's lease. */
+/** Provides the leader lease. */
 export interface LeaseHolder {
-  /** Null unless the lease is certainly valid now. */
+  /** Returns the leader lease; null unless it is certainly valid now. */
   validLease(): LeaderLease | null;
 }
 
 /**
- * Decides what a leader may do now (docs/safety.md, "What each path acts on"). Decisions change
- * no state and write no log, so they can be asked for at any time; whoever acts on one logs it.
+ * Decides what a leader may do now (docs/safety.md, "What each path acts on"). Decisions have no
+ * side effects and can be requested at any time; the callers that act on them write the log.
  */
 export class Authority {
   constructor(
@@ -44,12 +46,12 @@
     private readonly knowledge: TermKnowledge,
   ) {}
 
-  /** Whether a heartbeat may be answered with status 200, which renews the worker's lease. */
+  /** Decides whether heartbeats may be answered with status 200, which renews worker leases. */
   renewal(): Decision {
     return this.decide(maxStaleness(this.runtime.settings));
   }
 
-  /** Whether the answer to the newest heartbeat of a machine may start tasks. */
+  /** Decides whether the response to a machine's newest heartbeat may start tasks. */
   start(machine: StartTarget): Decision {
     const decision = this.decide(MAX_START_STALENESS_MS);
     if (!decision.granted) return decision;
@@ -61,9 +63,9 @@
   }
 
   /**
-   * Whether a task that a heartbeat shows may be stopped, whatever fencing token the heartbeat
-   * carries. Its job was live when an older leader started it, so a term that has read the live
-   * jobs and does not find it there knows that it has ended, which is final.
+   * Whether a task that a heartbeat lists may be stopped, whatever fencing token the heartbeat
+   * carries. A leader started the task while its job was live. If this term has read the live jobs
+   * and the job is not among them, the job has ended, which is final.
    */
   mayStop(job: string): boolean {
     return this.knowledge.stateLoaded && !this.knowledge.isLive(job);
--- a/packages/controller/src/authority/decision.ts
+++ b/packages/controller/src/authority/decision.ts
@@ -1,18 +1,18 @@
-/** Typed answers to the question whether a leader may do something, and on what evidence. */
+/** Decisions on whether a leader may act, with the evidence that they are based on. */
 import type { Duration, Instant } from '@tealdock/wire';
 
-/** Where the knowledge behind a decision comes from: the leader's watch on the live jobs. */
+/** Source of the knowledge behind a decision: the leader's watch on the keys of live jobs. */
 export type EvidenceSource = 'job watch';
 
-/** The knowledge that a decision rests on, with its age and the greatest age allowed, in ms. */
+/** The knowledge that a decision is based on; `age` and the maximum age `limit` are in ms. */
 export interface Evidence {
   source: EvidenceSource;
-  /** Infinity as long as nothing has been read. */
+  /** Infinity until the stored state has been read. */
   age: Duration;
   limit: Duration;
 }
 
-/** Why something may not be done; part of the counters `starts.refused.<reason>`. */
+/** Why an action is refused; part of the names of the counters `starts.refused.<reason>`. */
 export type RefusalReason =
   | 'no_lease'
   | 'term_over'
@@ -35,24 +35,24 @@
 export interface Refused {
   granted: false;
   reason: RefusalReason;
-  /** Null if the refusal does not depend on the age of any knowledge. */
+  /** Null if the action was refused before the age of the knowledge was checked. */
   evidence: Evidence | null;
 }
 
 /** Whether an action is allowed. */
 export type Decision = Granted | Refused;
 
-/** Makes a refusal. */
+/** Creates a refusal. */
 export const refused = (reason: RefusalReason, evidence: Evidence | null = null): Refused => ({
   granted: false,
   reason,
   evidence,
 });
 
-/** True while the knowledge is recent enough to act on. */
+/** True if the knowledge is recent enough to act on. */
 export const isFresh = ({ age, limit }: Evidence): boolean => age <= limit;
 
-/** Evidence as the log shows it, in whole milliseconds. */
+/** Log fields for evidence, with durations in whole milliseconds. */
 export interface EvidenceFields {
   evidence?: EvidenceSource;
   /** Null if nothing has been read yet. */
@@ -60,7 +60,7 @@
   limitMs?: number;
 }
 
-/** The log fields that describe what a decision rests on; empty without evidence. */
+/** Returns the log fields for the evidence of a decision; empty without evidence. */
 export function evidenceFields(evidence: Evidence | null): EvidenceFields {
   if (!evidence) return {};
   const { source, age, limit } = evidence;
--- a/packages/controller/src/authority/invariants.ts
+++ b/packages/controller/src/authority/invariants.ts
@@ -1,11 +1,11 @@
-/** Reporting of safety invariants that are checked while the controller runs. */
+/** Reports violations of the safety invariants that the controller checks at run time. */
 import type { Runtime } from '../runtime/runtime.js';
 import type { EvidenceSource } from './decision.js';
 
-/** A rule of docs/safety.md; part of the counters `violations.<invariant>`. */
+/** A rule of docs/safety.md; part of the names of the counters `violations.<invariant>`. */
 export type Invariant = 'started_ended_job' | 'renewed_without_stop' | 'ran_past_cancel_limit';
 
-/** Where an invariant did not hold, and what the controller acted on. */
+/** The task for which an invariant did not hold, and the evidence that the controller used. */
 export interface Violation {
   job: string;
   task: string;
@@ -16,7 +16,7 @@
   ageMs: number | null;
 }
 
-/** Counts and logs a violation. The service goes on, so this never throws. */
+/** Counts and logs a violation. Never throws, so that the service continues. */
 export function reportViolation(
   runtime: Runtime,
   invariant: Invariant,
--- a/packages/controller/src/authority/renewal-log.ts
+++ b/packages/controller/src/authority/renewal-log.ts
@@ -2,13 +2,13 @@
 import type { Runtime } from '../runtime/runtime.js';
 import { evidenceFields, type Decision } from './decision.js';
 
-/** Logs changes of the renewal decision of one term; the first decision counts as a change. */
+/** Logs each change of the renewal decision in one term, including the first decision. */
 export class RenewalLog {
   private lastOutcome: string | null = null;
 
   constructor(private readonly runtime: Runtime) {}
 
-  /** Writes a line if the outcome, or the reason of a refusal, differs from the last one. */
+  /** Writes a log line if the outcome or the refusal reason differs from the previous one. */
   record(decision: Decision): void {
     const outcome = decision.granted ? 'granted' : decision.reason;
     if (outcome === this.lastOutcome) return;
