--- a/packages/controller/src/leadership/delegated-renewal.ts
+++ b/packages/controller/src/leadership/delegated-renewal.ts
@@ -1,4 +1,4 @@
-/** Renewal of workers' leases by a follower, for a leader that the workers can't reach. */
+/** Renewal of worker leases by a follower, on behalf of a leader that the workers can't reach. */
 import {
   renderHeartbeatResponse,
   splitTaskId,
@@ -14,20 +14,23 @@
 import { JobLiveness, type ProveLiveness } from './job-liveness.js';
 import type { Leadership } from './leadership.js';
 
-/** How long a leader's heartbeats must be missing; a dead one's key is mostly gone by then. */
+/**
+ * A leader without heartbeats for longer than this counts as unreachable. By then the leader key of
+ * a crashed leader has usually expired, so one that still holds the key is probably alive.
+ */
 const LEADER_UNREACHABLE_AFTER_MS = 6500;
 
-/** The answer to a heartbeat, and the instant up to which it may be sent. */
+/** Response to a heartbeat. One that renews a lease may be sent only until `validUntil`. */
 export type DelegatedResponse =
   { status: 200; body: unknown; validUntil: Instant } | { status: 421; body: unknown };
 
 const REFUSAL: DelegatedResponse = { status: 421, body: {} };
 
 /**
- * Renews workers' leases while a network partition between zones separates them from a leader
- * that still leads. Under a grant this node answers heartbeats with the leader's fencing token.
- * It starts no tasks. Every task of such a worker is of a job that was proven live just now,
- * or is stopped by the same answer.
+ * Renews worker leases while a network partition between zones separates the workers from a leader
+ * that still leads. Under a grant this node answers heartbeats with the leader's fencing token. It
+ * starts no tasks. Before each response, every job with a task on the worker must be proven live or
+ * ended; the response stops the tasks of ended jobs.
  */
 export class DelegatedRenewal {
   private readonly grants: DelegationGrants;
@@ -44,7 +47,11 @@
     this.jobLiveness = new JobLiveness(runtime, proveLiveness);
   }
 
-  /** The leader key is held by another member whose heartbeats have been missing for a while. */
+  /**
+   * True while another member holds the leader key but has sent no heartbeats to this node for a
+   * while. False if the newest call to the state service failed, or if the leader's host recently
+   * refused a connection, which rules out a partition.
+   */
   get mayRenew(): boolean {
     const { leader, leaderFencingToken } = this.leadership;
     if (leader === null || leaderFencingToken === null || this.state.lastCallFailed) return false;
@@ -53,7 +60,7 @@
     return this.runtime.now - this.peers.lastHeartbeatAt(leader) > LEADER_UNREACHABLE_AFTER_MS;
   }
 
-  /** Answers a heartbeat, with a 421 where no grant or no proof could be obtained. */
+  /** Answers a heartbeat, with status 421 if no grant or no proof could be obtained. */
   renew(heartbeat: WorkerHeartbeat, onResponse: (response: DelegatedResponse) => void): void {
     this.grants.obtain((grant) => {
       if (!grant || heartbeat.fencingToken > grant.fencingToken) return onResponse(REFUSAL);
@@ -66,12 +73,12 @@
     heartbeat: WorkerHeartbeat,
     onResponse: (response: DelegatedResponse) => void,
   ): void {
-    const presentTasks = heartbeat.tasks.filter((task) => task.state !== 'exited');
-    const jobs = new Set(presentTasks.map(jobIdOf));
+    const activeTasks = heartbeat.tasks.filter((task) => task.state !== 'exited');
+    const jobs = new Set(activeTasks.map(jobIdOf));
     this.jobLiveness.findEnded([...jobs], (result) => {
       if (result.kind === 'unknown') return onResponse(REFUSAL);
       this.runtime.stats.count('reports.kept');
-      const endedTasks = presentTasks.filter((task) => result.endedJobs.has(jobIdOf(task)));
+      const endedTasks = activeTasks.filter((task) => result.endedJobs.has(jobIdOf(task)));
       const body = renderHeartbeatResponse(grant.fencingToken, endedTasks.map(stopCommandFor));
       onResponse({ status: 200, body, validUntil: grant.validUntil });
     });
@@ -80,7 +87,7 @@
 
 const jobIdOf = ({ task }: TaskStatus): string => splitTaskId(task)?.job ?? task;
 
-/** A stop needs no leader, unlike a start: a job that has ended stays so. */
+/** Unlike a start, a stop of a task is safe without a leader, because the end of a job is final. */
 const stopCommandFor = ({ task, attempt }: TaskStatus): WorkerCommand => ({
   op: 'stop',
   task,
--- a/packages/controller/src/leadership/delegation-grants.ts
+++ b/packages/controller/src/leadership/delegation-grants.ts
@@ -1,4 +1,4 @@
-/** Grants under which a follower may renew workers' leases for the leader. */
+/** Grants that allow a follower to renew worker leases on behalf of the leader. */
 import type { Instant } from '@tealdock/wire';
 import { minOnOtherClock } from '../runtime/clock-drift.js';
 import { PRIORITY } from '../runtime/ports.js';
@@ -8,28 +8,28 @@
 import type { StateStore } from '../state/state-store.js';
 import type { Leadership } from './leadership.js';
 
-/** A grant allows answers for this long from the moment at which it was requested. */
+/** A grant is valid for this long from the moment at which it was requested. */
 export const GRANT_DURATION_MS = 6000;
-/** A grant counts as over this long before it can end for a leader. */
+/** Safety margin: a grant expires here this long before it can expire for any leader. */
 const GRANT_EXPIRY_MARGIN_MS = 100;
-/** A new grant is requested when less than this is left of the current one. */
+/** A new grant is requested once the current one is valid for less than this. */
 const GRANT_RENEWAL_LEAD_MS = 3000;
 
-/** The right to answer under the leader's fencing token up to an instant. */
+/** Permission to answer heartbeats with the leader's fencing token until `validUntil`. */
 export interface DelegationGrant {
   fencingToken: number;
   validUntil: Instant;
 }
 
 /**
- * Obtains grants by a write to the state service that is guarded by the leader key: it fails
- * once another leader was elected. Leaders read the grants before they take a worker's lease
- * to have expired (docs/safety.md).
+ * Obtains grants by writes to the state service. The precondition on the leader key makes the write
+ * fail once another leader has been elected. Leaders read the grants before they treat a worker's
+ * lease as expired (docs/safety.md).
  */
 export class DelegationGrants {
   private grant: DelegationGrant | null = null;
   private requestInProgress = false;
-  private readonly waitingForRequest: (() => void)[] = [];
+  private readonly waitingCallbacks: (() => void)[] = [];
 
   constructor(
     private readonly runtime: Runtime,
@@ -37,14 +37,14 @@
     private readonly leadership: Leadership,
   ) {}
 
-  /** A grant that is valid now, requested if needed; null if none could be obtained. */
+  /** Calls back with a grant that is valid now, requested if needed; null if that failed. */
   obtain(onResult: (grant: DelegationGrant | null) => void): void {
     const isOfThisTerm = this.grant?.fencingToken === this.leadership.leaderFencingToken;
     const grant = isOfThisTerm ? this.grant : null;
     const timeLeft = (grant?.validUntil ?? -Infinity) - this.runtime.now;
     if (timeLeft < GRANT_RENEWAL_LEAD_MS) this.request();
     if (timeLeft > 0) return onResult(grant);
-    this.waitingForRequest.push(() => onResult(this.grant));
+    this.waitingCallbacks.push(() => onResult(this.grant));
   }
 
   private request(): void {
@@ -58,11 +58,11 @@
     this.state.compareAndSwap([precondition], [write], PRIORITY.lease, (commit) => {
       this.requestInProgress = false;
       const granted = commit.kind === 'ok';
-      // Counted from the send, so that it ends here before it ends for any leader.
+      // Counted from the sending, so that the grant expires here before it expires for any leader.
       const validUntil = sentAt + minOnOtherClock(GRANT_DURATION_MS) - GRANT_EXPIRY_MARGIN_MS;
       this.grant = granted ? { fencingToken, validUntil } : null;
       this.runtime.log('info', { fencingToken, granted }, 'lease renewal delegated');
-      for (const resume of this.waitingForRequest.splice(0)) resume();
+      for (const resume of this.waitingCallbacks.splice(0)) resume();
     });
   }
 }
--- a/packages/controller/src/leadership/election-lease.ts
+++ b/packages/controller/src/leadership/election-lease.ts
@@ -1,15 +1,16 @@
-/** The lease of the state service that keeps the leader key in place. */
+/** The state service lease that the leader key is attached to. */
 import type { Instant } from '@tealdock/wire';
 import { minOnOtherClock } from '../runtime/clock-drift.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { StateStore } from '../state/state-store.js';
 
-/** The lease counts as over this long before it can end at the state service. */
+/** Safety margin: the lease expires here this long before it can expire at the state service. */
 const EXPIRY_MARGIN_MS = 100;
 
 /**
- * A lease granted by the state service, as this node may rely on it. Its validity is counted
- * from the moment at which a grant or renewal was sent, so a slow answer never extends it.
+ * A lease granted by the state service, with a conservative estimate of its expiry. Validity is
+ * counted from the moment at which a grant or renewal request was sent, so a slow response never
+ * extends it.
  */
 export class ElectionLease {
   private leaseId: number | null = null;
@@ -20,17 +21,17 @@
     private readonly state: StateStore,
   ) {}
 
-  /** A lease was granted and is not known to have ended; it may have expired all the same. */
+  /** True if a lease was granted and is not known to have ended. It may still have expired. */
   get isHeld(): boolean {
     return this.leaseId !== null;
   }
 
-  /** Up to this instant the state service surely keeps the lease. */
+  /** The state service is certain to keep the lease until this instant; 0 without a lease. */
   get validUntil(): Instant {
     return this.expiresAt;
   }
 
-  /** Uses the lease while it is valid, else asks for a new one; null if none was granted. */
+  /** Calls back with the id of the current lease if valid, else of a new one; null on failure. */
   obtain(onResult: (leaseId: number | null) => void): void {
     if (this.leaseId !== null && this.runtime.now < this.expiresAt) {
       return onResult(this.leaseId);
@@ -45,7 +46,10 @@
     });
   }
 
-  /** Renews the lease if there is one; a failed renewal changes nothing and is not retried. */
+  /**
+   * Renews the lease if there is one. A failed renewal changes nothing and is not retried;
+   * `onEnded` is called if the state service no longer has the lease.
+   */
   renew(onEnded: () => void): void {
     const { leaseId } = this;
     if (leaseId === null) return;
@@ -57,12 +61,12 @@
     });
   }
 
-  /** Asks the state service to end the lease at once; the answer is not waited for. */
+  /** Asks the state service to end the lease at once; does not wait for the response. */
   revoke(): void {
     if (this.leaseId !== null) this.state.revokeLease(this.leaseId);
   }
 
-  /** Forgets the lease: it has ended, or is not wanted any more. */
+  /** Forgets the lease, because it has ended or is no longer needed. */
   forget(): void {
     this.leaseId = null;
     this.expiresAt = 0;
--- a/packages/controller/src/leadership/job-liveness.ts
+++ b/packages/controller/src/leadership/job-liveness.ts
@@ -1,24 +1,24 @@
-/** Proofs that the jobs of a worker's tasks are live, shared between heartbeats. */
+/** Proofs that the jobs of a worker's tasks are live, cached across heartbeats. */
 import type { Instant } from '@tealdock/wire';
 import type { Liveness } from '../jobs/job-lookup.js';
 import { BoundedMap } from '../runtime/bounded.js';
 import type { Runtime } from '../runtime/runtime.js';
 import { maxStaleness } from './freshness.js';
 
-/** A proof of liveness answers further questions for this long. */
+/** A proof of liveness is reused for this long. */
 const PROOF_VALIDITY_MS = 2000;
 const MAX_REMEMBERED_PROOF_COUNT = 5000;
 
-/** Which of some jobs have ended; `unknown` if that can't be said of one of them. */
+/** The ended ones among the jobs asked for; `unknown` if the state of any of them is unknown. */
 export type EndedJobsResult =
   { kind: 'known'; endedJobs: ReadonlySet<string> } | { kind: 'unknown' };
 
-/** Asks the state service about a job; the result holds for some moment after the call. */
+/** Asks the state service about a job. The result was true at some moment after the call. */
 export type ProveLiveness = (job: string, onResult: (liveness: Liveness) => void) => void;
 
-/** Finds out which jobs have ended, and remembers for a short time which ones were live. */
+/** Determines which jobs have ended, and caches proofs that jobs are live for a short time. */
 export class JobLiveness {
-  /** When the question was asked that proved a job live. */
+  /** By job: when the request was sent that proved the job live. */
   private readonly provenAt = new BoundedMap<string, Instant>(MAX_REMEMBERED_PROOF_COUNT);
 
   constructor(
@@ -26,7 +26,7 @@
     private readonly prove: ProveLiveness,
   ) {}
 
-  /** Calls back once, at once if each job was proven live recently. */
+  /** Determines which of the jobs have ended. Calls back once, at once if all proofs are cached. */
   findEnded(jobs: string[], onResult: (result: EndedJobsResult) => void): void {
     const unproven = jobs.filter((job) => !this.wasProvenRecently(job));
     const endedJobs = new Set<string>();
--- a/packages/controller/src/leadership/leadership.ts
+++ b/packages/controller/src/leadership/leadership.ts
@@ -1,4 +1,4 @@
-/** Leader election over the leader key of the state service. */
+/** Leader election by means of the leader key in the state service. */
 import type { Instant, Precondition } from '@tealdock/wire';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
@@ -7,45 +7,45 @@
 import { readLeader, type LeaderValue } from '../state/stored-values.js';
 import { ElectionLease } from './election-lease.js';
 
-/** Renewals in one duration of the lease. */
+/** Number of renewals per lease duration. */
 const RENEWALS_PER_LEASE_COUNT = 6;
 const WATCH_TIMEOUT_MS = 10_000;
 const READ_RETRY_DELAY_MS = 500;
-/** Pause between reads of the leader key while it is vacant or an election is under way. */
+/** Interval between reads of the leader key while it is vacant or an election is in progress. */
 const ELECTION_POLL_INTERVAL_MS = 250;
-/** A watch that ended sooner than this without events was refused: the next one is delayed. */
+/** A watch that ends sooner than this without events was refused, so the next read is delayed. */
 const MIN_WATCH_DURATION_MS = 2000;
-/** Random delay before a candidate writes the key, so that candidates rarely collide. */
+/** Upper bound of a random delay before an election, so that candidates rarely collide. */
 const MAX_ELECTION_JITTER_MS = 200;
-/** After a resignation the other nodes get this long to take over. */
+/** After resigning, a node waits this long before it runs for election, so others can win. */
 const REELECTION_BACKOFF_MS = 12_000;
 const NONCE_RANGE = 2 ** 31;
 
-/** Leadership that is surely held until an instant. */
+/** Leadership that is certain to be held until `validUntil`. */
 export interface LeaderLease {
   fencingToken: number;
   validUntil: Instant;
 }
 
-/** Receives the changes of this node's leadership. */
+/** Is notified when this node gains or loses leadership. */
 export interface LeadershipListener {
-  /** This node has won an election; the fencing token is higher than those of all earlier terms. */
+  /** This node has won an election. Its fencing token is higher than those of all earlier terms. */
   onElected(fencingToken: number): void;
-  /** This node leads no longer. */
+  /** This node is no longer the leader. */
   onLeadershipLost(): void;
 }
 
 /**
- * Whoever holds the leader key on a lease of the state service is the leader. The fencing
- * token is the revision of the commit that wrote the key.
+ * The leader is the member whose name the leader key holds. The key is attached to a lease of the
+ * state service, and the revision of the commit that wrote it is the fencing token.
  */
 export class Leadership {
   private observedLeader: string | null = null;
-  private observedVersion: number | null = null;
+  private leaderKeyVersion: number | null = null;
   private readonly lease: ElectionLease;
-  /** Set while this node leads. */
+  /** Null while this node is not the leader. */
   private fencingToken: number | null = null;
-  /** What this node's newest commit of the leader key wrote; null if that can't have lasted. */
+  /** Nonce in this node's last write of the leader key; null if that write can't be in effect. */
   private nonce: string | null = null;
   private electionInProgress = false;
   private reelectionAllowedAt: Instant = 0;
@@ -58,17 +58,17 @@
     this.lease = new ElectionLease(runtime, state);
   }
 
-  /** Member that the leader key names, as last read; null when vacant or unknown. */
+  /** Member named in the leader key, as last read; null if the key is vacant or unknown. */
   get leader(): string | null {
     return this.observedLeader;
   }
 
-  /** Fencing token of the current leader, as last read; null when the key is vacant. */
+  /** Fencing token of the current leader, as last read; null if the key is vacant or unknown. */
   get leaderFencingToken(): number | null {
-    return this.observedVersion;
+    return this.leaderKeyVersion;
   }
 
-  /** Begins to take part in elections, for as long as the process runs. */
+  /** Starts to take part in elections, until the process ends. */
   start(): void {
     this.readLeaderKey();
     const { leaseDuration } = this.runtime.operator.leadership;
@@ -78,18 +78,18 @@
     });
   }
 
-  /** Null unless this node leads and its lease is surely valid now. */
+  /** Returns the leader lease; null unless this node leads and the lease is certainly valid now. */
   validLease(): LeaderLease | null {
     if (this.fencingToken === null || this.runtime.now >= this.lease.validUntil) return null;
     return { fencingToken: this.fencingToken, validUntil: this.lease.validUntil };
   }
 
-  /** Guards every transaction of a leader: it fails once another node has been elected. */
+  /** Precondition for all transactions of a leader; fails once another node has been elected. */
   leaderPrecondition(): Precondition {
     return { key: LEADER_KEY, version: this.fencingToken ?? 0 };
   }
 
-  /** Gives leadership up and leaves the next election to the other nodes; logs the reason. */
+  /** Gives up leadership and leaves the next election to the other nodes. Logs the reason. */
   resign(reason: string): void {
     const { fencingToken } = this;
     if (fencingToken === null) return;
@@ -100,7 +100,7 @@
     this.onLeadershipLost();
   }
 
-  /** Ends leadership if the token is higher than its own: then another node was elected. */
+  /** Ends leadership if the token is higher than this node's, since another node was elected. */
   observeHigherToken(observedToken: number): void {
     const { fencingToken } = this;
     if (fencingToken === null || observedToken <= fencingToken) return;
@@ -108,7 +108,7 @@
     this.onLeadershipLost();
   }
 
-  /** Reads the key, acts on it, then watches for its next change. */
+  /** Reads the leader key, acts on it, then watches or polls for its next change. */
   private readLeaderKey(): void {
     this.state.getValue(LEADER_KEY, readLeader, PRIORITY.lease, (read) => {
       if (read.kind === 'failed') return this.readLeaderKeyAfter(READ_RETRY_DELAY_MS);
@@ -135,7 +135,7 @@
 
   private onLeaderKeyVacant(): void {
     this.observedLeader = null;
-    this.observedVersion = null;
+    this.leaderKeyVersion = null;
     if (this.fencingToken !== null) this.onLeadershipLost();
     if (this.electionInProgress || this.runtime.now < this.reelectionAllowedAt) return;
     this.startElection(0, this.runtime.env.random() * MAX_ELECTION_JITTER_MS);
@@ -143,18 +143,18 @@
 
   private onLeaderKeyHeld(holder: LeaderValue, version: number): void {
     this.observedLeader = holder.member;
-    this.observedVersion = version;
+    this.leaderKeyVersion = version;
     if (version === this.fencingToken) return;
     if (this.fencingToken !== null) this.onLeadershipLost();
     const isOwnMember = holder.member === this.runtime.settings.member;
     if (!isOwnMember || this.electionInProgress) return;
-    // A commit of this process that got no answer has been executed.
+    // This process wrote the key by a commit whose response was lost.
     if (this.nonce !== null && holder.nonce === this.nonce) return this.onElected(version);
-    // An earlier process of this member wrote the key. It has ended: there is never more than one.
+    // An earlier process of this member wrote the key. It has ended, since a member never runs two.
     this.startElection(version, 0);
   }
 
-  /** Writes the leader key if it still has that version. */
+  /** After the delay, obtains a lease and writes the leader key if it still has that version. */
   private startElection(version: number, delay: number): void {
     this.electionInProgress = true;
     this.runtime.after(delay, () =>
