--- a/packages/controller/src/term/bindings.ts
+++ b/packages/controller/src/term/bindings.ts
@@ -10,7 +10,7 @@
 import type { UsageLedger } from '../machines/usage-ledger.js';
 import type { DirtyMachines } from './dirty-machines.js';
 
-/** Attempt numbers in the range of one term for one task; the ranges of terms do not overlap. */
+/** Size of a term's range of attempt numbers for one task; ranges of two terms never overlap. */
 const MAX_TERM_ATTEMPT_COUNT = 65_536;
 
 /** A task that a heartbeat lists as not exited. */
--- a/packages/controller/src/term/worker-commands.ts
+++ b/packages/controller/src/term/worker-commands.ts
@@ -1,4 +1,4 @@
-/** Commands that a worker receives in the response to its heartbeat. */
+/** Commands that a worker receives in responses to its heartbeats. */
 import {
   splitTaskId,
   type Duration,
@@ -157,8 +157,8 @@
   }
 
   /**
-   * Whether the worker may forget an exited task. A done task of a live job may be
-   * forgotten once the state service has stored that it is done, any other at once.
+   * Whether the worker may forget an exited task. A done task of a live job may be forgotten once
+   * the state service has stored that it is done, any other task at once.
    */
   private mayForget(task: string, reason: TaskStatus['reason']): boolean {
     const parsed = splitTaskId(task);
