--- a/packages/controller/src/autoscaling/autoscaler.ts
+++ b/packages/controller/src/autoscaling/autoscaler.ts
@@ -20,7 +20,7 @@
 const SCALE_OUT_INTERVAL_MS = 1000;
 const SCALE_IN_INTERVAL_MS = 300;
 /** Machines that one plan may rent. */
-const MAX_PLANNED_MACHINE_COUNT = 400;
+const MAX_PLANNED_RENTAL_COUNT = 400;
 /** In a new term, scaling out begins after this even if some machines are not reconciled. */
 const RECONCILIATION_TIMEOUT_MS = 15_000;
 
@@ -76,8 +76,8 @@
   }
 
   /** See `FleetPolicy`. */
-  price(machine: Machine, type: MachineType): number {
-    return this.pricing.price(machine, type);
+  marginalPrice(machine: Machine, type: MachineType): number {
+    return this.pricing.marginalPrice(machine, type);
   }
 
   /** See `FleetPolicy`. */
@@ -86,7 +86,7 @@
   }
 
   /** See `FleetPolicy`. */
-  consolidates(): boolean {
+  shouldConsolidate(): boolean {
     return this.inventory.policy === 'frugal';
   }
 
@@ -106,20 +106,17 @@
     if (!this.term.stateLoaded || !this.inventory.isOwnershipKnown) return;
     if (this.catalog.types.length === 0) return;
     this.rentals.repeatUnanswered();
-    this.rentMissing();
+    this.rentForBacklog();
   }
 
   /** What has not been rented is requested at once, elsewhere where it was refused. */
   private scaleOutAgain(): void {
-    if (this.mayAct() && this.rentals.pending.length === 0) this.rentMissing();
+    if (this.mayAct() && this.rentals.pending.length === 0) this.rentForBacklog();
   }
 
-  private rentMissing(): void {
+  private rentForBacklog(): void {
     if (!this.isBacklogKnown()) return;
-    const maxMachines = Math.min(
-      MAX_PLANNED_MACHINE_COUNT,
-      this.capacity.unusedWorkerSocketCount(),
-    );
+    const maxMachines = Math.min(MAX_PLANNED_RENTAL_COUNT, this.capacity.unusedWorkerSocketCount());
     const backlog = this.backlog.entries();
     const offerings = this.rentals.offerings();
     const plan = planRentals(backlog, this.capacity.list(), offerings, maxMachines);
--- a/packages/controller/src/autoscaling/fleet-pricing.ts
+++ b/packages/controller/src/autoscaling/fleet-pricing.ts
@@ -19,7 +19,7 @@
    * in use anyway. An expensive one keeps its price also while it is in use, so that it gets no
    * more work than necessary, falls idle and is returned.
    */
-  price(machine: Machine, type: MachineType): number {
+  marginalPrice(machine: Machine, type: MachineType): number {
     if (this.inventory.isOwned(machine.id)) return 0;
     const price = machine.spot ? type.spotPrice : type.price;
     if (this.inventory.policy === 'fast' || machine.bindings.size === 0) return price;
--- a/packages/controller/src/autoscaling/machine-inventory.ts
+++ b/packages/controller/src/autoscaling/machine-inventory.ts
@@ -26,23 +26,23 @@
 export type ScalingPolicy = Exclude<OperatorSettings['fleet']['policy'], 'auto'>;
 
 /** A machine that was rented, or is listed, and has not sent a heartbeat yet. */
-export interface Provisioning extends MachinePool {
+export interface ProvisioningMachine extends MachinePool {
   requestedAt: Instant;
 }
 
 /** Keeps the newest machine list, which lags, and the machines that are being provisioned. */
 export class MachineInventory {
   /** By machine id. */
-  readonly provisioning = new Map<string, Provisioning>();
+  readonly provisioning = new Map<string, ProvisioningMachine>();
   private listed = new Map<string, ListedMachine>();
   /** When the newest complete list was requested; null before the first. */
-  private listRequestedAt: Instant | null = null;
+  private completeListRequestedAt: Instant | null = null;
   /**
    * The last machine that was there before the first rental, by the order of ids; null while
    * unknown, '' if there was none.
    */
   private lastOwnedId: string | null = null;
-  private lastListingAt: Instant = -Infinity;
+  private lastListRequestAt: Instant = -Infinity;
 
   constructor(
     private readonly runtime: Runtime,
@@ -54,7 +54,7 @@
 
   /** Reads which machines are owned. */
   start(): void {
-    this.readOwned();
+    this.loadLastOwnedId();
   }
 
   /** As the operator set it, or `fast` where machines are owned. */
@@ -81,8 +81,8 @@
 
   /** The list would show any machine observed before this; null before the first list. */
   get listCompleteUntil(): Instant | null {
-    if (this.listRequestedAt === null) return null;
-    return this.listRequestedAt - this.maxListLag;
+    if (this.completeListRequestedAt === null) return null;
+    return this.completeListRequestedAt - this.maxListLag;
   }
 
   /** The machine has been returned. */
@@ -94,9 +94,9 @@
   /** Requests the list; seldom once all machines are reconciled. */
   refreshList(): void {
     const { now } = this.runtime;
-    const isRecent = now - this.lastListingAt < LIST_INTERVAL_MS;
+    const isRecent = now - this.lastListRequestAt < LIST_INTERVAL_MS;
     if (isRecent && this.term.stateLoaded && this.term.allMachinesReconciled) return;
-    this.lastListingAt = now;
+    this.lastListRequestAt = now;
     this.requestPage('', new Map(), now);
   }
 
@@ -118,8 +118,8 @@
       const last = page.machines.at(-1);
       if (page.more && last) return this.requestPage(last.id, machines, requestedAt);
       this.listed = machines;
-      this.listRequestedAt = requestedAt;
-      this.storeOwned();
+      this.completeListRequestedAt = requestedAt;
+      this.storeLastOwnedId();
       this.addListedProvisioning();
       this.removeEndedProvisioning(requestedAt - this.maxListLag);
     });
@@ -141,24 +141,24 @@
     }
   }
 
-  private readOwned(): void {
+  private loadLastOwnedId(): void {
     if (this.term.closed) return;
     this.state.getValue(OWNED_KEY, readOwned, PRIORITY.leader, (result) => {
       if (result.kind === 'failed')
-        return this.runtime.after(STATE_READ_RETRY_MS, () => this.readOwned());
+        return this.runtime.after(STATE_READ_RETRY_MS, () => this.loadLastOwnedId());
       if (result.kind === 'found') this.lastOwnedId = result.value.last;
     });
   }
 
   /** With the first list, before any rental: all machines known now are owned. */
-  private storeOwned(): void {
+  private storeLastOwnedId(): void {
     if (this.lastOwnedId !== null) return;
     const last = [...this.listed.keys(), ...this.term.machines.keys()].sort().at(-1) ?? '';
     const preconditions = [this.leadership.leaderPrecondition(), { key: OWNED_KEY, version: 0 }];
     const write = { put: OWNED_KEY, value: { last } };
     this.state.compareAndSwap(preconditions, [write], PRIORITY.leader, (result) => {
       if (result.kind === 'ok') this.lastOwnedId = last;
-      else this.readOwned();
+      else this.loadLastOwnedId();
     });
   }
 }
--- a/packages/controller/src/autoscaling/rental-backlog.ts
+++ b/packages/controller/src/autoscaling/rental-backlog.ts
@@ -4,7 +4,7 @@
 import type { LiveJob } from '../jobs/live-job.js';
 import type { MachineTypes } from '../placement/fleet-policy.js';
 import { fetchTime } from '../placement/image-availability.js';
-import { jobsWithinGuarantee, latestStart } from '../placement/start-deadlines.js';
+import { jobsWithinGuarantee, earliestStartDeadline } from '../placement/start-deadlines.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { Term } from '../term/term.js';
 import { CHEAP_PRICE_FACTOR } from './fleet-pricing.js';
@@ -17,7 +17,7 @@
 
 interface PendingJob {
   job: LiveJob;
-  latestStart: Instant;
+  startDeadline: Instant;
 }
 
 /** Tasks without a machine, and spare capacity for those to come. */
@@ -37,13 +37,13 @@
   private waitingEntries(): BacklogEntry[] {
     const offerings = listOfferings(this.catalog.types, () => false);
     const freeCpusByTeam = new Map<string, number>();
-    return this.pendingJobs().map(({ job, latestStart }): BacklogEntry => {
+    return this.pendingJobs().map(({ job, startDeadline }): BacklogEntry => {
       const { spec, unboundTaskCount } = job;
       const freeCpus = freeCpusByTeam.get(spec.team) ?? this.freeCpusOf(spec.team);
       const limit = spec.cpus > 0 ? Math.floor(freeCpus / spec.cpus) : unboundTaskCount;
       const taskCount = Math.max(0, Math.min(unboundTaskCount, limit));
       freeCpusByTeam.set(spec.team, freeCpus - taskCount * spec.cpus);
-      return { spec, taskCount, maxSlotPrice: this.maxSlotPrice(job, latestStart, offerings) };
+      return { spec, taskCount, maxSlotPrice: this.maxSlotPrice(job, startDeadline, offerings) };
     });
   }
 
@@ -53,14 +53,14 @@
     const guaranteed = jobsWithinGuarantee(this.term.jobs.values(), settings);
     return [...this.term.jobs.values()]
       .filter((job) => job.unboundTaskCount > 0 && !job.backoff.isActive(now))
-      .map((job) => ({ job, latestStart: this.latestStartOf(job, guaranteed.has(job.id)) }))
-      .sort((a, b) => a.latestStart - b.latestStart);
+      .map((job) => ({ job, startDeadline: this.startDeadlineOf(job, guaranteed.has(job.id)) }))
+      .sort((a, b) => a.startDeadline - b.startDeadline);
   }
 
-  private latestStartOf(job: LiveJob, isGuaranteed: boolean): Instant {
+  private startDeadlineOf(job: LiveJob, isGuaranteed: boolean): Instant {
     const { settings } = this.runtime;
     const runTimeRatio = this.term.runTimeRatios.ratioOf(job.spec.jobClass);
-    const instant = latestStart(job, { settings, runTimeRatio, isGuaranteed });
+    const instant = earliestStartDeadline(job, { settings, runTimeRatio, isGuaranteed });
     return instant === Infinity ? job.dependencies.startableAt + MAX_CHEAP_WAIT_MS : instant;
   }
 
@@ -71,14 +71,14 @@
   }
 
   /** Expensive machines are only for work that would otherwise start too late. */
-  private maxSlotPrice(job: LiveJob, latestStart: Instant, offerings: Offering[]): number {
+  private maxSlotPrice(job: LiveJob, startDeadline: Instant, offerings: Offering[]): number {
     if (this.inventory.policy === 'fast') return Infinity;
     const { types } = this.catalog;
     const slowestFetchGbPerS = Math.min(...types.map(({ fetchGbPerS }) => fetchGbPerS));
     const slowestBoot = Math.max(...types.map(({ boot }) => boot));
     const leadTime =
       slowestBoot * MAX_BOOT_TIME_FACTOR + fetchTime(job.spec.imageGb, slowestFetchGbPerS);
-    if (this.runtime.now >= latestStart - leadTime) return Infinity;
+    if (this.runtime.now >= startDeadline - leadTime) return Infinity;
     return minSlotPrice(offerings, job.spec) * CHEAP_PRICE_FACTOR;
   }
 
--- a/packages/controller/src/autoscaling/return-rules.ts
+++ b/packages/controller/src/autoscaling/return-rules.ts
@@ -4,7 +4,7 @@
 import type { MachineTypes } from '../placement/fleet-policy.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { Term } from '../term/term.js';
-import type { MachineInventory, Provisioning } from './machine-inventory.js';
+import type { MachineInventory, ProvisioningMachine } from './machine-inventory.js';
 
 /** The cloud charges a machine that is returned for at least this long. */
 const MIN_CHARGED_TIME_MS = 60_000;
@@ -38,16 +38,17 @@
 
   /** Machines that go back now. */
   machinesToReturn(): Machine[] {
-    const isDelayed = this.isReconciliationDelayed();
+    const includeUnreconciled = this.shouldReturnUnreconciled();
     return [...this.term.machines.values()].filter(
-      (machine) => !machine.registration.isReturning && this.shouldReturn(machine, isDelayed),
+      (machine) =>
+        !machine.registration.isReturning && this.shouldReturn(machine, includeUnreconciled),
     );
   }
 
   /** Machines that failed or never came up, by id: no term has given them work. */
   neverUsedMachines(): string[] {
     const failed = [...this.inventory.listedMachines]
-      .filter(([id, { state }]) => state === 'failed' && !this.isKnown(id))
+      .filter(([id, { state }]) => state === 'failed' && !this.isInFleetOrTerminated(id))
       .map(([id]) => id);
     const neverUp = [...this.inventory.provisioning]
       .filter(([, machine]) => this.isBootOverdue(machine))
@@ -63,24 +64,24 @@
     return bindings.size === 0 && this.runtime.now > this.term.leaseExpiry.leaseEnd(lastCountedAt);
   }
 
-  private isKnown(id: string): boolean {
+  private isInFleetOrTerminated(id: string): boolean {
     return this.term.machines.has(id) || this.term.machineRegistry.isTerminated(id);
   }
 
-  private isBootOverdue({ type, requestedAt }: Provisioning): boolean {
+  private isBootOverdue({ type, requestedAt }: ProvisioningMachine): boolean {
     const boot = this.catalog.types.find(({ name }) => name === type)?.boot;
     if (boot === undefined) return false;
     const limit = boot * this.runtime.operator.fleet.bootTimeoutFactor + BOOT_MARGIN_MS;
     return this.runtime.now - requestedAt > limit;
   }
 
-  private shouldReturn(machine: Machine, isReconciliationDelayed: boolean): boolean {
+  private shouldReturn(machine: Machine, includeUnreconciled: boolean): boolean {
     const { id, health, registration } = machine;
     const hasFailed = this.inventory.listedMachines.get(id)?.state === 'failed';
     if (hasFailed || this.hasVanished(machine)) return true;
     if (this.inventory.isOwned(id) || !this.inventory.isOwnershipKnown) return false;
     if (health.consecutiveLostStartCount >= MAX_LOST_START_COUNT) return true;
-    if (!registration.isReconciled) return isReconciliationDelayed;
+    if (!registration.isReconciled) return includeUnreconciled;
     return this.isLongSilent(machine) || this.isLongIdle(machine);
   }
 
@@ -91,11 +92,12 @@
   private hasVanished({ id, heartbeats, registration }: Machine): boolean {
     const { listCompleteUntil, listedMachines } = this.inventory;
     if (listCompleteUntil === null || listedMachines.has(id)) return false;
-    if (this.silenceOf(heartbeats.lastLeaseRenewalAt) < this.maxSilence(heartbeats)) return false;
+    if (this.timeSinceLeaseRenewal(heartbeats.lastLeaseRenewalAt) < this.maxSilence(heartbeats))
+      return false;
     return listCompleteUntil > registration.firstObservedAt;
   }
 
-  private silenceOf(lastLeaseRenewalAt: number | null): Duration {
+  private timeSinceLeaseRenewal(lastLeaseRenewalAt: number | null): Duration {
     return this.runtime.now - (lastLeaseRenewalAt ?? this.term.electedAt);
   }
 
@@ -109,7 +111,7 @@
    * Whether few machines are not reconciled while the rest of the fleet is: the answers to
    * their returns prove them gone sooner than the expiry of their leases would.
    */
-  private isReconciliationDelayed(): boolean {
+  private shouldReturnUnreconciled(): boolean {
     const termAge = this.runtime.now - this.term.electedAt;
     if (termAge < FEW_UNRECONCILED_TIMEOUT_MS) return false;
     const unreconciledCount = this.term.unreconciledMachines().length;
--- a/packages/controller/src/placement/capacity-reservation.ts
+++ b/packages/controller/src/placement/capacity-reservation.ts
@@ -83,7 +83,7 @@
     const { job, holders } = search;
     if (chosen.machine.hasImage(job.spec.image)) return false;
     const waited = this.runtime.now - job.dependencies.startableAt;
-    const left = this.urgency.startObjective(job) - waited;
+    const left = this.urgency.waitObjective(job) - waited;
     if (maxStartTime(job, chosen.type) < left || left < REPLACEMENT_TIME_MS) return false;
     const requested = resourcesOf(job.spec);
     const findHolder = () =>
@@ -120,8 +120,8 @@
     const { now } = this.runtime;
     if (!cycle.mayPlanPreemption || job.placement.nextPreemptionPlanAt > now) return false;
     const hasVictims =
-      cycle.hasLowerPriorityWork(job) ||
-      (cycle.hasOtherTeams(job) && this.urgency.mayReclaimGuarantee(job));
+      cycle.hasLowerPriorityTasks(job) ||
+      (cycle.hasTasksOfOtherTeams(job) && this.urgency.mayReclaimGuarantee(job));
     if (!hasVictims) return false;
     const waited = now - (job.placement.starvedSince ?? now);
     return !this.fleetPolicy.canScaleOut() || waited >= this.urgency.scaleOutWait(job);
--- a/packages/controller/src/placement/fleet-policy.ts
+++ b/packages/controller/src/placement/fleet-policy.ts
@@ -10,9 +10,9 @@
 /** Price and growth of the fleet. */
 export interface FleetPolicy {
   /** What work on the machine adds to the bill per hour; 0 where it costs nothing more. */
-  price(machine: Machine, type: MachineType): number;
+  marginalPrice(machine: Machine, type: MachineType): number;
   /** Whether any machines can be rented just now. */
   canScaleOut(): boolean;
   /** Whether work is to be consolidated on few machines, so that others fall idle. */
-  consolidates(): boolean;
+  shouldConsolidate(): boolean;
 }
--- a/packages/controller/src/placement/image-availability.ts
+++ b/packages/controller/src/placement/image-availability.ts
@@ -79,7 +79,7 @@
     const { awaitedImages } = machine.usage;
     if (awaitedImages.size === 0) return RANK_IDLE;
     const delay = this.delayOn(machine);
-    const slowdownFactor = delay / this.undisturbedFetchTime(type);
+    const slowdownFactor = delay / this.uncontendedFetchTime(type);
     if (awaitedImages.has(image) && slowdownFactor <= 1) return RANK_FETCHING;
     const { maxDelay, maxSlowdownFactor } = this.limits;
     const isSoonEnough = delay <= maxDelay || slowdownFactor <= maxSlowdownFactor;
@@ -93,7 +93,7 @@
   }
 
   /** What the fetch takes on a machine that fetches nothing else. */
-  private undisturbedFetchTime(type: MachineType): Duration {
+  private uncontendedFetchTime(type: MachineType): Duration {
     return Math.max(MIN_FETCH_TIME_MS, fetchTime(this.spec.imageGb, type.fetchGbPerS));
   }
 }
--- a/packages/controller/src/placement/job-placement.ts
+++ b/packages/controller/src/placement/job-placement.ts
@@ -43,8 +43,8 @@
     const isStarving = this.parts.urgency.isStarving(job);
     const tasks = isStarving ? closed.slice(0, MAX_STARVING_TASK_COUNT) : closed;
     const search = this.searchFor(job, cycle);
-    if (cycle.unplaceableDemands.has(search.demandKey))
-      return this.reserveForLater(search, tasks, cycle);
+    if (cycle.unplaceableDemandKeys.has(search.demandKey))
+      return this.deferTasks(search, tasks, cycle);
     // The zone of an earlier window says nothing about this one.
     job.placement.gangZone = null;
     const isGang = job.spec.kind === 'gang';
@@ -63,8 +63,8 @@
       if (!chosen) {
         reservation.recordNoFit();
         // Where only fetches are in the way, another job may use the capacity.
-        if (volunteers.tooSlowCount === 0) cycle.unplaceableDemands.add(search.demandKey);
-        return this.reserveForLater(search, tasks.slice(index), cycle);
+        if (volunteers.tooSlowCount === 0) cycle.unplaceableDemandKeys.add(search.demandKey);
+        return this.deferTasks(search, tasks.slice(index), cycle);
       }
       if (reservation.reserveOnHolder(search, chosen, cycle)) continue;
       if (reservation.shouldAwaitHolder(search, chosen)) return;
@@ -105,11 +105,7 @@
   }
 
   /** For tasks without a fit: windows that are over start again, and capacity is reserved. */
-  private reserveForLater(
-    search: PlacementSearch,
-    tasks: OpenTask[],
-    cycle: SchedulingCycle,
-  ): void {
+  private deferTasks(search: PlacementSearch, tasks: OpenTask[], cycle: SchedulingCycle): void {
     if (tasks.length === 0) return;
     const { now, operator } = this.runtime;
     search.job.placement.starvedSince ??= now;
--- a/packages/controller/src/placement/job-urgency.ts
+++ b/packages/controller/src/placement/job-urgency.ts
@@ -42,7 +42,7 @@
     return {
       spec: job.spec,
       startableAt: job.dependencies.startableAt,
-      latestStart: this.nextStartDeadline(job),
+      nextStartDeadline: this.nextStartDeadline(job),
       isGuaranteed: this.teams.isBelowGuarantee(job),
       isStarving: this.isStarving(job),
     };
@@ -79,7 +79,7 @@
   }
 
   /** Within what time tasks of the job's class should start; Infinity without an objective. */
-  startObjective(job: LiveJob): Duration {
+  waitObjective(job: LiveJob): Duration {
     let shortest = Infinity;
     for (const { kind, jobClass, within } of this.runtime.settings.objectives) {
       if (kind !== 'wait' || jobClass !== job.spec.jobClass || within === null) continue;
--- a/packages/controller/src/placement/scheduling-cycle.ts
+++ b/packages/controller/src/placement/scheduling-cycle.ts
@@ -12,7 +12,7 @@
 const MAX_PLANNED_MACHINE_COUNT = 1200;
 
 /** What a cycle reads of the term. */
-interface BoundTasks {
+interface CycleTermView {
   readonly jobs: ReadonlyMap<string, LiveJob>;
   readonly ledger: UsageView;
 }
@@ -24,7 +24,7 @@
  */
 export class SchedulingCycle {
   /** Demand keys that fit on no machine. */
-  readonly unplaceableDemands = new Set<string>();
+  readonly unplaceableDemandKeys = new Set<string>();
   private assignments = 0;
   private plans = 0;
   private plannedMachines = 0;
@@ -38,7 +38,7 @@
   /** At least one job has to wait. */
   constructor(
     private readonly machines: MachineCapacity[],
-    private readonly term: BoundTasks,
+    private readonly term: CycleTermView,
     waiting: LiveJob[],
   ) {
     const smallest = waiting.map(({ spec }) => resourcesOf(spec)).reduce(minResources);
@@ -77,12 +77,12 @@
   }
 
   /** Whether tasks of lower priority are bound, which might be stopped for the job. */
-  hasLowerPriorityWork(job: LiveJob): boolean {
+  hasLowerPriorityTasks(job: LiveJob): boolean {
     return this.lowestBoundRank < priorityRank(job.spec);
   }
 
   /** Whether tasks of other teams are bound. */
-  hasOtherTeams(job: LiveJob): boolean {
+  hasTasksOfOtherTeams(job: LiveJob): boolean {
     return this.boundTeams.size > (this.boundTeams.has(job.spec.team) ? 1 : 0);
   }
 
--- a/packages/controller/src/placement/start-deadlines.ts
+++ b/packages/controller/src/placement/start-deadlines.ts
@@ -34,7 +34,7 @@
 }
 
 /** Until when the job's tasks should start, by its deadline and all objectives for its class. */
-export function latestStart(job: LiveJob, conditions: StartConditions): Instant {
+export function earliestStartDeadline(job: LiveJob, conditions: StartConditions): Instant {
   return Math.min(Infinity, ...startDeadlines(job, conditions));
 }
 
--- a/packages/controller/src/placement/team-capacity.ts
+++ b/packages/controller/src/placement/team-capacity.ts
@@ -14,7 +14,7 @@
 import type { MachineTypes } from './fleet-policy.js';
 
 /** What may run on a machine of unknown type. */
-const UNKNOWN_RESOURCES: Resources = { cpus: Infinity, gpus: Infinity, memoryGb: 0 };
+const UNKNOWN_TYPE_RESOURCES: Resources = { cpus: Infinity, gpus: Infinity, memoryGb: 0 };
 
 /** Counts all that is bound, and what this cycle has reserved (docs/safety.md, rule `quota`). */
 export class TeamCapacity {
@@ -38,7 +38,7 @@
   refreshUnreconciled(): void {
     this.unreconciledResources = this.term
       .unreconciledMachines()
-      .map((machine) => machineTypeOf(this.catalog.types, machine) ?? UNKNOWN_RESOURCES)
+      .map((machine) => machineTypeOf(this.catalog.types, machine) ?? UNKNOWN_TYPE_RESOURCES)
       .reduce(addResources, NO_RESOURCES);
   }
 
--- a/packages/controller/src/placement/volunteers.ts
+++ b/packages/controller/src/placement/volunteers.ts
@@ -30,7 +30,7 @@
 export class Volunteers {
   private readonly volunteers: VolunteerMachine[] = [];
   private readonly requested: Resources;
-  private readonly consolidates: boolean;
+  private readonly shouldConsolidate: boolean;
   /** Machines that fit a task, but would have the image too late. */
   tooSlowCount = 0;
 
@@ -40,14 +40,14 @@
     private readonly rules: VolunteerRules,
   ) {
     this.requested = resourcesOf(job.spec);
-    this.consolidates = rules.fleetPolicy.consolidates();
+    this.shouldConsolidate = rules.fleetPolicy.shouldConsolidate();
     for (const capacity of machines) {
       if (!fits(this.requested, capacity.free)) continue;
-      const volunteer = this.volunteerOn(capacity);
+      const volunteer = this.toVolunteer(capacity);
       if (volunteer) this.volunteers.push(volunteer);
       else this.tooSlowCount++;
     }
-    if (this.consolidates) this.volunteers.sort(compareForConsolidation);
+    if (this.shouldConsolidate) this.volunteers.sort(compareForConsolidation);
   }
 
   /** The best one; undefined if there are none. */
@@ -62,26 +62,26 @@
     const index = this.volunteers.findIndex((volunteer) => volunteer.capacity === capacity);
     this.volunteers.splice(index, 1);
     if (!fits(this.requested, capacity.free)) return;
-    const changed = this.volunteerOn(capacity);
-    if (changed) this.volunteers.splice(this.indexFor(changed, index), 0, changed);
+    const changed = this.toVolunteer(capacity);
+    if (changed) this.volunteers.splice(this.insertionIndex(changed, index), 0, changed);
     else this.tooSlowCount++;
   }
 
   /** Fuller than before, it can only move towards the start. */
-  private indexFor(changed: VolunteerMachine, previousIndex: number): number {
-    if (!this.consolidates) return previousIndex;
+  private insertionIndex(changed: VolunteerMachine, previousIndex: number): number {
+    if (!this.shouldConsolidate) return previousIndex;
     const before = this.volunteers.slice(0, previousIndex);
     return before.findLastIndex((other) => compareForConsolidation(changed, other) >= 0) + 1;
   }
 
-  private volunteerOn(capacity: MachineCapacity): VolunteerMachine | null {
+  private toVolunteer(capacity: MachineCapacity): VolunteerMachine | null {
     const { machine, type, free } = capacity;
     const imageRank = this.rules.ranks.rankOf(capacity);
     if (imageRank === null) return null;
     return {
       capacity,
       allocatedFraction: allocatedFraction(type, free),
-      price: this.rules.fleetPolicy.price(machine, type),
+      price: this.rules.fleetPolicy.marginalPrice(machine, type),
       recentComputeTime: machine.usage.recentComputeTime / Math.max(1, type.cpus),
       imageRank,
     };
--- a/packages/scheduler/src/job-ordering.ts
+++ b/packages/scheduler/src/job-ordering.ts
@@ -16,7 +16,7 @@
   /** Since when the job may start. */
   startableAt: Instant;
   /** Latest start for the next objective that can still be met; Infinity when none can. */
-  latestStart: Instant;
+  nextStartDeadline: Instant;
   /** Whether the job's team is below its guarantee. */
   isGuaranteed: boolean;
   /** Whether none of its tasks has started for too long. */
@@ -35,6 +35,6 @@
   if (a.isGuaranteed !== b.isGuaranteed) return a.isGuaranteed ? -1 : 1;
   const byPriority = priorityRank(b.spec) - priorityRank(a.spec);
   if (byPriority !== 0) return byPriority;
-  if (a.latestStart !== b.latestStart) return a.latestStart - b.latestStart;
+  if (a.nextStartDeadline !== b.nextStartDeadline) return a.nextStartDeadline - b.nextStartDeadline;
   return a.startableAt - b.startableAt;
 }
--- a/packages/scheduler/src/pareto-front.ts
+++ b/packages/scheduler/src/pareto-front.ts
@@ -25,7 +25,7 @@
     a.recentComputeTime < b.recentComputeTime);
 
 /** A member of the front at or above the volunteer; dominance is transitive, so one pass does. */
-function climbToFront<V extends Volunteer>(from: V, volunteers: readonly V[]): V {
+function findFrontMember<V extends Volunteer>(from: V, volunteers: readonly V[]): V {
   let top = from;
   for (const volunteer of volunteers) if (dominates(volunteer, top)) top = volunteer;
   return top;
@@ -40,7 +40,7 @@
   const front: V[] = [];
   for (const volunteer of volunteers) {
     if (front.some((member) => dominates(member, volunteer))) continue;
-    const top = climbToFront(volunteer, volunteers);
+    const top = findFrontMember(volunteer, volunteers);
     if (top === volunteer) return volunteer;
     front.push(top);
   }
