--- a/packages/controller/src/placement/capacity-reservation.ts
+++ b/packages/controller/src/placement/capacity-reservation.ts
@@ -1,4 +1,4 @@
-/** Capacity for tasks that fit nowhere yet: it is reserved, or freed by preemption. */
+/** Reserves capacity for tasks that do not start now, and frees it by preemption. */
 import type { Duration, Instant, MachineType } from '@tealdock/wire';
 import { fits, resourcesOf, subtractResources } from '@tealdock/scheduler';
 import type { LiveJob } from '../jobs/live-job.js';
@@ -12,19 +12,20 @@
 import type { SchedulingCycle } from './scheduling-cycle.js';
 import type { TeamCapacity } from './team-capacity.js';
 
-/** Time to stop a task and start another in its place. */
+/** Estimated time to stop a task and start another in its place. */
 const REPLACEMENT_TIME_MS = 4000;
-/** Fetches run at their type's rate, give or take a third; a start takes a moment as well. */
+/** An image fetch takes up to a third longer than at the rate of its machine type. */
 const MAX_FETCH_TIME_FACTOR = 4 / 3;
+/** Time to start a task once its image is on the machine. */
 const START_TIME_MS = 1000;
-/** Capacity is scarce for so long after a task fitted nowhere. */
+/** Capacity counts as scarce for this long after a task fitted on no machine. */
 const SCARCITY_TIMEOUT_MS = 10_000;
-/** Fraction of a fetch's time that a task waits for a holder of its image. */
+/** Longest wait for a holder of an image, as a fraction of the time for a start with a fetch. */
 const HOLDER_WAIT_FRACTION = 1 / 4;
-/** Time between preemption plans for one job. */
+/** Shortest time between two preemption plans for one job. */
 const PREEMPTION_PLAN_INTERVAL_MS = 500;
 
-/** What the tasks of one job look for in a cycle. */
+/** Inputs for placing the tasks of one job in one cycle. */
 export interface PlacementSearch {
   readonly job: LiveJob;
   readonly demandKey: string;
@@ -32,9 +33,12 @@
   holders: ImageHolders;
 }
 
-/** Decides what tasks wait for that could not be assigned at once. */
+/**
+ * Reserves capacity for tasks that do not start now, so that no later job of the same cycle
+ * counts on it. Also decides whether a task waits for a machine that holds its image.
+ */
 export class CapacityReservation {
-  /** When a task last fitted nowhere. */
+  /** When a task last fitted on no machine. */
   private lastNoFitAt: Instant = -Infinity;
 
   constructor(
@@ -45,17 +49,20 @@
     private readonly fleetPolicy: FleetPolicy,
   ) {}
 
-  /** A task fitted on no machine. */
+  /** Records that a task fitted on no machine, so that capacity counts as scarce. */
   recordNoFit(): void {
     this.lastNoFitAt = this.runtime.now;
   }
 
-  /** Reserves what will be free for the tasks, and preempts others where that is allowed. */
+  /**
+   * Reserves capacity for so many tasks of the job on machines where they fit after all
+   * requested stops. For the remaining tasks, preempts others if that is allowed.
+   */
   reserve(search: PlacementSearch, taskCount: number, cycle: SchedulingCycle): void {
     const { job } = search;
     const nextMachine = machinesFreeAfterStops(search, cycle);
     let preemption: Preemption | null = null;
-    for (let left = taskCount; left > 0; left--) {
+    for (let remaining = taskCount; remaining > 0; remaining--) {
       const machine = nextMachine();
       if (machine) {
         this.reserveOn(machine, job);
@@ -71,9 +78,10 @@
   }
 
   /**
-   * Whether a task is to wait for a holder of its image, on which capacity is reserved then: a
-   * fetch would break the objective for its start, while a holder has capacity in time, or can
-   * be given it by preemption.
+   * Whether a task should wait for a holder of its image instead of starting on the chosen
+   * machine. That is so if a fetch there would miss the job's wait objective, while a holder
+   * will have capacity after its requested stops or can be given it by preemption. This
+   * capacity is then reserved.
    */
   reserveOnHolder(
     search: PlacementSearch,
@@ -83,8 +91,8 @@
     const { job, holders } = search;
     if (chosen.machine.hasImage(job.spec.image)) return false;
     const waited = this.runtime.now - job.dependencies.startableAt;
-    const left = this.urgency.waitObjective(job) - waited;
-    if (maxStartTime(job, chosen.type) < left || left < REPLACEMENT_TIME_MS) return false;
+    const timeLeft = this.urgency.waitObjective(job) - waited;
+    if (maxStartTime(job, chosen.type) < timeLeft || timeLeft < REPLACEMENT_TIME_MS) return false;
     const requested = resourcesOf(job.spec);
     const findHolder = () =>
       holders.machines.find(({ freeAfterStops }) => fits(requested, freeAfterStops));
@@ -97,16 +105,17 @@
   }
 
   /**
-   * Whether the job is to wait a while for a slot on a holder of its image: capacity is
-   * scarce, and enough machines hold the image, though they are busy. Work whose image the
-   * other machines hold gets their capacity meanwhile.
+   * Whether the job should wait for a slot on a holder of its image instead of starting on the
+   * chosen machine. That is so for a limited time while capacity is scarce, if the holders are
+   * busy but large enough for all open tasks of the job. Meanwhile the other machines remain
+   * free for jobs whose images they hold.
    */
   shouldAwaitHolder({ job, holders }: PlacementSearch, chosen: MachineCapacity): boolean {
     const { now, operator } = this.runtime;
     const { machine } = chosen;
     const { image } = job.spec;
     if (machine.hasImage(image) || machine.usage.awaitedImages.has(image)) return false;
-    // With capacity to spare, a start that fetches takes nothing from others.
+    // While capacity is not scarce, a start with a fetch takes no capacity that others need.
     if (now - this.lastNoFitAt > SCARCITY_TIMEOUT_MS) return false;
     job.placement.imageHolderWaitSince ??= now;
     const startTime = maxStartTime(job, chosen.type);
@@ -139,7 +148,7 @@
     return new Preemption(this.runtime, this.term, { job, ranks, machines, isReclaiming });
   }
 
-  /** Reserves what will be free on a machine for one task. */
+  /** Reserves capacity for one task on a machine that has it free after all stops. */
   private reserveOn(capacity: MachineCapacity, job: LiveJob): void {
     capacity.freeAfterStops = subtractResources(capacity.freeAfterStops, resourcesOf(job.spec));
     this.teams.reserve(job);
@@ -147,8 +156,9 @@
 }
 
 /**
- * Returns one machine after the other on which a task fits after all stops; the same one again
- * while more tasks fit.
+ * Returns a function that returns the next machine on which a task of the job fits after all
+ * stops, or undefined if there are no more. It returns the same machine again as long as a
+ * further task fits on it; the caller reserves the capacity between two calls.
  */
 function machinesFreeAfterStops(
   { job, ranks }: PlacementSearch,
@@ -167,6 +177,6 @@
   };
 }
 
-/** Time until a task runs that has to fetch its image, at worst. */
+/** Longest expected time to start a task that has to fetch its image. */
 const maxStartTime = ({ spec }: LiveJob, type: MachineType): Duration =>
   fetchTime(spec.imageGb, type.fetchGbPerS) * MAX_FETCH_TIME_FACTOR + START_TIME_MS;
--- a/packages/controller/src/placement/drain.ts
+++ b/packages/controller/src/placement/drain.ts
@@ -1,4 +1,4 @@
-/** Draining of machines that the cloud is about to take. */
+/** Draining of machines that the cloud is about to reclaim. */
 import type { Instant } from '@tealdock/wire';
 import type { Binding } from '../jobs/binding.js';
 import type { LiveJob } from '../jobs/live-job.js';
@@ -6,14 +6,14 @@
 import type { Runtime } from '../runtime/runtime.js';
 import type { Term } from '../term/term.js';
 
-/** Stops tasks so that they save before their machine is taken. */
+/** Stops tasks so that they save their state before the cloud reclaims their machine. */
 export class Drain {
   constructor(
     private readonly runtime: Runtime,
     private readonly term: Term,
   ) {}
 
-  /** Requests the stops that are due, on all machines with a preemption notice. */
+  /** Requests stops on all machines with a preemption notice, for tasks that may not finish. */
   run(): void {
     for (const machine of this.term.machines.values()) {
       const { preemptionDeadline } = machine.heartbeats;
@@ -31,7 +31,7 @@
     }
   }
 
-  /** Whether a running task is expected to end before the machine is taken. */
+  /** Whether the task is running and expected to end before the machine is reclaimed. */
   private mayFinish(binding: Binding, job: LiveJob, preemptionDeadline: Instant): boolean {
     if (binding.taskState !== 'running') return false;
     const { now } = this.runtime;
--- a/packages/controller/src/placement/gang-placement.ts
+++ b/packages/controller/src/placement/gang-placement.ts
@@ -1,12 +1,13 @@
-/** Placement of gangs, whose tasks run at the same time. */
+/** Placement of gangs: jobs whose tasks must all run at the same time. */
 import { NO_RESOURCES, multiplyResources, resourcesOf, taskSlots } from '@tealdock/scheduler';
 import type { LiveJob } from '../jobs/live-job.js';
 import type { MachineCapacity } from './machine-capacity.js';
 import type { TeamCapacity } from './team-capacity.js';
 
 /**
- * Whether all waiting tasks of a gang fit at once: nothing is reserved for a part of it. For a
- * gang that has to stay in one zone, the zone found is noted in its placement.
+ * Whether all waiting tasks of a gang fit now. If not, none is placed and no capacity is
+ * reserved. For a gang that must stay in one zone, the first zone in which it fits is stored in
+ * `job.placement.gangZone`.
  */
 export function fitGang(job: LiveJob, machines: MachineCapacity[], teams: TeamCapacity): boolean {
   const { count } = job.openTasks;
--- a/packages/controller/src/placement/image-availability.ts
+++ b/packages/controller/src/placement/image-availability.ts
@@ -1,4 +1,4 @@
-/** How soon machines have the image of a job. */
+/** How soon the image of a job is available on machines. */
 import {
   millisecondsOf,
   type Duration,
@@ -11,19 +11,20 @@
 import type { Machine } from '../machines/machine.js';
 import type { MachineCapacity } from './machine-capacity.js';
 
+/** Lower bounds that keep quotients finite where a rate or an image size is 0. */
 const MIN_FETCH_GB_PER_S = 0.01;
 const MIN_FETCH_TIME_MS = 1;
 
-/** Ranks as in `Volunteer`: the image is there, is being fetched, or can be fetched at once. */
+/** Ranks as in `Volunteer`: the image is present, being fetched, or can be fetched at once. */
 const RANK_PRESENT = 0;
 const RANK_FETCHING = 1;
 const RANK_IDLE = 2;
 
-/** Time to fetch an image at the full rate. */
+/** Time to fetch an image if no other fetch shares the rate. */
 export const fetchTime = (imageGb: number, gbPerS: number): Duration =>
   millisecondsOf(imageGb / Math.max(MIN_FETCH_GB_PER_S, gbPerS));
 
-/** Machines that hold the image of a job, free or not; computed once, when first needed. */
+/** Machines that hold the image of a job, whether busy or free; computed when first needed. */
 export class ImageHolders {
   private cachedMachines: MachineCapacity[] | null = null;
   private cachedSlotCount: number | null = null;
@@ -33,7 +34,7 @@
     private readonly cycle: { allAllowed(job: LiveJob): MachineCapacity[] },
   ) {}
 
-  /** Those on which the job may run. */
+  /** Holders of the image on which the job may run. */
   get machines(): MachineCapacity[] {
     const { image } = this.job.spec;
     this.cachedMachines ??= this.cycle
@@ -42,7 +43,7 @@
     return this.cachedMachines;
   }
 
-  /** How many of the job's tasks they could hold if they were empty. */
+  /** Number of the job's tasks that these machines could hold if they were empty. */
   get slotCount(): number {
     const requested = resourcesOf(this.job.spec);
     this.cachedSlotCount ??= this.machines.reduce(
@@ -54,15 +55,16 @@
 }
 
 /**
- * A machine is no volunteer if other fetches delay the task's own by both more than `maxDelay`
- * and more than this factor; without the former, small images would find no machine.
+ * A machine that fetches other images is not a volunteer if the wait for the job's image there
+ * exceeds both limits. With the factor alone, small images would find no machine.
  */
 export interface FetchLimits {
+  /** Limit of the wait as a multiple of the time that the fetch takes on its own. */
   maxSlowdownFactor: number;
   maxDelay: Duration;
 }
 
-/** Ranks machines by how soon they would have the image of one job. */
+/** Ranks machines by how soon the image of one job would be available on them. */
 export class ImageRanks {
   constructor(
     private readonly spec: JobSpec,
@@ -72,7 +74,7 @@
     private readonly limits: FetchLimits,
   ) {}
 
-  /** Null if the image would come too late for the machine to be a volunteer. */
+  /** Rank as in `Volunteer`; null if the image would be available too late for a volunteer. */
   rankOf({ machine, type }: MachineCapacity): number | null {
     const { image } = this.spec;
     if (machine.hasImage(image)) return RANK_PRESENT;
@@ -86,13 +88,13 @@
     return isSoonEnough ? RANK_IDLE + Math.floor(slowdownFactor) : null;
   }
 
-  /** How long one more task would wait for its image there. */
+  /** How long one more task of the job would wait for its image on the machine. */
   delayOn(machine: Machine): Duration {
     const { image, imageGb } = this.spec;
     return machine.imageDelay(image, imageGb, this.isRateShared, this.now);
   }
 
-  /** What the fetch takes on a machine that fetches nothing else. */
+  /** Time that the fetch takes on a machine that fetches nothing else. */
   private uncontendedFetchTime(type: MachineType): Duration {
     return Math.max(MIN_FETCH_TIME_MS, fetchTime(this.spec.imageGb, type.fetchGbPerS));
   }
--- a/packages/controller/src/placement/job-placement.ts
+++ b/packages/controller/src/placement/job-placement.ts
@@ -13,12 +13,15 @@
 import type { TeamCapacity } from './team-capacity.js';
 import { Volunteers } from './volunteers.js';
 
-/** Tasks that a starving job places ahead of others; its other tasks take their turn. */
+/**
+ * Tasks that a starving job may place ahead of all others. Once one is bound, the job is no
+ * longer starving, and its other tasks are placed in the usual order.
+ */
 const MAX_STARVING_TASK_COUNT = 8;
-/** A fetch may take this many times as long as alone before its machine is no volunteer. */
+/** Longest fetch on a volunteer, as a multiple of its time without others; see `FetchLimits`. */
 const MAX_SLOWDOWN_FACTOR = 2;
 
-/** What placement works with, beside the term. */
+/** Objects that placement uses, beside the runtime and the term. */
 export interface PlacementParts {
   readonly teams: TeamCapacity;
   readonly urgency: JobUrgency;
@@ -27,8 +30,8 @@
 }
 
 /**
- * Assigns tasks whose window has closed to volunteers: holders of the image first, then the
- * first point of the Pareto front.
+ * Assigns tasks whose window has closed to volunteers. Among those with the best image rank, it
+ * chooses the first member of the Pareto front.
  */
 export class JobPlacement {
   constructor(
@@ -37,7 +40,7 @@
     private readonly parts: PlacementParts,
   ) {}
 
-  /** Assigns what fits now; for the rest, capacity may be reserved. */
+  /** Assigns the tasks that fit now, and may reserve capacity for the others. */
   place(job: LiveJob, cycle: SchedulingCycle): void {
     const closed = job.openTasks.list().filter((task) => this.isWindowClosed(task));
     const isStarving = this.parts.urgency.isStarving(job);
@@ -45,7 +48,7 @@
     const search = this.searchFor(job, cycle);
     if (cycle.unplaceableDemandKeys.has(search.demandKey))
       return this.deferTasks(search, tasks, cycle);
-    // The zone of an earlier window says nothing about this one.
+    // A zone that had enough capacity in an earlier cycle may not have it now.
     job.placement.gangZone = null;
     const isGang = job.spec.kind === 'gang';
     if (isGang && !fitGang(job, cycle.allowedWithFreeCapacity(job), this.parts.teams)) return;
@@ -62,7 +65,7 @@
       const chosen = volunteers.choose();
       if (!chosen) {
         reservation.recordNoFit();
-        // Where only fetches are in the way, another job may use the capacity.
+        // Machines excluded only by the wait for this image may suit a job with another one.
         if (volunteers.tooSlowCount === 0) cycle.unplaceableDemandKeys.add(search.demandKey);
         return this.deferTasks(search, tasks.slice(index), cycle);
       }
@@ -75,7 +78,7 @@
       job.placement.starvedSince = null;
       volunteers.recordAssignment(chosen);
       if (!job.spec.oneZone && !job.spec.spread) continue;
-      // Where the next task may go depends on where this one went.
+      // The zone of this task restricts the machines that the next one may use.
       search.holders = new ImageHolders(job, cycle);
       volunteers = this.volunteersFor(search, cycle);
     }
@@ -87,24 +90,27 @@
   }
 
   private searchFor(job: LiveJob, cycle: SchedulingCycle): PlacementSearch {
-    // A gang is placed as a whole, and a starving job takes whatever there is.
-    const takesAny = job.spec.kind === 'gang' || this.parts.urgency.isStarving(job);
+    // Slow fetches exclude no machine for a gang, which is placed as a whole, or a starving job.
+    const ignoresFetchDelays = job.spec.kind === 'gang' || this.parts.urgency.isStarving(job);
     const { isShared } = this.term.fetchSharing;
     const ranks = new ImageRanks(job.spec, this.runtime.now, isShared, {
-      maxSlowdownFactor: takesAny ? Infinity : MAX_SLOWDOWN_FACTOR,
+      maxSlowdownFactor: ignoresFetchDelays ? Infinity : MAX_SLOWDOWN_FACTOR,
       maxDelay: this.runtime.operator.window.lambda,
     });
     const holders = new ImageHolders(job, cycle);
     return { job, demandKey: demandKey(job), ranks, holders };
   }
 
-  /** λ is over, or the window may close early since standing volunteers are known. */
+  /**
+   * Whether the task's window has been open for λ, or for the time after which it may close
+   * early: recent heartbeats have shown which machines volunteer.
+   */
   private isWindowClosed(task: OpenTask): boolean {
     const { closeEarly, lambda } = this.runtime.operator.window;
     return this.runtime.now - task.windowOpenedAt >= Math.min(closeEarly, lambda);
   }
 
-  /** For tasks without a fit: windows that are over start again, and capacity is reserved. */
+  /** Reopens the windows that have lasted λ, and reserves capacity for the tasks. */
   private deferTasks(search: PlacementSearch, tasks: OpenTask[], cycle: SchedulingCycle): void {
     if (tasks.length === 0) return;
     const { now, operator } = this.runtime;
--- a/packages/controller/src/placement/job-urgency.ts
+++ b/packages/controller/src/placement/job-urgency.ts
@@ -1,4 +1,4 @@
-/** How urgent jobs are, by their objectives, their teams' guarantees and their waits. */
+/** Urgency of jobs, by their objectives, their teams' guarantees and their waiting times. */
 import type { Duration, Instant } from '@tealdock/wire';
 import { priorityRank, type JobRank } from '@tealdock/scheduler';
 import type { LiveJob } from '../jobs/live-job.js';
@@ -8,15 +8,16 @@
 import { jobsWithinGuarantee, nextStartDeadline } from './start-deadlines.js';
 import type { TeamCapacity } from './team-capacity.js';
 
-/** A guarantee is reclaimed this long before a start deadline, or after a wait of this long. */
+/** A job may reclaim its team's guarantee from this long before its next start deadline. */
 const RECLAIM_LEAD_MS = 30_000;
+/** A job may reclaim its team's guarantee after finding no capacity for this long. */
 const RECLAIM_WAIT_MS = 60_000;
-/** A job of which nothing has started for this long goes before all others. */
+/** A startable job without any start for this long is placed before all others. */
 const STARVATION_TIMEOUT_MS = 120_000;
-/** Jobs of this rank and above do not wait for a scale-out before they preempt others. */
+/** Jobs of this priority rank and above preempt others without waiting for a scale-out. */
 const MIN_IMMEDIATE_PREEMPTION_RANK = 2;
 
-/** What the order of jobs in a cycle depends on, and how long they wait before preemption. */
+/** Computes the rank of jobs in a cycle, and when they may preempt others. */
 export class JobUrgency {
   private guaranteedJobs: ReadonlySet<string> = new Set();
 
@@ -27,17 +28,17 @@
     private readonly teams: TeamCapacity,
   ) {}
 
-  /** Finds the jobs within their teams' guarantees; to be called once a cycle. */
+  /** Recomputes which jobs are within their teams' guarantees; to be called once per cycle. */
   refreshGuaranteedJobs(): void {
     this.guaranteedJobs = jobsWithinGuarantee(this.term.jobs.values(), this.runtime.settings);
   }
 
-  /** The next start deadline that the job can still meet; Infinity when there is none. */
+  /** The job's earliest start deadline that has not passed; Infinity if there is none. */
   nextStartDeadline(job: LiveJob): Instant {
     return this.startDeadline(job, this.guaranteedJobs.has(job.id));
   }
 
-  /** What the job is ordered by. */
+  /** The rank of the job, by which `compareJobs` orders jobs. */
   rankOf(job: LiveJob): JobRank {
     return {
       spec: job.spec,
@@ -48,7 +49,7 @@
     };
   }
 
-  /** Whether none of the job's tasks has started for too long. */
+  /** Whether the job has been startable for too long with no task done or bound. */
   isStarving(job: LiveJob): boolean {
     const hasStarted = job.progress.doneTaskCount > 0 || job.bindings.size > 0;
     const waited = this.runtime.now - job.dependencies.startableAt;
@@ -56,8 +57,8 @@
   }
 
   /**
-   * How long the job waits for a scale-out before it preempts others: as long as the fastest
-   * boot, or not at all where that would be too late for it.
+   * How long the job waits for a scale-out before it preempts others: the shortest boot time of
+   * all machine types, or 0 if its priority is high or its next start deadline comes sooner.
    */
   scaleOutWait(job: LiveJob): Duration {
     if (priorityRank(job.spec) >= MIN_IMMEDIATE_PREEMPTION_RANK) return 0;
@@ -67,9 +68,10 @@
   }
 
   /**
-   * Whether the job may reclaim its team's guarantee from borrowers. Borrowed work that can't
-   * save loses all it did, and most capacity comes free by itself: so only when an objective
-   * would be missed otherwise.
+   * Whether the job may reclaim its team's guarantee: preempt tasks of teams that use more than
+   * their own. A preempted task that can't save its state loses all its work, and most capacity
+   * becomes free without preemption. So this is allowed only shortly before a start deadline or
+   * after a long wait.
    */
   mayReclaimGuarantee(job: LiveJob): boolean {
     const { now } = this.runtime;
@@ -78,7 +80,7 @@
     return untilDeadline < RECLAIM_LEAD_MS || waited > RECLAIM_WAIT_MS;
   }
 
-  /** Within what time tasks of the job's class should start; Infinity without an objective. */
+  /** The shortest `wait` objective for the job's class; Infinity if there is none. */
   waitObjective(job: LiveJob): Duration {
     let shortest = Infinity;
     for (const { kind, jobClass, within } of this.runtime.settings.objectives) {
--- a/packages/controller/src/placement/machine-capacity.ts
+++ b/packages/controller/src/placement/machine-capacity.ts
@@ -1,4 +1,4 @@
-/** What is free on machines, and which of them may take a task. */
+/** Free capacity of machines during a cycle, and which machines a job may use. */
 import type { MachineType } from '@tealdock/wire';
 import {
   addResources,
@@ -9,30 +9,30 @@
 import type { LiveJob } from '../jobs/live-job.js';
 import type { Machine } from '../machines/machine.js';
 
-/** Free resources of one machine while a cycle goes on. */
+/** Free resources of one machine, updated during a cycle. */
 export interface MachineCapacity {
   machine: Machine;
   type: MachineType;
   free: Resources;
-  /** Free once all that is being stopped is gone, less what this cycle has reserved. */
+  /** Free once all requested stops are done, less what this cycle has assigned or reserved. */
   freeAfterStops: Resources;
 }
 
-/** The capacity of a machine, which takes over cache size and fetch rate of its type. */
+/** Free resources at the start of a cycle. Also sets the machine's cache size and fetch rate. */
 export function capacityOf(machine: Machine, type: MachineType): MachineCapacity {
   const free = machine.free(type);
   machine.applyType(type);
   return { machine, type, free, freeAfterStops: addResources(free, machine.usage.stopping) };
 }
 
-/** What a job's tasks ask of a machine; jobs with the same key fit on the same machines. */
+/** Key of a job's requirements for machines: the same machines suit jobs with the same key. */
 export function demandKey(job: LiveJob): string {
   const { cpus, gpus, memoryGb, types, zone, spot, oneZone, spread, kind } = job.spec;
-  const own = oneZone || spread || kind === 'gang' ? job.id : '';
-  return `${cpus} ${gpus} ${memoryGb} ${types?.join(',') ?? '*'} ${zone ?? '*'} ${spot} ${own}`;
+  const jobKey = oneZone || spread || kind === 'gang' ? job.id : '';
+  return `${cpus} ${gpus} ${memoryGb} ${types?.join(',') ?? '*'} ${zone ?? '*'} ${spot} ${jobKey}`;
 }
 
-/** The machines on which tasks of a job may be placed, by type, zone and kind. */
+/** The machines on which tasks of a job may be placed, by type, zone and whether they are spot. */
 export function allowedMachines(
   job: LiveJob,
   machines: MachineCapacity[],
--- a/packages/controller/src/placement/preemption.ts
+++ b/packages/controller/src/placement/preemption.ts
@@ -1,4 +1,4 @@
-/** Stopping tasks so that others can start. */
+/** Preemption: stops tasks so that those of another job can start. */
 import type { Duration, Instant } from '@tealdock/wire';
 import {
   addResources,
@@ -18,30 +18,34 @@
 import type { ImageRanks } from './image-availability.js';
 import type { MachineCapacity } from './machine-capacity.js';
 
-/** Stopping a task that started less than this ago costs that much beside its lost work. */
+/** Added to the cost of stopping a task that has run for less than this, beside lost work. */
 const RECENT_START_MS = 30_000;
 
 interface MachinePlan extends PreemptionPlan<Binding> {
   capacity: MachineCapacity;
-  /** Work that is lost by it, and the wait for the image after it. */
+  /** Work lost by the stops, plus the wait for the image on the machine. */
   cost: Duration;
 }
 
-/** What tasks are to be stopped for, and where. */
+/** The job that needs capacity, and the machines on which tasks may be stopped for it. */
 export interface PreemptionDemand {
   job: LiveJob;
   ranks: ImageRanks;
   machines: MachineCapacity[];
-  /** Whether one more task of the job would reclaim its team's guarantee; may change. */
+  /**
+   * Whether the job may reclaim its team's guarantee, and the team would stay within it with one
+   * more task of the job. The result changes as capacity is reserved.
+   */
   isReclaiming: () => boolean;
 }
 
 /**
- * Frees capacity for the tasks of one job by stopping others, where that loses the least
- * work. Plans are made once for all machines; each use changes one machine.
+ * Frees capacity for the tasks of one job by stopping others, on the machines where that costs
+ * the least. Plans for all machines are made once. Using one changes only its own machine, for
+ * which a new plan is then made.
  */
 export class Preemption {
-  /** By cost, lowest first. */
+  /** Sorted by cost, lowest first; at most one for each machine. */
   private readonly plans: MachinePlan[];
   private readonly requested: Resources;
 
@@ -57,12 +61,15 @@
       .sort((a, b) => a.cost - b.cost);
   }
 
-  /** Stops what has to be stopped for one task; null if nothing may be. */
+  /**
+   * Requests the cheapest stops that make one task fit. Returns their machine, or null if no
+   * machine can be freed.
+   */
   freeOneSlot(): MachineCapacity | null {
     for (;;) {
       const plan = this.plans.shift();
       if (!plan) return null;
-      // Stops since the plan was made may have changed who borrows.
+      // Later stops may have changed which teams use more than their guarantee.
       if (!plan.victims.every(({ item }) => this.mayStop(item, this.demand.isReclaiming()))) {
         this.planAgain(plan.capacity);
         continue;
@@ -72,7 +79,7 @@
     }
   }
 
-  /** To be called once the freed slot has been reserved. */
+  /** Makes a new plan for a machine; to be called once its freed capacity is reserved. */
   planAgain(capacity: MachineCapacity): void {
     const plan = this.planFor(capacity);
     if (!plan) return;
@@ -80,13 +87,13 @@
     this.plans.splice(index < 0 ? this.plans.length : index, 0, plan);
   }
 
-  /** Null where nothing has to be stopped, or where stops would not help. */
+  /** Null if a task fits without a stop, or if stops on the machine would not help. */
   private planFor(capacity: MachineCapacity): MachinePlan | null {
     if (fits(this.requested, capacity.freeAfterStops)) return null;
     const candidates = this.victimsOn(capacity);
     const plan = planPreemption(capacity.freeAfterStops, candidates, this.requested);
     const { ranks } = this.demand;
-    // A machine on which the image would come too late is of no use.
+    // On this machine, the image would be available too late.
     if (!plan || ranks.rankOf(capacity) === null) return null;
     return { ...plan, capacity, cost: plan.lostWork + ranks.delayOn(capacity.machine) };
   }
@@ -117,9 +124,10 @@
   }
 
   /**
-   * Within a team priority decides. Work inside another team's guarantee gives way only to
-   * higher work that is inside its own: were it stopped for borrowed work, its team would
-   * reclaim the capacity at once, and so on without end.
+   * Within a team, only tasks of lower priority may be stopped. A task of another team may be
+   * stopped for either a higher priority or a reclaimed guarantee if its team uses more than its
+   * own guarantee, and needs both otherwise. If one of the two were enough, the other team would
+   * reclaim the capacity at once, and the teams would preempt each other without end.
    */
   private mayStop(binding: Binding, isReclaiming: boolean): boolean {
     const victim = this.term.jobs.get(binding.job);
@@ -132,18 +140,24 @@
   }
 
   /**
-   * Whether the victim's team uses so much beyond its guarantee that it stays at it without
-   * the requested resources. Were less enough, it would reclaim the rest at once.
+   * Whether the victim's team would still use its whole guarantee without the requested
+   * resources. If it fell below, it would reclaim the difference at once.
    */
   private isBorrowing(victim: LiveJob): boolean {
     const team = this.runtime.settings.teams.find(({ name }) => name === victim.spec.team);
     if (!team) return false;
-    const left = subtractResources(this.term.ledger.usageAfterStops(team.name), this.requested);
-    return left.cpus >= team.cpus && left.gpus >= team.gpus;
+    const remaining = subtractResources(
+      this.term.ledger.usageAfterStops(team.name),
+      this.requested,
+    );
+    return remaining.cpus >= team.cpus && remaining.gpus >= team.gpus;
   }
 }
 
-/** Work lost if the task is stopped now; one that saves loses only what stopping takes. */
+/**
+ * Cost of stopping the task now: the time that it has run, or only the time for saving if it
+ * saves checkpoints; more if it started recently.
+ */
 function lostWorkOf(binding: Binding, job: LiveJob, now: Instant): Duration {
   const { runningSince, taskState } = binding;
   const elapsed = runningSince === null || taskState === 'fetching' ? 0 : now - runningSince;
--- a/packages/controller/src/placement/scheduler.ts
+++ b/packages/controller/src/placement/scheduler.ts
@@ -1,4 +1,4 @@
-/** The scheduling cycle: which released task goes to which machine. */
+/** Runs scheduling cycles, which place waiting tasks on machines. */
 import type { Duration, Instant } from '@tealdock/wire';
 import { compareJobs } from '@tealdock/scheduler';
 import type { LiveJob } from '../jobs/live-job.js';
@@ -15,15 +15,16 @@
 import { TeamCapacity } from './team-capacity.js';
 
 const CYCLE_INTERVAL_MS = 100;
-/** Longer while machines are not reconciled: processing their heartbeats comes first. */
+/** Used until all machines are reconciled, to leave more time for processing heartbeats. */
 const RECONCILIATION_CYCLE_INTERVAL_MS = 400;
-/** A heartbeat counts for this many heartbeat intervals, if that is longer than λ. */
+/** A machine may volunteer for this many intervals after a heartbeat, or for λ if longer. */
 const RECENT_HEARTBEAT_FACTOR = 1.5;
 
 /**
- * The placement of the one leader. Each released task has a window; a machine whose heartbeat
- * showed free capacity within it is a volunteer. Tasks are assigned in cycles, in the order of
- * their jobs' urgency.
+ * Places waiting tasks; runs on the leader only. When a task of a released job waits, a window
+ * opens for it. Machines with a recent heartbeat and enough free capacity are its volunteers,
+ * that is candidates. Each cycle assigns tasks whose window has closed, the most urgent job
+ * first.
  */
 export class Scheduler {
   private lastCycleAt: Instant = -Infinity;
@@ -47,7 +48,7 @@
     this.drain = new Drain(runtime, term);
   }
 
-  /** Runs cycles until the term ends. */
+  /** Starts the periodic cycles, which run until the term ends. */
   start(): void {
     this.runtime.every(CYCLE_INTERVAL_MS, () => {
       if (!this.term.closed) this.runCycle();
@@ -85,7 +86,7 @@
     this.runtime.stats.record('passes.waiting_jobs', waitingJobCount);
   }
 
-  /** Jobs with tasks that may be placed, the most urgent first. */
+  /** Jobs with tasks that may be placed in this cycle, the most urgent first. */
   private waitingJobs(): LiveJob[] {
     const isReady = this.term.allMachinesReconciled;
     const waiting = [...this.term.jobs.values()].filter(
@@ -100,7 +101,7 @@
     return ranked.sort((a, b) => compareJobs(a.rank, b.rank)).map(({ job }) => job);
   }
 
-  /** Capacities of the machines that may be volunteers. */
+  /** Capacities of the machines that may volunteer in this cycle. */
   private volunteerCapacities(): MachineCapacity[] {
     const { operator, settings } = this.runtime;
     const recentHeartbeatTime = settings.heartbeatInterval * RECENT_HEARTBEAT_FACTOR;
--- a/packages/controller/src/placement/scheduling-cycle.ts
+++ b/packages/controller/src/placement/scheduling-cycle.ts
@@ -1,41 +1,44 @@
-/** One run through all waiting jobs. */
+/** The state of one scheduling cycle, which goes through all waiting jobs once. */
 import { fits, minResources, priorityRank, resourcesOf } from '@tealdock/scheduler';
 import type { LiveJob } from '../jobs/live-job.js';
 import type { UsageView } from '../machines/usage-ledger.js';
 import { allowedMachines, type MachineCapacity } from './machine-capacity.js';
 
-/** The rest waits for the next cycle: heartbeats are answered in between. */
+/** Assignments per cycle. Other tasks wait for the next one: heartbeats are answered in between. */
 const MAX_ASSIGNMENT_COUNT = 300;
-/** Preemption plans look at every task of every machine that they cover. */
+/** Preemption plans per cycle. Each examines every task on the machines that it covers. */
 const MAX_PREEMPTION_PLAN_COUNT = 6;
-/** Machines covered by a cycle's plans, so that their cost does not grow with the fleet. */
+/**
+ * No further plan is made once a cycle's plans have covered this many machines, which bounds
+ * their total cost in a large fleet.
+ */
 const MAX_PLANNED_MACHINE_COUNT = 1200;
 
-/** What a cycle reads of the term. */
+/** The part of a term that a cycle reads. */
 interface CycleTermView {
   readonly jobs: ReadonlyMap<string, LiveJob>;
   readonly ledger: UsageView;
 }
 
 /**
- * What one cycle sees of the fleet, and what it has found out so far. In overload hundreds of
- * jobs wait and almost every machine is full: machines that no waiting task could use are
- * sorted out once, not once for each job.
+ * The machines that one cycle may use, and its results so far. In overload, hundreds of jobs
+ * wait and almost every machine is full: machines that no waiting task could use are therefore
+ * filtered out once per cycle, not once per job.
  */
 export class SchedulingCycle {
-  /** Demand keys that fit on no machine. */
+  /** Results of `demandKey` for tasks that fit on no machine in this cycle. */
   readonly unplaceableDemandKeys = new Set<string>();
   private assignments = 0;
   private plans = 0;
   private plannedMachines = 0;
   private readonly withFreeCapacity: MachineCapacity[];
   private readonly withCapacityAfterStops: MachineCapacity[];
-  /** The lowest priority of all bound tasks; Infinity if there are none. */
+  /** The lowest priority rank of all jobs with bound tasks; Infinity if there are none. */
   private readonly lowestBoundRank: number;
   /** Teams with bound tasks. */
   private readonly boundTeams: ReadonlySet<string>;
 
-  /** At least one job has to wait. */
+  /** `waiting` must not be empty. */
   constructor(
     private readonly machines: MachineCapacity[],
     private readonly term: CycleTermView,
@@ -54,17 +57,17 @@
     this.boundTeams = new Set(bound.map(({ spec }) => spec.team));
   }
 
-  /** Tasks assigned in this cycle. */
+  /** Number of tasks assigned in this cycle. */
   get assignmentCount(): number {
     return this.assignments;
   }
 
-  /** Preemption plans made in this cycle. */
+  /** Number of preemption plans made in this cycle. */
   get preemptionPlanCount(): number {
     return this.plans;
   }
 
-  /** Whether this cycle may assign no more tasks. */
+  /** Whether this cycle has assigned as many tasks as it may. */
   get isAssignmentLimitReached(): boolean {
     return this.assignments >= MAX_ASSIGNMENT_COUNT;
   }
@@ -76,7 +79,7 @@
     );
   }
 
-  /** Whether tasks of lower priority are bound, which might be stopped for the job. */
+  /** Whether tasks of lower priority are bound, which the job might preempt. */
   hasLowerPriorityTasks(job: LiveJob): boolean {
     return this.lowestBoundRank < priorityRank(job.spec);
   }
@@ -86,23 +89,23 @@
     return this.boundTeams.size > (this.boundTeams.has(job.spec.team) ? 1 : 0);
   }
 
-  /** A task was assigned. */
+  /** Counts one assigned task. */
   recordAssignment(): void {
     this.assignments++;
   }
 
-  /** A preemption plan was made that covers so many machines. */
+  /** Counts one preemption plan and the machines that it covers. */
   recordPreemptionPlan(machineCount: number): void {
     this.plans++;
     this.plannedMachines += machineCount;
   }
 
-  /** Machines that the job may use, with some capacity free now. */
+  /** Machines that the job may use, and where the smallest waiting task fits now. */
   allowedWithFreeCapacity(job: LiveJob): MachineCapacity[] {
     return this.allowed(job, this.withFreeCapacity);
   }
 
-  /** Machines that the job may use, with some capacity free once all stops are done. */
+  /** Machines that the job may use, and where the smallest waiting task fits after all stops. */
   allowedAfterStops(job: LiveJob): MachineCapacity[] {
     return this.allowed(job, this.withCapacityAfterStops);
   }
--- a/packages/controller/src/placement/start-deadlines.ts
+++ b/packages/controller/src/placement/start-deadlines.ts
@@ -1,20 +1,23 @@
-/** Until when jobs should start to meet their service-level objectives. */
+/** Start deadlines: until when tasks have to start so that jobs meet their objectives. */
 import type { Duration, Instant, Settings } from '@tealdock/wire';
 import type { LiveJob } from '../jobs/live-job.js';
 
-/** Tasks of one job differ in length; a deadline is met by the longest. */
+/** Run time of a job's longest task, on which deadlines depend, divided by the expected one. */
 const LONGEST_TASK_FACTOR = 1.4;
 
-/** What the start deadlines of a job depend on, beside the job. */
+/** Inputs of a job's start deadlines, beside the job itself. */
 export interface StartConditions {
   settings: Settings;
-  /** Measured run time of the job's class over its estimate. */
+  /** Actual divided by estimated run time of the job's class. */
   runTimeRatio: number;
   /** Whether the job is within its team's guarantee. */
   isGuaranteed: boolean;
 }
 
-/** Ids of the jobs that fit into their team's guarantee together with its earlier ones. */
+/**
+ * Ids of the released jobs whose unfinished tasks fit into their team's guarantee together with
+ * those of all the team's jobs that became startable earlier.
+ */
 export function jobsWithinGuarantee(jobs: Iterable<LiveJob>, settings: Settings): Set<string> {
   const within = new Set<string>();
   const unfinished = new Map<string, { cpus: number; gpus: number }>();
@@ -33,12 +36,12 @@
   return within;
 }
 
-/** Until when the job's tasks should start, by its deadline and all objectives for its class. */
+/** The earliest start deadline of the job, even if it has passed; Infinity if it has none. */
 export function earliestStartDeadline(job: LiveJob, conditions: StartConditions): Instant {
   return Math.min(Infinity, ...startDeadlines(job, conditions));
 }
 
-/** The first start deadline that can still be met; Infinity when none can. */
+/** The earliest start deadline of the job that has not passed; Infinity if there is none. */
 export function nextStartDeadline(
   job: LiveJob,
   conditions: StartConditions,
@@ -48,7 +51,7 @@
   return Math.min(Infinity, ...attainable);
 }
 
-/** One instant for each objective, and one for the deadline of the job. */
+/** One start deadline for each objective that applies to the job, and one for `finishBy`. */
 function startDeadlines(job: LiveJob, conditions: StartConditions): Instant[] {
   const { startableAt } = job.dependencies;
   const runTime = job.spec.estimate * conditions.runTimeRatio * LONGEST_TASK_FACTOR;
@@ -56,7 +59,7 @@
   return [...delays.map((delay) => startableAt + delay), job.finishBy - runTime];
 }
 
-/** How long the job may wait by each objective that applies to it. */
+/** How long after `startableAt` tasks may start, for each objective that applies to the job. */
 function startDelays(
   { spec }: LiveJob,
   { settings, isGuaranteed }: StartConditions,
--- a/packages/controller/src/placement/team-capacity.ts
+++ b/packages/controller/src/placement/team-capacity.ts
@@ -1,4 +1,4 @@
-/** What teams use of their guarantees and limits while a cycle goes on. */
+/** How much of their guarantees and limits teams use, kept up to date during a cycle. */
 import type { Team } from '@tealdock/wire';
 import {
   NO_RESOURCES,
@@ -13,14 +13,18 @@
 import type { Term } from '../term/term.js';
 import type { MachineTypes } from './fleet-policy.js';
 
-/** What may run on a machine of unknown type. */
+/** Upper bound of the resources that tasks may use on a machine of unknown type. */
 const UNKNOWN_TYPE_RESOURCES: Resources = { cpus: Infinity, gpus: Infinity, memoryGb: 0 };
 
-/** Counts all that is bound, and what this cycle has reserved (docs/safety.md, rule `quota`). */
+/**
+ * Compares the resources of a team's bindings with its guarantee and its limit. What this cycle
+ * has reserved counts towards the guarantee; what may run on machines that are not reconciled
+ * counts towards the limit (docs/safety.md, rule `quota`).
+ */
 export class TeamCapacity {
-  /** What this cycle has reserved, by team. */
+  /** Resources that this cycle has reserved, by team. */
   private readonly reserved = new Map<string, Resources>();
-  /** Machines that are not reconciled may be full of any team's tasks. */
+  /** Sum over the machines that are not reconciled: any team's tasks may fill them. */
   private unreconciledResources: Resources = NO_RESOURCES;
 
   constructor(
@@ -29,12 +33,12 @@
     private readonly catalog: MachineTypes,
   ) {}
 
-  /** Forgets the reservations of the cycle before. */
+  /** Clears the reservations of the previous cycle. */
   beginCycle(): void {
     this.reserved.clear();
   }
 
-  /** Sums up what may run on machines that are not reconciled. */
+  /** Recomputes how much may run on machines that are not reconciled. */
   refreshUnreconciled(): void {
     this.unreconciledResources = this.term
       .unreconciledMachines()
@@ -42,13 +46,13 @@
       .reduce(addResources, NO_RESOURCES);
   }
 
-  /** Capacity was reserved for one task of the job. */
+  /** Records that capacity was reserved for one task of the job. */
   reserve(job: LiveJob): void {
     const { team } = job.spec;
     this.reserved.set(team, addResources(this.reservedFor(team), resourcesOf(job.spec)));
   }
 
-  /** Whether the job's team stays within its guarantee with one more of its tasks. */
+  /** Whether the job's team would stay within its guarantee with one more task of the job. */
   isBelowGuarantee(job: LiveJob): boolean {
     const team = this.teamOf(job);
     if (!team) return false;
@@ -57,12 +61,12 @@
     return after.cpus <= team.cpus && after.gpus <= team.gpus;
   }
 
-  /** Whether the job's team stays within its limit with one more of its tasks. */
+  /** Whether the job's team would stay within its limit with one more task of the job. */
   hasCapacityFor(job: LiveJob): boolean {
     return this.isWithinLimit(job, resourcesOf(job.spec));
   }
 
-  /** Whether the job's team stays within its limit with the requested resources as well. */
+  /** Whether the job's team would stay within its limit with the requested resources added. */
   isWithinLimit(job: LiveJob, requested: Resources): boolean {
     const team = this.teamOf(job);
     if (!team) return false;
--- a/packages/controller/src/placement/volunteers.ts
+++ b/packages/controller/src/placement/volunteers.ts
@@ -1,4 +1,4 @@
-/** The volunteers, that is candidate machines, for the tasks of one job. */
+/** The volunteers, that is the candidate machines, for the tasks of one job. */
 import {
   allocatedFraction,
   chooseVolunteer,
@@ -17,21 +17,21 @@
   capacity: MachineCapacity;
 }
 
-/** How volunteers are compared. */
+/** Inputs for the comparison of volunteers. */
 export interface VolunteerRules {
   ranks: ImageRanks;
   fleetPolicy: FleetPolicy;
 }
 
 /**
- * The volunteers for the tasks of one job. They are listed once; an assignment changes one of
- * them only, so the choice for the next task starts from there.
+ * The volunteers for the tasks of one job. The list is built once: an assignment changes only
+ * the chosen volunteer, so only that entry is updated before the next choice.
  */
 export class Volunteers {
   private readonly volunteers: VolunteerMachine[] = [];
   private readonly requested: Resources;
   private readonly shouldConsolidate: boolean;
-  /** Machines that fit a task, but would have the image too late. */
+  /** Number of machines on which a task fits, but its image would be available too late. */
   tooSlowCount = 0;
 
   constructor(
@@ -50,12 +50,12 @@
     if (this.shouldConsolidate) this.volunteers.sort(compareForConsolidation);
   }
 
-  /** The best one; undefined if there are none. */
+  /** The machine of the best volunteer; undefined if there are none. */
   choose(): MachineCapacity | undefined {
     return chooseVolunteer(this.volunteers)?.capacity;
   }
 
-  /** A task was assigned to a volunteer: takes its resources from the machine's. */
+  /** Subtracts the resources of an assigned task and updates the machine's volunteer entry. */
   recordAssignment(capacity: MachineCapacity): void {
     capacity.free = subtractResources(capacity.free, this.requested);
     capacity.freeAfterStops = subtractResources(capacity.freeAfterStops, this.requested);
@@ -67,7 +67,7 @@
     else this.tooSlowCount++;
   }
 
-  /** Fuller than before, it can only move towards the start. */
+  /** Position that keeps the list sorted: a fuller machine can only move forward. */
   private insertionIndex(changed: VolunteerMachine, previousIndex: number): number {
     if (!this.shouldConsolidate) return previousIndex;
     const before = this.volunteers.slice(0, previousIndex);
@@ -88,6 +88,6 @@
   }
 }
 
-/** What adds least to the bill first, then the fullest. */
+/** Sorts by marginal price, lowest first, then by allocated fraction, fullest first. */
 const compareForConsolidation = (a: Volunteer, b: Volunteer): number =>
   a.price - b.price || b.allocatedFraction - a.allocatedFraction;
