--- a/packages/scheduler/src/dependent-demands.ts
+++ b/packages/scheduler/src/dependent-demands.ts
@@ -7,25 +7,26 @@
   id: string;
   predecessors: string[];
   priority: Priority;
-  /** When its own deadline is; Infinity without one. */
+  /** The job's own deadline; Infinity without one. */
   finishBy: Instant;
-  /** How long it is expected to run. */
+  /** Expected run time. */
   runTime: Duration;
 }
 
-/** Priority and deadline of a job, given its own and those of all its dependents. */
+/** Effective priority and deadline of a job, derived from its own and those of its dependents. */
 export type DependentDemand = Pick<GraphJob, 'priority' | 'finishBy'>;
 
 interface GraphNode {
   job: GraphJob;
   demand: DependentDemand;
-  /** Dependents whose demand has not been taken into account yet. */
+  /** Number of dependents whose demand has not been applied to this job yet. */
   pendingDependentCount: number;
 }
 
 /**
- * Demands by job id. The priority of a job is the highest among itself and all its unfinished
- * dependents; it has to be done in time for each of these to run before its own deadline.
+ * Returns demands by job id. The effective priority of a job is the highest among itself and all
+ * its unfinished dependents. Its effective deadline leaves each dependent enough time to run
+ * before that dependent's own deadline.
  */
 export function dependentDemands(jobs: Iterable<GraphJob>): Map<string, DependentDemand> {
   const nodes = new Map<string, GraphNode>();
@@ -35,7 +36,7 @@
   }
   const predecessors = ({ job }: GraphNode) => job.predecessors.flatMap((p) => nodes.get(p) ?? []);
   for (const node of nodes.values()) for (const p of predecessors(node)) p.pendingDependentCount++;
-  // From the ends of the graph backwards: a job follows all of its dependents.
+  // Reverse topological order: each job is processed after all of its dependents.
   const ready = [...nodes.values()].filter((node) => node.pendingDependentCount === 0);
   for (let node = ready.pop(); node; node = ready.pop()) {
     const { job, demand } = node;
--- a/packages/scheduler/src/index.ts
+++ b/packages/scheduler/src/index.ts
@@ -1,4 +1,4 @@
-/** Pure scheduling decisions, without time or state of their own. */
+/** Scheduling decisions as pure functions, which keep no state and read no clock. */
 export * from './resources.js';
 export * from './pareto-front.js';
 export * from './placement-constraints.js';
--- a/packages/scheduler/src/job-ordering.ts
+++ b/packages/scheduler/src/job-ordering.ts
@@ -3,31 +3,32 @@
 
 const RANKS: Record<Priority, number> = { production: 3, high: 2, normal: 1, low: 0 };
 
-/** Rank of a job's priority, from 0 for the lowest to 3. */
+/** Rank of a job's priority, from 0 for the lowest to 3 for the highest. */
 export const priorityRank = (spec: JobSpec): number => RANKS[spec.priority];
 
 /** The higher of two priorities. */
 export const higherPriority = (a: Priority, b: Priority): Priority =>
   RANKS[a] >= RANKS[b] ? a : b;
 
-/** What the order of jobs depends on. */
+/** The properties of a job by which `compareJobs` orders jobs. */
 export interface JobRank {
   spec: JobSpec;
   /** Since when the job may start. */
   startableAt: Instant;
-  /** Latest start for the next objective that can still be met; Infinity when none can. */
+  /** The earliest start deadline that has not passed; Infinity if there is none. */
   nextStartDeadline: Instant;
-  /** Whether the job's team is below its guarantee. */
+  /** Whether the job's team would stay within its guarantee with one more task of the job. */
   isGuaranteed: boolean;
-  /** Whether none of its tasks has started for too long. */
+  /** Whether the job has been startable for too long with no task done or bound. */
   isStarving: boolean;
 }
 
 /**
- * Negative if `a` is placed before `b`. Starving jobs go first, oldest first: under steady load
- * of higher priority they would never start. Then guaranteed work, so that what was reclaimed
- * for it is not taken by others; then priority, the objective due first, the oldest. In overload
- * work that has missed its objectives waits for work that can still meet them.
+ * Returns a negative number if `a` is placed before `b`. Starving jobs come first, the oldest of
+ * them first, since under a steady load of higher priority they would never start. Then come jobs
+ * within their team's guarantee, so that no other job takes the capacity that was reclaimed for
+ * them. Further criteria are the priority, the next start deadline and the age. In overload, a
+ * job that has missed its objectives thus waits for jobs that can still meet theirs.
  */
 export function compareJobs(a: JobRank, b: JobRank): number {
   if (a.isStarving !== b.isStarving) return a.isStarving ? -1 : 1;
--- a/packages/scheduler/src/pareto-front.ts
+++ b/packages/scheduler/src/pareto-front.ts
@@ -1,21 +1,21 @@
-/** The choice among candidate machines for a task: the Pareto front of three criteria. */
+/** Chooses a machine for a task from the Pareto front of the candidates by three criteria. */
 
-/** A candidate machine, in the paper's word a volunteer; all criteria are to be low. */
+/** A candidate machine; the paper calls it a volunteer. Lower values are better throughout. */
 export interface Volunteer {
-  /** Allocated part of the machine, from 0 to 1. */
+  /** Allocated fraction of the machine's most allocated resource, from 0 to 1. */
   allocatedFraction: number;
-  /** Price per hour; 0 for an owned machine. */
+  /** How much a task on the machine adds to the hourly cost of the fleet; 0 if nothing. */
   price: number;
-  /** Computing time assigned to it over the recent past, in ms per CPU. */
+  /** Computing time of the machine's tasks in ms per CPU; earlier time counts less. */
   recentComputeTime: number;
   /**
-   * How soon it has the image. 0: holds it; 1: is fetching it; 2: fetches nothing; from 3:
-   * other fetches come first.
+   * How soon the image is available. 0: present; 1: being fetched; 2: can be fetched at once;
+   * 3 and more: delayed by other fetches.
    */
   imageRank: number;
 }
 
-/** Whether `a` is no worse than `b` by any criterion, and better by one. */
+/** Whether `a` is at least as good as `b` by each of the three criteria, and better by one. */
 export const dominates = (a: Volunteer, b: Volunteer): boolean =>
   a.allocatedFraction <= b.allocatedFraction &&
   a.price <= b.price &&
@@ -24,32 +24,35 @@
     a.price < b.price ||
     a.recentComputeTime < b.recentComputeTime);
 
-/** A member of the front at or above the volunteer; dominance is transitive, so one pass does. */
-function findFrontMember<V extends Volunteer>(from: V, volunteers: readonly V[]): V {
-  let top = from;
-  for (const volunteer of volunteers) if (dominates(volunteer, top)) top = volunteer;
-  return top;
+/**
+ * Returns `start` if no volunteer dominates it, else a member of the Pareto front that does. One
+ * pass is enough, since dominance is transitive.
+ */
+function findFrontMember<V extends Volunteer>(start: V, volunteers: readonly V[]): V {
+  let best = start;
+  for (const volunteer of volunteers) if (dominates(volunteer, best)) best = volunteer;
+  return best;
 }
 
 /**
- * The first volunteer, in the order given, that no other one dominates; undefined if there are
- * none. Members of the front found on the way rule most of the others out, without a comparison
- * of all with all.
+ * The first volunteer, in the order given, that no other one dominates; undefined if there are no
+ * volunteers. Most dominated volunteers are excluded by comparison with the members of the front
+ * found so far, instead of with all volunteers.
  */
 export function firstNonDominated<V extends Volunteer>(volunteers: readonly V[]): V | undefined {
   const front: V[] = [];
   for (const volunteer of volunteers) {
     if (front.some((member) => dominates(member, volunteer))) continue;
-    const top = findFrontMember(volunteer, volunteers);
-    if (top === volunteer) return volunteer;
-    front.push(top);
+    const frontMember = findFrontMember(volunteer, volunteers);
+    if (frontMember === volunteer) return volunteer;
+    front.push(frontMember);
   }
   return undefined;
 }
 
 /**
- * Heuristic 3-ter of the paper, with the image first: the front among the volunteers that will
- * have it soonest. Undefined if there are no volunteers.
+ * Heuristic 3-ter of the paper, restricted to the volunteers with the best image rank: the first
+ * member of their Pareto front. Undefined if there are no volunteers.
  */
 export function chooseVolunteer<V extends Volunteer>(volunteers: readonly V[]): V | undefined {
   let bestRank = Infinity;
--- a/packages/scheduler/src/placement-constraints.ts
+++ b/packages/scheduler/src/placement-constraints.ts
@@ -1,23 +1,26 @@
-/** Constraints on where a job may be placed. */
+/** Constraints on the machines on which a job may be placed. */
 import type { JobSpec, MachineType, Team } from '@tealdock/wire';
 import { RESOURCE_EPSILON, fits, resourcesOf, type Resources } from './resources.js';
 
-/** Machines of one type in one zone, either spot or not. */
+/** The spot machines, or all others, of one type in one zone. */
 export interface MachinePool {
   type: string;
   zone: string;
   spot: boolean;
 }
 
-/** Bound tasks of one job by zone, including those whose end is not proven. */
+/** Number of bound tasks of one job by zone. A task counts until its end is proven. */
 export type TaskCountByZone = ReadonlyMap<string, number>;
 
-/** Whether a job may use machines of this type. */
+/** Whether a job may use machines of the type. */
 export function isTypeAllowed(spec: JobSpec, type: string): boolean {
   return spec.types === null || spec.types.includes(type);
 }
 
-/** Whether a task of a job may go to a machine of the pool, given the job's bound tasks. */
+/**
+ * Whether one more task of a job may be placed on a machine of the pool, given the job's bound
+ * tasks. A spread job may have at most half of its tasks, rounded up, in one zone.
+ */
 export function isPlacementAllowed(
   spec: JobSpec,
   pool: MachinePool,
@@ -34,7 +37,7 @@
 const hasTasksElsewhere = (boundTasks: TaskCountByZone, zone: string): boolean =>
   [...boundTasks].some(([otherZone, count]) => count > 0 && otherZone !== zone);
 
-/** Whether a team stays within its limit with the requested resources as well. */
+/** Whether a team would stay within its limit with the requested resources added. */
 export function isWithinTeamQuota(team: Team, used: Resources, requested: Resources): boolean {
   return (
     used.cpus + requested.cpus <= team.maxCpus + RESOURCE_EPSILON &&
@@ -42,7 +45,7 @@
   );
 }
 
-/** Why a job can never run, as users read it; null if it can. */
+/** The message for the user if a job can never run; null if it can. */
 export function infeasibilityReason(
   spec: JobSpec,
   teams: Team[],
--- a/packages/scheduler/src/preemption-planning.ts
+++ b/packages/scheduler/src/preemption-planning.ts
@@ -1,4 +1,4 @@
-/** Which tasks to stop on one machine. */
+/** Chooses the tasks to stop on one machine. */
 import type { Duration } from '@tealdock/wire';
 import { fits, addResources, type Resources } from './resources.js';
 
@@ -6,19 +6,19 @@
 export interface Victim<T> {
   item: T;
   resources: Resources;
-  /** Work lost if it is stopped. */
+  /** Cost of stopping the task, as time of lost work. */
   lostWork: Duration;
 }
 
-/** Tasks to stop on one machine, and the work lost by that. */
+/** Tasks to stop on one machine, and the sum of their `lostWork`. */
 export interface PreemptionPlan<T> {
   victims: Victim<T>[];
   lostWork: Duration;
 }
 
 /**
- * What to stop on one machine until the requested resources are free, the least work lost
- * first; null if all victims together do not free enough. Sorts `candidates` in place.
+ * Chooses candidates with the least lost work first, until the requested resources would be free;
+ * null if stopping all of them would not free enough. Sorts `candidates` in place.
  */
 export function planPreemption<T>(
   free: Resources,
--- a/packages/scheduler/src/rental-plan.ts
+++ b/packages/scheduler/src/rental-plan.ts
@@ -1,4 +1,4 @@
-/** Which machines to rent for a backlog of tasks. */
+/** Plans which machines to rent for a backlog of tasks. */
 import type { JobSpec, MachineType } from '@tealdock/wire';
 import {
   isPlacementAllowed,
@@ -15,15 +15,15 @@
   type Resources,
 } from './resources.js';
 
-/** Tasks of one job that wait for capacity. */
+/** Tasks of one job that need capacity. */
 export interface BacklogEntry {
   spec: JobSpec;
   taskCount: number;
-  /** What a task's slot may cost an hour; work in no hurry waits for a cheap one. */
+  /** Limit of a task slot's price per hour, for work that can wait; undefined: no limit. */
   maxSlotPrice?: number;
 }
 
-/** Free capacity, now or soon, that need not be rented. */
+/** Free capacity of a machine that is in the fleet or will be, so it need not be rented. */
 export interface FreeCapacity extends MachinePool {
   free: Resources;
 }
@@ -39,7 +39,7 @@
 /** Rentals are planned as if no task were bound yet. */
 const NO_BOUND_TASKS: TaskCountByZone = new Map();
 
-/** Everything the catalog offers, less what was refused recently. */
+/** All pools of the catalog's machine types, except those for which `isRefused` returns true. */
 export function listOfferings(
   types: MachineType[],
   isRefused: (pool: MachinePool) => boolean,
@@ -58,7 +58,10 @@
   return all.filter((offering) => !isRefused(offering));
 }
 
-/** Price of one task slot for an hour; the tail of a backlog does not fill a large machine. */
+/**
+ * Price of one task slot per hour. Only as many slots share the price of a machine as tasks
+ * remain, since the last tasks of a backlog may not fill a large machine.
+ */
 function slotPrice(offering: Offering, requested: Resources, taskCount: number): number {
   const usedSlots = Math.min(taskSlots(requested, offering.resources), taskCount);
   return offering.price / Math.max(1, usedSlots);
@@ -74,7 +77,10 @@
   );
 }
 
-/** Undefined if the cheapest slot is over the entry's price limit. */
+/**
+ * The offering with the cheapest slot. Undefined if there is no suitable one or the slot costs
+ * more than the entry's limit.
+ */
 function cheapestOffering(
   suitable: Offering[],
   entry: BacklogEntry,
@@ -90,7 +96,10 @@
   return lowestPrice <= (entry.maxSlotPrice ?? Infinity) ? cheapest : undefined;
 }
 
-/** The lowest price of a slot for an hour, on a machine filled with such tasks. */
+/**
+ * The lowest price per hour of a slot for the job's tasks, on a machine filled with them;
+ * Infinity if no offering is suitable.
+ */
 export function minSlotPrice(offerings: Offering[], spec: JobSpec): number {
   const requested = resourcesOf(spec);
   const prices = suitableOfferings(offerings, spec).map((offering) =>
@@ -99,7 +108,7 @@
   return Math.min(Infinity, ...prices);
 }
 
-/** Takes free capacity for as many of the tasks as fit, and returns how many are left. */
+/** Subtracts the tasks that fit from the free capacity. Returns how many tasks do not fit. */
 function allocateFreeCapacity(
   capacities: FreeCapacity[],
   spec: JobSpec,
@@ -118,8 +127,9 @@
 }
 
 /**
- * The machines to rent so that the whole backlog fits, in the order of the backlog, at most
- * `maxMachines`; machines planned for an earlier job take tasks of later ones too.
+ * The machines to rent so that the backlog fits, at most `maxMachines`; one element for each
+ * machine. Entries are planned in the given order, and later entries also use the remaining
+ * capacity of machines that are planned for earlier ones.
  */
 export function planRentals(
   backlog: BacklogEntry[],
@@ -136,7 +146,7 @@
   for (const entry of entries) {
     if (plan.length >= maxMachines) break;
     let left = allocateFreeCapacity(capacities, entry.spec, entry.taskCount);
-    // Without full machines, which every later job would look at again.
+    // Drops full machines, which would be examined again for every later entry.
     capacities = capacities.filter(isUsable);
     const suitable = left > 0 ? suitableOfferings(offerings, entry.spec) : [];
     while (left > 0 && plan.length < maxMachines) {
--- a/packages/scheduler/src/resources.ts
+++ b/packages/scheduler/src/resources.ts
@@ -1,29 +1,29 @@
 /** Resources and arithmetic on them. */
 import type { JobSpec } from '@tealdock/wire';
 
-/** Amounts of what tasks take of a machine. */
+/** Amounts of the resources that a task uses or a machine has. */
 export interface Resources {
   cpus: number;
   gpus: number;
   memoryGb: number;
 }
 
-/** Tolerance for sums of decimal amounts. */
+/** Tolerance for rounding errors in sums of decimal amounts. */
 export const RESOURCE_EPSILON = 1e-6;
-/** Bounds what tasks that ask for nothing may count as. */
+/** Limit of `taskSlots`, since any number of tasks fits if they request no resources. */
 const MAX_SLOT_COUNT = 1000;
 
 /** No resources at all. */
 export const NO_RESOURCES: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
 
-/** What each task of a job takes. */
+/** Resources that each task of a job requests. */
 export const resourcesOf = ({ cpus, gpus, memoryGb }: JobSpec): Resources => ({
   cpus,
   gpus,
   memoryGb,
 });
 
-/** Whether the requested amounts are free. */
+/** Whether the requested resources fit into the free ones. */
 export const fits = (requested: Resources, free: Resources): boolean =>
   requested.cpus <= free.cpus + RESOURCE_EPSILON &&
   requested.gpus <= free.gpus + RESOURCE_EPSILON &&
@@ -43,21 +43,21 @@
   memoryGb: a.memoryGb - b.memoryGb,
 });
 
-/** What so many tasks take together. */
+/** `each * count` of each kind. */
 export const multiplyResources = (each: Resources, count: number): Resources => ({
   cpus: each.cpus * count,
   gpus: each.gpus * count,
   memoryGb: each.memoryGb * count,
 });
 
-/** The smaller of each kind. */
+/** The smaller amount of each kind. */
 export const minResources = (a: Resources, b: Resources): Resources => ({
   cpus: Math.min(a.cpus, b.cpus),
   gpus: Math.min(a.gpus, b.gpus),
   memoryGb: Math.min(a.memoryGb, b.memoryGb),
 });
 
-/** How many tasks of this size fit into the free resources. */
+/** Number of tasks with these requests that fit into the free resources, at most `MAX_SLOT_COUNT`. */
 export function taskSlots(requested: Resources, free: Resources): number {
   const slots = (each: number, available: number) =>
     each <= 0 ? Infinity : Math.floor((available + RESOURCE_EPSILON) / each);
@@ -69,7 +69,7 @@
   return Math.max(0, Math.min(count, MAX_SLOT_COUNT));
 }
 
-/** The largest allocated fraction, from 0 to 1, over the kinds of resource a machine has. */
+/** The allocated fraction, from 0 to 1, of the machine's most allocated resource. */
 export function allocatedFraction(total: Resources, free: Resources): number {
   const fraction = (all: number, rest: number) => (all <= 0 ? 0 : (all - rest) / all);
   return Math.max(
