--- a/packages/controller/src/autoscaling/autoscaler.ts
+++ b/packages/controller/src/autoscaling/autoscaler.ts
@@ -1,4 +1,4 @@
-/** How many machines of which kind there should be. */
+/** Autoscaling: rents machines for the backlog, and returns those that are not needed. */
 import { MAX_RENTAL_COUNT, type Duration, type MachineType } from '@tealdock/wire';
 import { planRentals, type MachinePool } from '@tealdock/scheduler';
 import type { Leadership } from '../leadership/leadership.js';
@@ -19,12 +19,12 @@
 const LIST_CHECK_INTERVAL_MS = 3000;
 const SCALE_OUT_INTERVAL_MS = 1000;
 const SCALE_IN_INTERVAL_MS = 300;
-/** Machines that one plan may rent. */
+/** Limit of machines that one plan rents. */
 const MAX_PLANNED_RENTAL_COUNT = 400;
-/** In a new term, scaling out begins after this even if some machines are not reconciled. */
+/** Age of a term from which on it scales out even if some machines are not reconciled. */
 const RECONCILIATION_TIMEOUT_MS = 15_000;
 
-/** Scales out for the backlog, and scales in by machines that are of no use. */
+/** Scales out for the backlog, and scales in by returning machines that are not needed. */
 export class Autoscaler implements FleetPolicy {
   private readonly inventory: MachineInventory;
   private readonly pricing: FleetPricing;
@@ -67,7 +67,7 @@
     this.returns = new MachineReturns(runtime, term, returnRules, cloud, inventory);
   }
 
-  /** Scales until the term ends. */
+  /** Starts the periodic checks, which run until the term ends. */
   start(): void {
     this.inventory.start();
     this.repeat(LIST_CHECK_INTERVAL_MS, () => this.inventory.refreshList());
@@ -90,7 +90,7 @@
     return this.inventory.policy === 'frugal';
   }
 
-  /** Runs only while the lease is valid. */
+  /** Calls `run` at each interval until the term ends, but only while the lease is valid. */
   private repeat(interval: Duration, run: () => void): void {
     this.runtime.every(interval, () => {
       if (this.mayAct()) run();
@@ -109,7 +109,7 @@
     this.rentForBacklog();
   }
 
-  /** What has not been rented is requested at once, elsewhere where it was refused. */
+  /** Requests machines that are still missing at once, from other pools if some were refused. */
   private scaleOutAgain(): void {
     if (this.mayAct() && this.rentals.pending.length === 0) this.rentForBacklog();
   }
@@ -125,14 +125,14 @@
     }
   }
 
-  /** Before all machines are reconciled, tasks that run look like tasks that wait. */
+  /** Before all machines are reconciled, running tasks may be counted as waiting. */
   private isBacklogKnown(): boolean {
     const termAge = this.runtime.now - this.term.electedAt;
     return this.term.allMachinesReconciled || termAge > RECONCILIATION_TIMEOUT_MS;
   }
 }
 
-/** In the order in which the pools appear first. */
+/** Counts the elements of each pool. Pools are in the order in which they first appear. */
 function countByPool(pools: MachinePool[]): Iterable<{ pool: MachinePool; count: number }> {
   const counts = new Map<string, { pool: MachinePool; count: number }>();
   for (const pool of pools) {
--- a/packages/controller/src/autoscaling/cloud-calls.ts
+++ b/packages/controller/src/autoscaling/cloud-calls.ts
@@ -3,20 +3,20 @@
 import type { Runtime } from '../runtime/runtime.js';
 import type { TermStatus } from '../term/term-view.js';
 
-/** How long the cloud may take for an answer. */
+/** Timeout of a call to the cloud. */
 export const CLOUD_CALL_TIMEOUT_MS = 4000;
 
-/** What differs from call to call. */
+/** The parts of a call that callers set. */
 export type CloudCall = Pick<Call, 'method' | 'path' | 'body' | 'priority'>;
 
-/** Sends calls to the cloud; results that come after the term are dropped. */
+/** Sends calls to the cloud. Results that arrive after the end of the term are dropped. */
 export class CloudCalls {
   constructor(
     private readonly runtime: Runtime,
     private readonly term: TermStatus,
   ) {}
 
-  /** Sends a call; a callback, since results are processed within turns of the state owner. */
+  /** Takes a callback, not a promise: the state owner processes results within its batches. */
   send(cloudCall: CloudCall, onResult: (result: CallResult) => void): void {
     const call: Call = {
       ...cloudCall,
--- a/packages/controller/src/autoscaling/fleet-capacity.ts
+++ b/packages/controller/src/autoscaling/fleet-capacity.ts
@@ -1,4 +1,4 @@
-/** Free capacity of the fleet, with that of machines still to come. */
+/** Free capacity of the fleet, including machines that are being provisioned or requested. */
 import type { FreeCapacity, MachinePool, Resources } from '@tealdock/scheduler';
 import type { Machine } from '../machines/machine.js';
 import type { MachineTypes } from '../placement/fleet-policy.js';
@@ -9,7 +9,7 @@
 import type { RentalRequests } from './rental-requests.js';
 import type { ReturnRules } from './return-rules.js';
 
-/** What the capacity is summed up from. */
+/** Objects from which the free capacity is determined. */
 export interface FleetCapacityParts {
   readonly runtime: Runtime;
   readonly term: Term;
@@ -19,7 +19,7 @@
   readonly returnRules: ReturnRules;
 }
 
-/** Counts machines that work, that are being provisioned, and that have been requested. */
+/** Takes into account usable machines, those being provisioned, and pending requests. */
 export class FleetCapacity {
   constructor(private readonly parts: FleetCapacityParts) {}
 
@@ -43,8 +43,8 @@
   }
 
   /**
-   * How many machines may be rented. One node holds a connection for each worker: a machine
-   * beyond that would be paid for without being reached, at the cost of those that are.
+   * How many more machines may be rented. One node holds a connection for each worker. A machine
+   * for which no socket is left would cost money but could connect only in place of another.
    */
   unusedWorkerSocketCount(): number {
     const { runtime, term, inventory, rentals } = this.parts;
@@ -55,7 +55,7 @@
     return Math.max(0, left);
   }
 
-  /** Those not reconciled yet count as usable, so that they are not replaced too early. */
+  /** Machines not reconciled yet count as usable, so that they are not replaced too early. */
   private isUsable(machine: Machine): boolean {
     const { registration, heartbeats, health } = machine;
     if (registration.isReturning || heartbeats.preemptionDeadline !== null) return false;
--- a/packages/controller/src/autoscaling/fleet-pricing.ts
+++ b/packages/controller/src/autoscaling/fleet-pricing.ts
@@ -1,10 +1,10 @@
-/** What work on the machines of the fleet costs. */
+/** Marginal prices of tasks on the machines of the fleet. */
 import type { MachineType } from '@tealdock/wire';
 import type { Machine } from '../machines/machine.js';
 import type { MachineTypes } from '../placement/fleet-policy.js';
 import type { MachineInventory } from './machine-inventory.js';
 
-/** Capacity is cheap up to this multiple of the lowest price. */
+/** A price counts as cheap up to this multiple of the lowest price. */
 export const CHEAP_PRICE_FACTOR = 1.6;
 
 /** Prices by which placement compares machines. */
@@ -15,9 +15,9 @@
   ) {}
 
   /**
-   * What work on the machine adds to the bill per hour: nothing where it is owned, or cheap and
-   * in use anyway. An expensive one keeps its price also while it is in use, so that it gets no
-   * more work than necessary, falls idle and is returned.
+   * See `FleetPolicy`. 0 for an owned machine. Unless the policy is `fast`, also 0 for a cheap one
+   * that is in use anyway. An expensive machine keeps its price while it is in use, so that it
+   * gets no more tasks than necessary, becomes idle and is returned.
    */
   marginalPrice(machine: Machine, type: MachineType): number {
     if (this.inventory.isOwned(machine.id)) return 0;
@@ -26,7 +26,7 @@
     return price <= this.lowestCpuPrice() * type.cpus * CHEAP_PRICE_FACTOR ? 0 : price;
   }
 
-  /** Price per hour of a CPU on the cheapest type of machine. */
+  /** Lowest price per CPU and hour of all machine types; Infinity if there are none. */
   private lowestCpuPrice(): number {
     let lowest = Infinity;
     for (const { cpus, price, spotPrice } of this.catalog.types) {
--- a/packages/controller/src/autoscaling/machine-inventory.ts
+++ b/packages/controller/src/autoscaling/machine-inventory.ts
@@ -19,18 +19,21 @@
 
 const LIST_INTERVAL_MS = 5000;
 const STATE_READ_RETRY_MS = 1000;
-/** The list may lag by this many times what the settings say, to be on the safe side. */
+/** Safety factor for the lag of the machine list that the settings name. */
 const LIST_LAG_FACTOR = 2;
 
-/** `frugal`: price first. `fast`: starts first. */
+/** `frugal`: low cost has precedence. `fast`: early starts have precedence. */
 export type ScalingPolicy = Exclude<OperatorSettings['fleet']['policy'], 'auto'>;
 
-/** A machine that was rented, or is listed, and has not sent a heartbeat yet. */
+/** A machine that was rented, or is listed as booting, and has not sent a heartbeat yet. */
 export interface ProvisioningMachine extends MachinePool {
   requestedAt: Instant;
 }
 
-/** Keeps the newest machine list, which lags, and the machines that are being provisioned. */
+/**
+ * Keeps the newest machine list, which may lag behind the actual machines, and the machines that
+ * are being provisioned.
+ */
 export class MachineInventory {
   /** By machine id. */
   readonly provisioning = new Map<string, ProvisioningMachine>();
@@ -38,8 +41,8 @@
   /** When the newest complete list was requested; null before the first. */
   private completeListRequestedAt: Instant | null = null;
   /**
-   * The last machine that was there before the first rental, by the order of ids; null while
-   * unknown, '' if there was none.
+   * The highest id, in string order, of all machines that were there before the first rental.
+   * Null while unknown; '' if there were none.
    */
   private lastOwnedId: string | null = null;
   private lastListRequestAt: Instant = -Infinity;
@@ -52,24 +55,24 @@
     private readonly cloud: CloudCalls,
   ) {}
 
-  /** Reads which machines are owned. */
+  /** Starts to read which machines are owned. */
   start(): void {
     this.loadLastOwnedId();
   }
 
-  /** As the operator set it, or `fast` where machines are owned. */
+  /** As the operator set it; for `auto`, `fast` if any machines are owned, else `frugal`. */
   get policy(): ScalingPolicy {
     const { policy } = this.runtime.operator.fleet;
     if (policy !== 'auto') return policy;
     return this.lastOwnedId ? 'fast' : 'frugal';
   }
 
-  /** Whether it is known which machines are owned; without that, nothing is rented. */
+  /** Whether it is known which machines are owned. Until then, nothing is rented. */
   get isOwnershipKnown(): boolean {
     return this.lastOwnedId !== null;
   }
 
-  /** Machines that were there before the first rental are the operator's own. */
+  /** Whether the operator owns the machine: it was there before the first rental. */
   isOwned(id: string): boolean {
     return !!this.lastOwnedId && id <= this.lastOwnedId;
   }
@@ -79,19 +82,19 @@
     return this.listed;
   }
 
-  /** The list would show any machine observed before this; null before the first list. */
+  /** The list should include machines first observed before this; null before the first list. */
   get listCompleteUntil(): Instant | null {
     if (this.completeListRequestedAt === null) return null;
     return this.completeListRequestedAt - this.maxListLag;
   }
 
-  /** The machine has been returned. */
+  /** Removes a machine that has been returned. */
   remove(id: string): void {
     this.provisioning.delete(id);
     this.listed.delete(id);
   }
 
-  /** Requests the list; seldom once all machines are reconciled. */
+  /** Requests the list. Once all machines are reconciled, only every `LIST_INTERVAL_MS`. */
   refreshList(): void {
     const { now } = this.runtime;
     const isRecent = now - this.lastListRequestAt < LIST_INTERVAL_MS;
@@ -132,7 +135,7 @@
     }
   }
 
-  /** Some have sent a heartbeat; others were taken before, and are no longer listed. */
+  /** Removes machines that have sent a heartbeat, or that the list should include but lacks. */
   private removeEndedProvisioning(listCompleteUntil: Instant): void {
     for (const [id, machine] of this.provisioning) {
       const mustBeListed = listCompleteUntil > machine.requestedAt + this.maxListLag;
@@ -150,7 +153,7 @@
     });
   }
 
-  /** With the first list, before any rental: all machines known now are owned. */
+  /** Before the first rental, all machines known are owned: stores the highest id, once. */
   private storeLastOwnedId(): void {
     if (this.lastOwnedId !== null) return;
     const last = [...this.listed.keys(), ...this.term.machines.keys()].sort().at(-1) ?? '';
--- a/packages/controller/src/autoscaling/machine-returns.ts
+++ b/packages/controller/src/autoscaling/machine-returns.ts
@@ -7,7 +7,7 @@
 import type { MachineInventory } from './machine-inventory.js';
 import type { ReturnRules } from './return-rules.js';
 
-/** Returns machines, each only once no later term can give it work. */
+/** Returns machines to the cloud, each only once no later term can give it work. */
 export class MachineReturns {
   private isCallPending = false;
 
@@ -20,8 +20,8 @@
   ) {}
 
   /**
-   * Scales in by what the rules name. A machine that may have had work is first marked in the
-   * machine registry: no later term may give work to a machine that is going back.
+   * Returns the machines that the rules select. A machine that may have had work is first marked
+   * as returning in the machine registry, so that no later term gives it work.
    */
   scaleIn(): void {
     if (!this.term.stateLoaded) return;
--- a/packages/controller/src/autoscaling/rental-backlog.ts
+++ b/packages/controller/src/autoscaling/rental-backlog.ts
@@ -1,4 +1,4 @@
-/** The tasks for which machines are to be rented. */
+/** The backlog for which machines are rented. */
 import type { Instant } from '@tealdock/wire';
 import { listOfferings, minSlotPrice, type BacklogEntry, type Offering } from '@tealdock/scheduler';
 import type { LiveJob } from '../jobs/live-job.js';
@@ -10,9 +10,12 @@
 import { CHEAP_PRICE_FACTOR } from './fleet-pricing.js';
 import type { MachineInventory } from './machine-inventory.js';
 
-/** Boots take up to half as long again as their type says. */
+/** Longest boot, as a multiple of the boot time that the machine type names. */
 const MAX_BOOT_TIME_FACTOR = 1.5;
-/** Jobs without any objective wait this long for cheap machines; few tasks may never fill one. */
+/**
+ * Jobs without a start deadline wait this long for cheap machines. The wait is limited since a
+ * few tasks may never fill such a machine.
+ */
 const MAX_CHEAP_WAIT_MS = 60_000;
 
 interface PendingJob {
@@ -20,7 +23,7 @@
   startDeadline: Instant;
 }
 
-/** Tasks without a machine, and spare capacity for those to come. */
+/** Lists unbound tasks, and the headroom: spare capacity for tasks to come. */
 export class RentalBacklog {
   constructor(
     private readonly runtime: Runtime,
@@ -47,7 +50,7 @@
     });
   }
 
-  /** Jobs with tasks that wait, the earliest start deadline first. */
+  /** Jobs with unbound tasks and without an active backoff, the earliest start deadline first. */
   private pendingJobs(): PendingJob[] {
     const { now, settings } = this.runtime;
     const guaranteed = jobsWithinGuarantee(this.term.jobs.values(), settings);
@@ -64,13 +67,16 @@
     return instant === Infinity ? job.dependencies.startableAt + MAX_CHEAP_WAIT_MS : instant;
   }
 
-  /** What the team's limit leaves. */
+  /** CPUs that the team may use in addition to its bindings. */
   private freeCpusOf(teamName: string): number {
     const team = this.runtime.settings.teams.find(({ name }) => name === teamName);
     return (team?.maxCpus ?? 0) - this.term.ledger.usageOf(teamName).cpus;
   }
 
-  /** Expensive machines are only for work that would otherwise start too late. */
+  /**
+   * Limit of a slot's price per hour. Unless the policy is `fast`, only tasks that would otherwise
+   * miss their start deadline may use expensive machines.
+   */
   private maxSlotPrice(job: LiveJob, startDeadline: Instant, offerings: Offering[]): number {
     if (this.inventory.policy === 'fast') return Infinity;
     const { types } = this.catalog;
@@ -82,7 +88,7 @@
     return minSlotPrice(offerings, job.spec) * CHEAP_PRICE_FACTOR;
   }
 
-  /** Where starts count more than money, some capacity is kept for jobs to come. */
+  /** With the policy `fast`: spare capacity in proportion to the work of each live job. */
   private headroomEntries(): BacklogEntry[] {
     if (this.inventory.policy !== 'fast') return [];
     const { headroom } = this.runtime.operator.fleet;
--- a/packages/controller/src/autoscaling/rental-requests.ts
+++ b/packages/controller/src/autoscaling/rental-requests.ts
@@ -1,4 +1,4 @@
-/** Requests for machines, each repeated under its name until the cloud has answered. */
+/** Requests for machines, each repeated under the same name until the cloud has answered. */
 import { MACHINES_PATH, parseRented, renderRent, type Instant } from '@tealdock/wire';
 import { listOfferings, type MachinePool, type Offering } from '@tealdock/scheduler';
 import type { MachineTypes } from '../placement/fleet-policy.js';
@@ -9,7 +9,7 @@
 import { CLOUD_CALL_TIMEOUT_MS, type CloudCalls } from './cloud-calls.js';
 import type { MachineInventory } from './machine-inventory.js';
 
-/** A pool that was refused is not asked for again for this long. */
+/** No machines of a pool are requested for this long after the cloud has refused some of it. */
 const REFUSAL_TTL_MS = 15_000;
 /** A request without an answer is sent again this long after its call has timed out. */
 const REPEAT_DELAY_MS = 1000;
@@ -23,24 +23,24 @@
   requestedAt: Instant;
 }
 
-/** What rental requests work with. */
+/** Objects that rental requests use. */
 export interface RentalRequestsParts {
   readonly runtime: Runtime;
   readonly term: TermStatus;
   readonly catalog: MachineTypes;
   readonly cloud: CloudCalls;
   readonly inventory: MachineInventory;
-  /** Called once all requests are answered: what was refused may be rented elsewhere. */
+  /** Called when all requests are answered: refused machines may be rented from other pools. */
   readonly onAllAnswered: () => void;
 }
 
-/** The same for machines of one pool. */
+/** Key of a pool: equal for machines of the same type and zone that are both spot or both not. */
 export const poolKey = ({ type, zone, spot }: MachinePool): string => `${type} ${zone} ${spot}`;
 
-/** Rents machines. One request for a pool is under way at a time. */
+/** Rents machines, with at most one pending request for each pool. */
 export class RentalRequests {
   private readonly requests = new Map<string, RentalRequest>();
-  /** Until when pools are not asked for, by pool key. */
+  /** Instants before which no machines of a refused pool are requested, by pool key. */
   private readonly refusedUntil = new Map<string, Instant>();
   private lastRequestNumber = 0;
 
@@ -51,7 +51,7 @@
     return [...this.requests.values()];
   }
 
-  /** What may be rented just now. */
+  /** Offerings that may be rented now: those of pools not refused recently. */
   offerings(): Offering[] {
     const { catalog, runtime } = this.parts;
     const isRefused = (pool: MachinePool) =>
@@ -59,7 +59,7 @@
     return listOfferings(catalog.types, isRefused);
   }
 
-  /** Rents machines, unless a request for the pool is under way: its answer says if there are more. */
+  /** Requests machines, unless a request is pending: its answer shows if the pool has more. */
   request({ type, zone, spot }: MachinePool, count: number): void {
     const key = poolKey({ type, zone, spot });
     if (this.pending.some((pending) => poolKey(pending) === key)) return;
@@ -70,7 +70,7 @@
     this.send(rental);
   }
 
-  /** Repeats requests without an answer, under the same name, so that none is rented twice. */
+  /** Repeats overdue requests under the same name, so that no machine is rented twice. */
   repeatUnanswered(): void {
     const { now } = this.parts.runtime;
     for (const rental of this.requests.values()) {
@@ -103,7 +103,7 @@
   }
 }
 
-/** Ids of the machines rented, none where refused; null where the request has to be repeated. */
+/** Ids of the rented machines, empty after a refusal; null if the request has to be repeated. */
 function rentedMachines({
   status,
   body,
--- a/packages/controller/src/autoscaling/return-rules.ts
+++ b/packages/controller/src/autoscaling/return-rules.ts
@@ -1,4 +1,4 @@
-/** Which machines are of no use and go back to the cloud. */
+/** Selects the machines that are returned to the cloud. */
 import type { Duration } from '@tealdock/wire';
 import type { Machine } from '../machines/machine.js';
 import type { MachineTypes } from '../placement/fleet-policy.js';
@@ -6,28 +6,32 @@
 import type { Term } from '../term/term.js';
 import type { MachineInventory, ProvisioningMachine } from './machine-inventory.js';
 
-/** The cloud charges a machine that is returned for at least this long. */
+/** The cloud charges for at least this long, so an idle machine is not returned earlier. */
 const MIN_CHARGED_TIME_MS = 60_000;
 /**
- * After a failover, rented machines that are not reconciled are given up once they are this
- * fraction of all: a tiny one soon, since all older work waits for the last machine.
+ * After a failover, all older work waits until the last machine is reconciled. So rented machines
+ * that are not reconciled by this age of the term are returned if they are at most this fraction
+ * of the fleet: a tiny fraction early, a larger one later.
  */
 const FEW_UNRECONCILED_TIMEOUT_MS = 2000;
 const FEW_UNRECONCILED_FRACTION = 0.01;
 const UNRECONCILED_TIMEOUT_MS = 8000;
 const UNRECONCILED_FRACTION = 0.05;
-/** A machine that the list lacks is given up if no lease was renewed in a new term for so long, */
+/**
+ * A machine that is missing from the list is returned at this age of the term if it has not
+ * renewed its lease in this term.
+ */
 const NEW_TERM_SILENCE_TIMEOUT_MS = 1500;
-/** or else for this many heartbeat intervals. */
+/** If it has, it is returned this many heartbeat intervals after the last renewal. */
 const SILENCE_TIMEOUT_FACTOR = 1.5;
-/** An owned fleet is not paid for by the second: what it rents is kept for longer. */
+/** Idle timeout with the policy `fast`: longer, as an owned fleet is not paid by the second. */
 const FAST_IDLE_TIMEOUT_MS = 300_000;
-/** A rented machine that loses this many starts in a row is of no use. */
+/** A rented machine is returned after this many starts in a row that did not show up on it. */
 const MAX_LOST_START_COUNT = 3;
-/** What a boot may take beyond the operators' limit. */
+/** Time that a boot may take beyond the operators' limit. */
 const BOOT_MARGIN_MS = 5000;
 
-/** Decides on returns; changes nothing. */
+/** Decides which machines to return; has no side effects. */
 export class ReturnRules {
   constructor(
     private readonly runtime: Runtime,
@@ -36,7 +40,7 @@
     private readonly inventory: MachineInventory,
   ) {}
 
-  /** Machines that go back now. */
+  /** Machines of the fleet to return now, without those that are being returned already. */
   machinesToReturn(): Machine[] {
     const includeUnreconciled = this.shouldReturnUnreconciled();
     return [...this.term.machines.values()].filter(
@@ -45,7 +49,7 @@
     );
   }
 
-  /** Machines that failed or never came up, by id: no term has given them work. */
+  /** Ids of machines that failed or did not boot in time before any term gave them work. */
   neverUsedMachines(): string[] {
     const failed = [...this.inventory.listedMachines]
       .filter(([id, { state }]) => state === 'failed' && !this.isInFleetOrTerminated(id))
@@ -56,7 +60,7 @@
     return [...failed, ...neverUp];
   }
 
-  /** Whether the machine has no tasks, and no heartbeat of it has counted for a whole lease. */
+  /** Whether the machine has no bindings, and none of its heartbeats counted for a whole lease. */
   isLongSilent(machine: Machine): boolean {
     const { heartbeats, registration, bindings } = machine;
     const observedAt = Math.min(registration.firstObservedAt, this.runtime.now);
@@ -86,8 +90,8 @@
   }
 
   /**
-   * Whether the list lacks a machine that it would show, and the machine is silent. That alone
-   * proves nothing; the answer to its return will.
+   * Whether the machine is silent, and missing from the list although it should be on it. This
+   * does not prove that the machine is gone; the answer to its return will.
    */
   private hasVanished({ id, heartbeats, registration }: Machine): boolean {
     const { listCompleteUntil, listedMachines } = this.inventory;
@@ -101,22 +105,22 @@
     return this.runtime.now - (lastLeaseRenewalAt ?? this.term.electedAt);
   }
 
-  /** Machines find the leader of a new term soon. */
+  /** Time after which a machine counts as silent. Workers find the leader of a new term soon. */
   private maxSilence({ lastLeaseRenewalAt }: Machine['heartbeats']): Duration {
     if (lastLeaseRenewalAt === null) return NEW_TERM_SILENCE_TIMEOUT_MS;
     return this.runtime.settings.heartbeatInterval * SILENCE_TIMEOUT_FACTOR;
   }
 
   /**
-   * Whether few machines are not reconciled while the rest of the fleet is: the answers to
-   * their returns prove them gone sooner than the expiry of their leases would.
+   * Whether to return rented machines that are not reconciled, since they are few. The answers to
+   * their returns prove that they are gone sooner than the expiry of their leases would.
    */
   private shouldReturnUnreconciled(): boolean {
     const termAge = this.runtime.now - this.term.electedAt;
     if (termAge < FEW_UNRECONCILED_TIMEOUT_MS) return false;
     const unreconciledCount = this.term.unreconciledMachines().length;
     const machineCount = this.term.machines.size;
-    // In a small fleet the last one is more likely slow than gone, and expensive to lose.
+    // In a small fleet, the last such machine is more likely slow than gone, and costly to lose.
     if (termAge < UNRECONCILED_TIMEOUT_MS)
       return unreconciledCount <= machineCount * FEW_UNRECONCILED_FRACTION;
     return unreconciledCount <= Math.max(1, machineCount * UNRECONCILED_FRACTION);
