--- a/packages/controller/src/autoscaling/rental-backlog.ts
+++ b/packages/controller/src/autoscaling/rental-backlog.ts
@@ -1,4 +1,4 @@
-/** The backlog for which machines are rented. */
+/** The backlog of tasks for which machines are rented. */
 import type { Instant } from '@tealdock/wire';
 import { listOfferings, minSlotPrice, type BacklogEntry, type Offering } from '@tealdock/scheduler';
 import type { LiveJob } from '../jobs/live-job.js';
@@ -88,7 +88,7 @@
     return minSlotPrice(offerings, job.spec) * CHEAP_PRICE_FACTOR;
   }
 
-  /** With the policy `fast`: spare capacity in proportion to the work of each live job. */
+  /** With the policy `fast`: capacity for jobs to come, in proportion to the work of live jobs. */
   private headroomEntries(): BacklogEntry[] {
     if (this.inventory.policy !== 'fast') return [];
     const { headroom } = this.runtime.operator.fleet;
--- a/packages/controller/src/autoscaling/rental-requests.ts
+++ b/packages/controller/src/autoscaling/rental-requests.ts
@@ -9,7 +9,7 @@
 import { CLOUD_CALL_TIMEOUT_MS, type CloudCalls } from './cloud-calls.js';
 import type { MachineInventory } from './machine-inventory.js';
 
-/** No machines of a pool are requested for this long after the cloud has refused some of it. */
+/** A pool is not requested again for this long after the cloud has refused machines of it. */
 const REFUSAL_TTL_MS = 15_000;
 /** A request without an answer is sent again this long after its call has timed out. */
 const REPEAT_DELAY_MS = 1000;
--- a/packages/controller/src/placement/capacity-reservation.ts
+++ b/packages/controller/src/placement/capacity-reservation.ts
@@ -55,7 +55,7 @@
   }
 
   /**
-   * Reserves capacity for so many tasks of the job on machines where they fit after all
+   * Reserves capacity for `taskCount` tasks of the job on machines where they fit after all
    * requested stops. For the remaining tasks, preempts others if that is allowed.
    */
   reserve(search: PlacementSearch, taskCount: number, cycle: SchedulingCycle): void {
--- a/packages/controller/src/placement/drain.ts
+++ b/packages/controller/src/placement/drain.ts
@@ -13,7 +13,7 @@
     private readonly term: Term,
   ) {}
 
-  /** Requests stops on all machines with a preemption notice, for tasks that may not finish. */
+  /** On machines with a preemption notice, stops tasks that are not expected to end in time. */
   run(): void {
     for (const machine of this.term.machines.values()) {
       const { preemptionDeadline } = machine.heartbeats;
--- a/packages/controller/src/placement/image-availability.ts
+++ b/packages/controller/src/placement/image-availability.ts
@@ -56,7 +56,8 @@
 
 /**
  * A machine that fetches other images is not a volunteer if the wait for the job's image there
- * exceeds both limits. With the factor alone, small images would find no machine.
+ * exceeds both limits. With the factor alone, jobs with small images would find no machine, since
+ * other fetches take many times as long as theirs.
  */
 export interface FetchLimits {
   /** Limit of the wait as a multiple of the time that the fetch takes on its own. */
--- a/packages/controller/src/placement/job-placement.ts
+++ b/packages/controller/src/placement/job-placement.ts
@@ -110,7 +110,7 @@
     return this.runtime.now - task.windowOpenedAt >= Math.min(closeEarly, lambda);
   }
 
-  /** Reopens the windows that have lasted λ, and reserves capacity for the tasks. */
+  /** Restarts windows that have lasted λ, and reserves capacity for tasks that fit nowhere now. */
   private deferTasks(search: PlacementSearch, tasks: OpenTask[], cycle: SchedulingCycle): void {
     if (tasks.length === 0) return;
     const { now, operator } = this.runtime;
--- a/packages/controller/src/placement/machine-capacity.ts
+++ b/packages/controller/src/placement/machine-capacity.ts
@@ -32,7 +32,10 @@
   return `${cpus} ${gpus} ${memoryGb} ${types?.join(',') ?? '*'} ${zone ?? '*'} ${spot} ${jobKey}`;
 }
 
-/** The machines on which tasks of a job may be placed, by type, zone and whether they are spot. */
+/**
+ * The machines on which tasks of a job may be placed, by type, zone and whether they are spot.
+ * Without bindings, a gang that must stay in one zone is limited to its `gangZone`, if known.
+ */
 export function allowedMachines(
   job: LiveJob,
   machines: MachineCapacity[],
--- a/packages/controller/src/placement/preemption.ts
+++ b/packages/controller/src/placement/preemption.ts
@@ -124,10 +124,10 @@
   }
 
   /**
-   * Within a team, only tasks of lower priority may be stopped. A task of another team may be
-   * stopped for either a higher priority or a reclaimed guarantee if its team uses more than its
-   * own guarantee, and needs both otherwise. If one of the two were enough, the other team would
-   * reclaim the capacity at once, and the teams would preempt each other without end.
+   * Within a team, only tasks of lower priority may be stopped. A task of another team that uses
+   * more than its guarantee may be stopped for a higher priority or to reclaim a guarantee. If its
+   * team is within its guarantee, both are needed: otherwise that team would reclaim the capacity
+   * at once, and the teams would preempt each other without end.
    */
   private mayStop(binding: Binding, isReclaiming: boolean): boolean {
     const victim = this.term.jobs.get(binding.job);
--- a/packages/controller/src/placement/volunteers.ts
+++ b/packages/controller/src/placement/volunteers.ts
@@ -67,7 +67,7 @@
     else this.tooSlowCount++;
   }
 
-  /** Position that keeps the list sorted: a fuller machine can only move forward. */
+  /** Position that keeps the list sorted: a fuller machine can only move towards the start. */
   private insertionIndex(changed: VolunteerMachine, previousIndex: number): number {
     if (!this.shouldConsolidate) return previousIndex;
     const before = this.volunteers.slice(0, previousIndex);
@@ -88,6 +88,6 @@
   }
 }
 
-/** Sorts by marginal price, lowest first, then by allocated fraction, fullest first. */
+/** Orders by marginal price, lowest first, then by allocated fraction, fullest first. */
 const compareForConsolidation = (a: Volunteer, b: Volunteer): number =>
   a.price - b.price || b.allocatedFraction - a.allocatedFraction;
