--- a/packages/controller/src/autoscaling/machine-inventory.ts
+++ b/packages/controller/src/autoscaling/machine-inventory.ts
@@ -19,30 +19,33 @@
 
 const LIST_INTERVAL_MS = 5000;
 const STATE_READ_RETRY_MS = 1000;
-/** The list may lag by this many times what the settings say, to be on the safe side. */
+/** Safety factor for the lag of the machine list that the settings name. */
 const LIST_LAG_FACTOR = 2;
 
-/** `frugal`: price first. `fast`: starts first. */
+/** `frugal`: low cost has precedence. `fast`: early starts have precedence. */
 export type ScalingPolicy = Exclude<OperatorSettings['fleet']['policy'], 'auto'>;
 
-/** A machine that was rented, or is listed, and has not sent a heartbeat yet. */
-export interface Provisioning extends MachinePool {
+/** A machine that was rented, or is listed as booting, and has not sent a heartbeat yet. */
+export interface ProvisioningMachine extends MachinePool {
   requestedAt: Instant;
 }
 
-/** Keeps the newest machine list, which lags, and the machines that are being provisioned. */
+/**
+ * Keeps the newest machine list, which may lag behind the actual machines, and the machines that
+ * are being provisioned.
+ */
 export class MachineInventory {
   /** By machine id. */
-  readonly provisioning = new Map<string, Provisioning>();
+  readonly provisioning = new Map<string, ProvisioningMachine>();
   private listed = new Map<string, ListedMachine>();
   /** When the newest complete list was requested; null before the first. */
-  private listRequestedAt: Instant | null = null;
+  private completeListRequestedAt: Instant | null = null;
   /**
-   * The last machine that was there before the first rental, by the order of ids; null while
-   * unknown, '' if there was none.
+   * The highest id, in string order, of all machines that were there before the first rental.
+   * Null while unknown; '' if there were none.
    */
   private lastOwnedId: string | null = null;
-  private lastListingAt: Instant = -Infinity;
+  private lastListRequestAt: Instant = -Infinity;
 
   constructor(
     private readonly runtime: Runtime,
@@ -52,24 +55,24 @@
     private readonly cloud: CloudCalls,
   ) {}
 
-  /** Reads which machines are owned. */
+  /** Starts to read which machines are owned. */
   start(): void {
-    this.readOwned();
+    this.loadLastOwnedId();
   }
 
-  /** As the operator set it, or `fast` where machines are owned. */
+  /** As the operator set it; for `auto`, `fast` if any machines are owned, else `frugal`. */
   get policy(): ScalingPolicy {
     const { policy } = this.runtime.operator.fleet;
     if (policy !== 'auto') return policy;
     return this.lastOwnedId ? 'fast' : 'frugal';
   }
 
-  /** Whether it is known which machines are owned; without that, nothing is rented. */
+  /** Whether it is known which machines are owned. Until then, nothing is rented. */
   get isOwnershipKnown(): boolean {
     return this.lastOwnedId !== null;
   }
 
-  /** Machines that were there before the first rental are the operator's own. */
+  /** Whether the operator owns the machine: it was there before the first rental. */
   isOwned(id: string): boolean {
     return !!this.lastOwnedId && id <= this.lastOwnedId;
   }
@@ -79,24 +82,24 @@
     return this.listed;
   }
 
-  /** The list would show any machine observed before this; null before the first list. */
+  /** The list should include machines first observed before this; null before the first list. */
   get listCompleteUntil(): Instant | null {
-    if (this.listRequestedAt === null) return null;
-    return this.listRequestedAt - this.maxListLag;
+    if (this.completeListRequestedAt === null) return null;
+    return this.completeListRequestedAt - this.maxListLag;
   }
 
-  /** The machine has been returned. */
+  /** Removes a machine that has been returned. */
   remove(id: string): void {
     this.provisioning.delete(id);
     this.listed.delete(id);
   }
 
-  /** Requests the list; seldom once all machines are reconciled. */
+  /** Requests the list. Once all machines are reconciled, only every `LIST_INTERVAL_MS`. */
   refreshList(): void {
     const { now } = this.runtime;
-    const isRecent = now - this.lastListingAt < LIST_INTERVAL_MS;
+    const isRecent = now - this.lastListRequestAt < LIST_INTERVAL_MS;
     if (isRecent && this.term.stateLoaded && this.term.allMachinesReconciled) return;
-    this.lastListingAt = now;
+    this.lastListRequestAt = now;
     this.requestPage('', new Map(), now);
   }
 
@@ -118,8 +121,8 @@
       const last = page.machines.at(-1);
       if (page.more && last) return this.requestPage(last.id, machines, requestedAt);
       this.listed = machines;
-      this.listRequestedAt = requestedAt;
-      this.storeOwned();
+      this.completeListRequestedAt = requestedAt;
+      this.storeLastOwnedId();
       this.addListedProvisioning();
       this.removeEndedProvisioning(requestedAt - this.maxListLag);
     });
@@ -132,7 +135,7 @@
     }
   }
 
-  /** Some have sent a heartbeat; others were taken before, and are no longer listed. */
+  /** Removes machines that have sent a heartbeat, or that the list should include but lacks. */
   private removeEndedProvisioning(listCompleteUntil: Instant): void {
     for (const [id, machine] of this.provisioning) {
       const mustBeListed = listCompleteUntil > machine.requestedAt + this.maxListLag;
@@ -141,24 +144,24 @@
     }
   }
 
-  private readOwned(): void {
+  private loadLastOwnedId(): void {
     if (this.term.closed) return;
     this.state.getValue(OWNED_KEY, readOwned, PRIORITY.leader, (result) => {
       if (result.kind === 'failed')
-        return this.runtime.after(STATE_READ_RETRY_MS, () => this.readOwned());
+        return this.runtime.after(STATE_READ_RETRY_MS, () => this.loadLastOwnedId());
       if (result.kind === 'found') this.lastOwnedId = result.value.last;
     });
   }
 
-  /** With the first list, before any rental: all machines known now are owned. */
-  private storeOwned(): void {
+  /** Before the first rental, all machines known are owned: stores the highest id, once. */
+  private storeLastOwnedId(): void {
     if (this.lastOwnedId !== null) return;
     const last = [...this.listed.keys(), ...this.term.machines.keys()].sort().at(-1) ?? '';
     const preconditions = [this.leadership.leaderPrecondition(), { key: OWNED_KEY, version: 0 }];
     const write = { put: OWNED_KEY, value: { last } };
     this.state.compareAndSwap(preconditions, [write], PRIORITY.leader, (result) => {
       if (result.kind === 'ok') this.lastOwnedId = last;
-      else this.readOwned();
+      else this.loadLastOwnedId();
     });
   }
 }
--- a/packages/controller/src/placement/volunteers.ts
+++ b/packages/controller/src/placement/volunteers.ts
@@ -1,4 +1,4 @@
-/** The volunteers, that is candidate machines, for the tasks of one job. */
+/** The volunteers, that is the candidate machines, for the tasks of one job. */
 import {
   allocatedFraction,
   chooseVolunteer,
@@ -17,21 +17,21 @@
   capacity: MachineCapacity;
 }
 
-/** How volunteers are compared. */
+/** Inputs for the comparison of volunteers. */
 export interface VolunteerRules {
   ranks: ImageRanks;
   fleetPolicy: FleetPolicy;
 }
 
 /**
- * The volunteers for the tasks of one job. They are listed once; an assignment changes one of
- * them only, so the choice for the next task starts from there.
+ * The volunteers for the tasks of one job. The list is built once: an assignment changes only
+ * the chosen volunteer, so only that entry is updated before the next choice.
  */
 export class Volunteers {
   private readonly volunteers: VolunteerMachine[] = [];
   private readonly requested: Resources;
-  private readonly consolidates: boolean;
-  /** Machines that fit a task, but would have the image too late. */
+  private readonly shouldConsolidate: boolean;
+  /** Number of machines on which a task fits, but its image would be available too late. */
   tooSlowCount = 0;
 
   constructor(
@@ -40,54 +40,54 @@
     private readonly rules: VolunteerRules,
   ) {
     this.requested = resourcesOf(job.spec);
-    this.consolidates = rules.fleetPolicy.consolidates();
+    this.shouldConsolidate = rules.fleetPolicy.shouldConsolidate();
     for (const capacity of machines) {
       if (!fits(this.requested, capacity.free)) continue;
-      const volunteer = this.volunteerOn(capacity);
+      const volunteer = this.toVolunteer(capacity);
       if (volunteer) this.volunteers.push(volunteer);
       else this.tooSlowCount++;
     }
-    if (this.consolidates) this.volunteers.sort(compareForConsolidation);
+    if (this.shouldConsolidate) this.volunteers.sort(compareForConsolidation);
   }
 
-  /** The best one; undefined if there are none. */
+  /** The machine of the best volunteer; undefined if there are none. */
   choose(): MachineCapacity | undefined {
     return chooseVolunteer(this.volunteers)?.capacity;
   }
 
-  /** A task was assigned to a volunteer: takes its resources from the machine's. */
+  /** Subtracts the resources of an assigned task and updates the machine's volunteer entry. */
   recordAssignment(capacity: MachineCapacity): void {
     capacity.free = subtractResources(capacity.free, this.requested);
     capacity.freeAfterStops = subtractResources(capacity.freeAfterStops, this.requested);
     const index = this.volunteers.findIndex((volunteer) => volunteer.capacity === capacity);
     this.volunteers.splice(index, 1);
     if (!fits(this.requested, capacity.free)) return;
-    const changed = this.volunteerOn(capacity);
-    if (changed) this.volunteers.splice(this.indexFor(changed, index), 0, changed);
+    const changed = this.toVolunteer(capacity);
+    if (changed) this.volunteers.splice(this.insertionIndex(changed, index), 0, changed);
     else this.tooSlowCount++;
   }
 
-  /** Fuller than before, it can only move towards the start. */
-  private indexFor(changed: VolunteerMachine, previousIndex: number): number {
-    if (!this.consolidates) return previousIndex;
+  /** Position that keeps the list sorted: a fuller machine can only move towards the start. */
+  private insertionIndex(changed: VolunteerMachine, previousIndex: number): number {
+    if (!this.shouldConsolidate) return previousIndex;
     const before = this.volunteers.slice(0, previousIndex);
     return before.findLastIndex((other) => compareForConsolidation(changed, other) >= 0) + 1;
   }
 
-  private volunteerOn(capacity: MachineCapacity): VolunteerMachine | null {
+  private toVolunteer(capacity: MachineCapacity): VolunteerMachine | null {
     const { machine, type, free } = capacity;
     const imageRank = this.rules.ranks.rankOf(capacity);
     if (imageRank === null) return null;
     return {
       capacity,
       allocatedFraction: allocatedFraction(type, free),
-      price: this.rules.fleetPolicy.price(machine, type),
+      price: this.rules.fleetPolicy.marginalPrice(machine, type),
       recentComputeTime: machine.usage.recentComputeTime / Math.max(1, type.cpus),
       imageRank,
     };
   }
 }
 
-/** What adds least to the bill first, then the fullest. */
+/** Orders by marginal price, lowest first, then by allocated fraction, fullest first. */
 const compareForConsolidation = (a: Volunteer, b: Volunteer): number =>
   a.price - b.price || b.allocatedFraction - a.allocatedFraction;
