--- a/packages/controller/src/jobs/ancestor-check.ts
+++ b/packages/controller/src/jobs/ancestor-check.ts
@@ -1,40 +1,41 @@
-/** Whether a job that another needs, directly or through others, was cancelled. */
+/** Checks whether a direct or indirect predecessor of a job was cancelled. */
 import type { Duration, Instant } from '@tealdock/wire';
 import { BoundedMap } from '../runtime/bounded.js';
 import type { Runtime } from '../runtime/runtime.js';
 import { outcomeOf, type JobLookup, type LookupOutcome } from './job-lookup.js';
 
 /**
- * `unknown`: the state service could not be asked, or not about all ancestors at once. What
- * was found is kept, so that a later check gets further.
+ * `unknown`: some lookup gave no answer, or there were more ancestors than one check may look up.
+ * The results so far are kept, so a later check gets further.
  */
 export type AncestorVerdict = 'none_cancelled' | 'cancelled' | 'unknown';
 
-/** What one check may cost at most. */
+/** Limits of one check: keys that it reads in all, and proofs that it requests at once. */
 const MAX_READ_COUNT = 40;
 const MAX_PROOF_COUNT = 400;
-/** A job that was proven live is not asked about again for this long. */
+/** Upper limit of the time for which a proof that a job is live is reused. */
 const MAX_LIVE_PROOF_TTL_MS: Duration = 15_000;
-/** It is asked about this many times within the cancellation limit at least. */
+/** A proof is not reused for longer than the cancellation limit divided by this. */
 const MIN_PROOFS_PER_LIMIT_COUNT = 3;
 const MAX_REMEMBERED_PROOF_COUNT = 5000;
 
-/** What has to be found out about the ancestors of a job. */
-interface OpenAncestors {
-  /** Their keys were read; it has to be proven that they are still live. */
+/** Ancestors of a job whose state a check still has to look up. */
+interface UnresolvedAncestors {
+  /** This node has read their keys, and has to prove that they are still live. */
   readonly unproven: string[];
-  /** Their keys have to be read, which shows further ancestors. */
+  /** This node has yet to read their keys, which name further ancestors. */
   readonly unread: string[];
-  readonly isOneCancelled: boolean;
+  readonly isAnyCancelled: boolean;
 }
 
 /**
- * Whether any ancestor of a live job was cancelled. Answers come from the ancestors' keys,
- * on whichever node is asked. Checks share what they find: a job that was proven live counts
- * as not cancelled for a part of the time in which the end of its dependents has to show.
+ * Checks whether any ancestor of a live job was cancelled. It looks up the ancestors' keys, so
+ * every node can do it. Checks share their results: a job that was proven live counts as not
+ * cancelled for a fraction of the cancellation limit, within which the end of its dependents has
+ * to become visible.
  */
 export class AncestorCheck {
-  /** When jobs were last proven live. */
+  /** When the lookup was sent that last proved a job live, by job id. */
   private readonly provenLiveAt = new BoundedMap<string, Instant>(MAX_REMEMBERED_PROOF_COUNT);
 
   constructor(
@@ -42,7 +43,7 @@
     private readonly jobs: Pick<JobLookup, 'finalState' | 'predecessorsOf' | 'locate'>,
   ) {}
 
-  /** Calls back once; at once if nothing has to be asked. */
+  /** Calls back once, immediately if no ancestor has to be looked up. */
   check(
     id: string,
     onResult: (verdict: AncestorVerdict) => void,
@@ -50,8 +51,8 @@
   ): void {
     const predecessors = this.jobs.predecessorsOf(id);
     if (!predecessors) return onResult('unknown');
-    const { unproven, unread, isOneCancelled } = this.openAncestors(predecessors);
-    if (isOneCancelled) return onResult('cancelled');
+    const { unproven, unread, isAnyCancelled } = this.unresolvedAncestors(predecessors);
+    if (isAnyCancelled) return onResult('cancelled');
     const asked = [...unproven.slice(0, MAX_PROOF_COUNT), ...unread.slice(0, readsLeft)];
     if (asked.length === 0) return onResult('none_cancelled');
     const areAllAsked = asked.length === unproven.length + unread.length;
@@ -77,25 +78,28 @@
     }
   }
 
-  /** Goes through all known ancestors; those that are known to be done have no need of it. */
-  private openAncestors(predecessors: string[]): OpenAncestors {
+  /**
+   * Walks all known ancestors. It does not follow those of a job that is done, since all of its
+   * own predecessors must have been done as well.
+   */
+  private unresolvedAncestors(predecessors: string[]): UnresolvedAncestors {
     const unproven: string[] = [];
     const unread: string[] = [];
-    let isOneCancelled = false;
+    let isAnyCancelled = false;
     const visited = new Set<string>();
     const next = [...predecessors];
     for (let id = next.pop(); id !== undefined; id = next.pop()) {
       if (visited.has(id)) continue;
       visited.add(id);
       const finalState = this.jobs.finalState(id);
-      if (finalState === 'cancelled') isOneCancelled = true;
+      if (finalState === 'cancelled') isAnyCancelled = true;
       if (finalState !== undefined) continue;
       const further = this.jobs.predecessorsOf(id);
       if (further) next.push(...further);
       if (!further) unread.push(id);
       else if (!this.wasProvenLiveRecently(id)) unproven.push(id);
     }
-    return { unproven, unread, isOneCancelled };
+    return { unproven, unread, isAnyCancelled };
   }
 
   private wasProvenLiveRecently(id: string): boolean {
--- a/packages/controller/src/jobs/binding-phase.ts
+++ b/packages/controller/src/jobs/binding-phase.ts
@@ -1,12 +1,13 @@
-/** How far a binding has come: assigned, dispatched, observed. */
+/** Phases of a binding: assigned, dispatched, observed. */
 import type { Instant, TaskState } from '@tealdock/wire';
 
 /** State of a task that has not exited. */
 export type ActiveTaskState = Exclude<TaskState, 'exited'>;
 
 /**
- * `assigned`: placed by this term, and the start has not been sent. `dispatched`: the start
- * was sent in the response to a heartbeat. `observed`: a heartbeat has shown the task.
+ * `assigned`: this term chose the machine, but has not sent the start command. `dispatched`: the
+ * start was sent in the response to the heartbeat with this number. `observed`: a heartbeat has
+ * listed the task.
  */
 export type BindingPhase =
   | { readonly kind: 'assigned' }
@@ -14,24 +15,24 @@
   | {
       readonly kind: 'observed';
       readonly taskState: ActiveTaskState;
-      /** When a heartbeat first showed that the image was there; null while it is fetched. */
+      /** Arrival of the first heartbeat that listed the task with its image; null until then. */
       readonly runningSince: Instant | null;
-      /** Null where another term dispatched the start. */
+      /** As for `dispatched`; null if this term did not dispatch the start. */
       readonly heartbeatNumber: number | null;
     };
 
-/** The phase after a heartbeat that shows the task; null for one that was not bound before. */
+/** The phase after a heartbeat that lists the task; `previous` is null if it was not bound. */
 export function observedPhase(
-  before: BindingPhase | null,
+  previous: BindingPhase | null,
   taskState: ActiveTaskState,
   now: Instant,
 ): BindingPhase {
-  const earlierStart = before?.kind === 'observed' ? before.runningSince : null;
-  const isAdopted = before === null || before.kind === 'assigned';
+  const earlierStart = previous?.kind === 'observed' ? previous.runningSince : null;
+  const isAdopted = previous === null || previous.kind === 'assigned';
   return {
     kind: 'observed',
     taskState,
     runningSince: earlierStart ?? (taskState === 'fetching' ? null : now),
-    heartbeatNumber: isAdopted ? null : before.heartbeatNumber,
+    heartbeatNumber: isAdopted ? null : previous.heartbeatNumber,
   };
 }
--- a/packages/controller/src/jobs/binding.test.ts
+++ b/packages/controller/src/jobs/binding.test.ts
@@ -14,7 +14,7 @@
   },
 };
 
-test('a task runs from the first heartbeat that shows it with its image', () => {
+test('runningSince is the first heartbeat that shows the task with its image', () => {
   const binding = Binding.assigned(INITIAL, false);
   assert.ok(binding.isAssigned);
   binding.dispatch(3);
@@ -40,7 +40,7 @@
   assert.equal(orphan.stopRequest?.gracePeriod, 0);
 });
 
-test('the first termination deadline stays, until its passing has been reported', () => {
+test('the first termination deadline stays until it is reported as missed', () => {
   const binding = Binding.assigned(INITIAL, false);
   binding.setTerminationDeadline(500);
   binding.setTerminationDeadline(900);
--- a/packages/controller/src/jobs/binding.ts
+++ b/packages/controller/src/jobs/binding.ts
@@ -4,7 +4,7 @@
 import { observedPhase, type ActiveTaskState, type BindingPhase } from './binding-phase.js';
 import type { TaskRequirements } from './task-requirements.js';
 
-/** How a task is to be stopped, and why. */
+/** How and why a task is to be stopped. */
 export interface StopRequest {
   /** Time that the task may take to save its state; 0 stops it at once. */
   gracePeriod: Duration;
@@ -12,26 +12,26 @@
   reason: string;
 }
 
-/** Which attempt of which task, and on which machine. */
+/** Identifies an attempt at a task, and its machine. */
 interface BindingIdentity {
   readonly task: string;
   readonly job: string;
   /** Index of the task within its job. */
   readonly index: number;
-  /** Never the same for two attempts at a task, in whichever term. */
+  /** Unique among all attempts at the task, across terms. */
   readonly attempt: number;
   readonly machine: string;
 }
 
-/** Keeps the sums over bindings up to date; called by each transition that they depend on. */
+/** Keeps sums over bindings up to date; each transition that affects them calls it. */
 export interface BindingObserver {
-  /** Applies a change of the team, the resources or the stop request of a binding. */
+  /** Runs `apply`, which changes the binding's team, resources or stop request. */
   applyUsageChange(binding: Binding, apply: () => void): void;
-  /** A heartbeat has shown a new state of the task. */
+  /** Called after a heartbeat has shown a new state of the task. */
   onTaskStateChanged(binding: Binding): void;
 }
 
-/** What an assigned and an adopted binding begin with. */
+/** Initial values that assigned and adopted bindings have in common. */
 interface InitialBinding {
   readonly identity: BindingIdentity;
   readonly requirements: TaskRequirements;
@@ -39,7 +39,7 @@
   readonly observer: BindingObserver;
 }
 
-/** Fields that differ between assigned and adopted bindings. */
+/** Initial values that differ between assigned and adopted bindings. */
 interface Origin {
   phase: BindingPhase;
   stopRequest: StopRequest | null;
@@ -47,7 +47,7 @@
   isProtectedFromPreemption: boolean;
 }
 
-/** A task on a machine, or on its way there. Fields change by the transitions only. */
+/** An attempt at a task on one machine. Only its transition methods change its state. */
 export class Binding implements BindingIdentity {
   readonly task: string;
   readonly job: string;
@@ -56,9 +56,9 @@
   readonly machine: string;
   readonly image: string | null;
   readonly imageGb: number;
-  /** When it was assigned, or adopted, in this term. */
+  /** When this term assigned or adopted it. */
   readonly assignedAt: Instant;
-  /** May not be stopped in favour of other tasks. */
+  /** True if it must not be stopped in favour of other tasks. */
   readonly isProtectedFromPreemption: boolean;
   private readonly observer: BindingObserver;
   private currentPhase: BindingPhase;
@@ -87,7 +87,7 @@
     this.isProtectedFromPreemption = origin.isProtectedFromPreemption;
   }
 
-  /** A binding that this term decided on; its start has yet to be dispatched. */
+  /** A binding that this term chose; its start has yet to be dispatched. */
   static assigned(initial: InitialBinding, isProtectedFromPreemption: boolean): Binding {
     return new Binding(initial, {
       phase: { kind: 'assigned' },
@@ -97,7 +97,10 @@
     });
   }
 
-  /** A binding of a task that a heartbeat shows, and that this term has not assigned. */
+  /**
+   * A binding of a task that a heartbeat shows but this term did not assign. If the task is not
+   * needed, the binding is orphaned and the task is stopped.
+   */
   static adopted(initial: InitialBinding, taskState: ActiveTaskState, isNeeded: boolean): Binding {
     return new Binding(initial, {
       phase: observedPhase(null, taskState, initial.now),
@@ -137,62 +140,65 @@
     return this.taskState === null || this.taskState === 'fetching';
   }
 
-  /** False for an adopted task. Workers number their heartbeats from 1, so 0 is none. */
+  /**
+   * True if this term sent the start, so false for an adopted task. Workers number their heartbeats
+   * from 1, so 0 stands for none.
+   */
   get isDispatchedByThisTerm(): boolean {
     const phase = this.currentPhase;
     return phase.kind !== 'assigned' && (phase.heartbeatNumber ?? 0) > 0;
   }
 
-  /** Empty while the job has to be looked up. */
+  /** Empty until the job has been looked up. */
   get team(): string {
     return this.currentTeam;
   }
 
-  /** Nothing while the job has to be looked up. */
+  /** Zero until the job has been looked up. */
   get resources(): Resources {
     return this.currentResources;
   }
 
-  /** Null while the task may run on. */
+  /** Null unless the task is to be stopped. */
   get stopRequest(): StopRequest | null {
     return this.currentStopRequest;
   }
 
-  /** This term does not want the task: it is only counted until it is gone. */
+  /** True if this term does not need the task, which only counts as usage until it has ended. */
   get isOrphaned(): boolean {
     return this.orphaned;
   }
 
   /**
-   * When the task must be gone by the protocol, since its job has ended in this term, in any
-   * way, or was cancelled before; else null. Infinity once its lateness has been reported.
+   * When the task must be gone from its machine at the latest. Null unless its job has ended in
+   * this term, or was cancelled before it. Infinity once a missed deadline has been reported.
    */
   get terminationDeadline(): Instant | null {
     return this.currentTerminationDeadline;
   }
 
-  /** The start leaves in the response to the heartbeat with this number. */
+  /** Records that the start is sent in the response to the heartbeat with this number. */
   dispatch(heartbeatNumber: number): void {
     this.currentPhase = { kind: 'dispatched', heartbeatNumber };
   }
 
-  /** A heartbeat shows the task in this state. */
+  /** Records the state in which a heartbeat shows the task. */
   observe(taskState: ActiveTaskState, now: Instant): void {
     this.currentPhase = observedPhase(this.currentPhase, taskState, now);
     this.observer.onTaskStateChanged(this);
   }
 
-  /** Has the task stopped by the next response to its machine. */
+  /** Requests a stop, which the responses to the machine's heartbeats carry from now on. */
   requestStop(request: StopRequest): void {
     this.observer.applyUsageChange(this, () => (this.currentStopRequest = request));
   }
 
-  /** The task is not wanted any more; it is counted until it is gone. */
+  /** Marks the task as no longer needed; it counts as usage until it has ended. */
   orphan(): void {
     this.orphaned = true;
   }
 
-  /** The job has been looked up: replaces the unknown team and resources. */
+  /** Replaces the unknown team and resources, once the job has been looked up. */
   setUsage(team: string, resources: Resources): void {
     this.observer.applyUsageChange(this, () => {
       this.currentTeam = team;
@@ -200,12 +206,12 @@
     });
   }
 
-  /** Has no effect if there is a deadline already. */
+  /** Sets the deadline; no effect if there is one already. */
   setTerminationDeadline(deadline: Instant): void {
     this.currentTerminationDeadline ??= deadline;
   }
 
-  /** The task outlived its deadline, which is reported once. */
+  /** Records that the missed deadline was reported, so that it is reported only once. */
   markOverdueReported(): void {
     this.currentTerminationDeadline = Infinity;
   }
--- a/packages/controller/src/jobs/dependency-graph.ts
+++ b/packages/controller/src/jobs/dependency-graph.ts
@@ -1,4 +1,4 @@
-/** Which live jobs wait for which others, and what releases them. */
+/** Dependencies between live jobs, and the release of jobs whose predecessors are done. */
 import { predecessorsOf, type Instant } from '@tealdock/wire';
 import { dependentDemands, type GraphJob } from '@tealdock/scheduler';
 import type { Runtime } from '../runtime/runtime.js';
@@ -15,12 +15,13 @@
 }
 
 /**
- * Which live jobs wait for which others. A job is released only once an ended key, read or
- * committed by this leader, says `done` for each predecessor; nothing else releases
- * (docs/safety.md). One that says `cancelled` cancels all that need that job.
+ * Dependencies between live jobs. A job is released only once this leader has read or committed,
+ * for each predecessor, an ended key with the state `done`; nothing else releases it
+ * (docs/safety.md). An ended key with the state `cancelled` cancels all dependents of its job,
+ * direct and indirect.
  */
 export class DependencyGraph {
-  /** Jobs that wait for a job, by that job's id. */
+  /** Jobs that wait for a predecessor, by the predecessor's id. */
   private readonly dependents = new Map<string, Set<LiveJob>>();
   private readonly endReader: JobEndReader;
   private areDemandsOutdated = false;
@@ -40,7 +41,7 @@
     });
   }
 
-  /** A job has become live. */
+  /** Adds a job that has become live. */
   add(job: LiveJob): void {
     const { pendingPredecessors } = job.dependencies;
     if (pendingPredecessors.size === 0) return;
@@ -51,13 +52,19 @@
     }
   }
 
-  /** Reads the ends of predecessors that are not live; only once all live jobs are known. */
+  /**
+   * Reads the ends of the job's predecessors that are not live; to be called only once all live
+   * jobs are known.
+   */
   readPredecessorEnds(job: LiveJob): void {
     for (const predecessor of job.dependencies.pendingPredecessors)
       if (!this.term.jobs.has(predecessor)) this.endReader.request(predecessor);
   }
 
-  /** A job is no longer live. If `end` is null, its end is read before dependents change. */
+  /**
+   * Removes a job that is no longer live, and applies its end to its dependents. If `end` is null,
+   * it is read first.
+   */
   remove(job: LiveJob, end: JobEnd | null): void {
     for (const predecessor of predecessorsOf(job.acceptedSpec)) {
       if (this.dependents.get(predecessor)?.delete(job)) this.areDemandsOutdated = true;
@@ -72,7 +79,7 @@
     return (this.dependents.get(id)?.size ?? 0) > 0;
   }
 
-  /** Computes priorities and due times along the chains again, if a chain has changed. */
+  /** Recomputes priorities and deadlines inherited from dependents, if the graph has changed. */
   updateDemands(): void {
     if (!this.areDemandsOutdated) return;
     this.areDemandsOutdated = false;
@@ -117,7 +124,7 @@
     this.runtime.log('debug', { job: job.id, ageMs }, 'job released');
   }
 
-  /** A time of day on this process's steady clock; at the latest, now. */
+  /** Converts a wall-clock time to this process's steady clock; a future time becomes now. */
   private steadyInstant(timeOfDayMs: number): Instant {
     return this.runtime.now - Math.max(0, this.runtime.wallClock.getTime() - timeOfDayMs);
   }
--- a/packages/controller/src/jobs/failure-backoff.test.ts
+++ b/packages/controller/src/jobs/failure-backoff.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { FailureBackoff } from './failure-backoff.js';
 
-test('the third failure in a row begins a backoff, and each further one doubles it', () => {
+test('the third consecutive failure starts a backoff, and each further one doubles it', () => {
   const backoff = new FailureBackoff();
   backoff.recordFailure(0);
   backoff.recordFailure(0);
@@ -21,7 +21,7 @@
   assert.deepEqual([backoff.isActive(59_999), backoff.isActive(60_000)], [true, false]);
 });
 
-test('a completed task ends the row of failures, not a backoff that has begun', () => {
+test('a completed task resets the failure count, but does not end a backoff', () => {
   const backoff = new FailureBackoff();
   for (let i = 0; i < 3; i++) backoff.recordFailure(0);
   backoff.recordSuccess();
--- a/packages/controller/src/jobs/job-dependencies.test.ts
+++ b/packages/controller/src/jobs/job-dependencies.test.ts
@@ -14,7 +14,7 @@
   assert.equal(job.startableSinceRevision, SUBMITTED_REVISION);
 });
 
-test('the last predecessor releases a job, in whichever order the ends are read', () => {
+test('a job is released by its last predecessor, whatever the order of the reads', () => {
   const job = dependencies('a', 'b');
   assert.ok(!job.recordPredecessorDone({ id: 'b', doneAt: 300, revision: 20 }));
   assert.equal(job.startableAt, Infinity);
@@ -23,7 +23,7 @@
   assert.equal(job.startableSinceRevision, 20);
 });
 
-test('a predecessor that was done before the submission does not move the release', () => {
+test('a predecessor done before the submission does not delay the release', () => {
   const job = dependencies('a');
   assert.ok(job.recordPredecessorDone({ id: 'a', doneAt: -Infinity, revision: 3 }));
   assert.equal(job.startableAt, SUBMITTED_AT);
--- a/packages/controller/src/jobs/job-dependencies.ts
+++ b/packages/controller/src/jobs/job-dependencies.ts
@@ -1,20 +1,20 @@
-/** What one job waits for before any of its tasks may start. */
+/** Predecessors of one job; all must be done before any of its tasks may start. */
 import type { Instant } from '@tealdock/wire';
 
-/** The end of one predecessor that was done. */
+/** A predecessor that has ended as done. */
 interface DonePredecessor {
   readonly id: string;
-  /** When it was done, on this process's steady clock; -Infinity where that is not known. */
+  /** When it was done, on this process's steady clock; -Infinity if unknown. */
   readonly doneAt: Instant;
   /** Revision of the commit that wrote its ended key. */
   readonly revision: number;
 }
 
-/** A job is released once all its predecessors are known to be done. */
+/** Tracks the predecessors of a job, which is released once all are known to be done. */
 export class JobDependencies {
   private readonly pending: Set<string>;
   private releasedAt: Instant | null;
-  /** When the last of the predecessors that are known to be done was. */
+  /** Latest end among the predecessors known to be done; -Infinity without one. */
   private lastPredecessorDoneAt: Instant = -Infinity;
   private minStartRevision: number;
   private isCancelled = false;
@@ -29,7 +29,7 @@
     this.minStartRevision = submittedRevision;
   }
 
-  /** Jobs that this one waits for, and that are not known to be done. */
+  /** Ids of the predecessors that are not known to be done. */
   get pendingPredecessors(): ReadonlySet<string> {
     return this.pending;
   }
@@ -40,27 +40,30 @@
   }
 
   /**
-   * From when on the tasks could start, on this process's steady clock: the later of the
-   * submission and the last predecessor's end. Infinity until the job is released.
+   * Earliest instant at which the tasks could start, on this process's steady clock: the later of
+   * the submission and the last predecessor's end. Infinity until the job is released.
    */
   get startableAt(): Instant {
     return this.releasedAt ?? Infinity;
   }
 
   /**
-   * Before this revision no leader can have started a task of the job: its own key, or the
-   * ended key of a predecessor, was written then.
+   * Newest revision at which the job's own key, or the ended key of a predecessor, was written. No
+   * leader can have started a task of the job before it.
    */
   get startableSinceRevision(): number {
     return this.minStartRevision;
   }
 
-  /** A job that it needs was cancelled: it never starts and ends as cancelled. */
+  /** True once a direct or indirect predecessor was cancelled: the job is cancelled unstarted. */
   get hasCancelledPredecessor(): boolean {
     return this.isCancelled;
   }
 
-  /** Returns true if the job is released by it. Another leader computes the same instants. */
+  /**
+   * Records that a predecessor is done; returns true if that releases the job. The time of the
+   * release follows from stored times, so that every leader computes the same one.
+   */
   recordPredecessorDone({ id, doneAt, revision }: DonePredecessor): boolean {
     this.pending.delete(id);
     this.lastPredecessorDoneAt = Math.max(this.lastPredecessorDoneAt, doneAt);
@@ -70,7 +73,7 @@
     return true;
   }
 
-  /** A job that it needs, directly or through others, was cancelled. */
+  /** Records that a direct or indirect predecessor was cancelled. */
   recordPredecessorCancelled(): void {
     this.isCancelled = true;
   }
--- a/packages/controller/src/jobs/job-end-reader.ts
+++ b/packages/controller/src/jobs/job-end-reader.ts
@@ -1,4 +1,4 @@
-/** Reads from the state service how jobs have ended. */
+/** Reads from the state service how jobs ended. */
 import type { Duration } from '@tealdock/wire';
 import { PRIORITY } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
@@ -7,27 +7,27 @@
 import { readEnded, type EndedValue } from '../state/stored-values.js';
 
 const READ_RETRY_MS: Duration = 400;
-/** A new term may need hundreds of ends, and has other things to read. */
+/** A new term may request hundreds of ends, and has other state to read at the same time. */
 const MAX_CONCURRENT_READ_COUNT = 12;
 
-/** The end of a job as its key says, or as this leader has committed it. */
+/** How and when a job ended, as read from its ended key or as committed by this leader. */
 export interface JobEnd extends Pick<EndedValue, 'state' | 'at'> {
   /** Revision of the commit that wrote the ended key. */
   revision: number;
 }
 
-/** Decides whether a read is still worth it, and takes in what was read. */
+/** Decides which reads are still needed, and receives their results. */
 interface JobEndConsumer {
-  /** True once nothing more is to be read. */
+  /** True once all reading must stop. */
   readonly isClosed: boolean;
-  /** True if the job is live as far as is known, so that it has no end to be read. */
+  /** True if the job is known to be live, so that it has no ended key to read. */
   isLive(id: string): boolean;
-  /** True while the end is of use to anyone. */
+  /** True while some job waits for the end of this one. */
   needsEnd(id: string): boolean;
   onEndRead(id: string, end: JobEnd): void;
 }
 
-/** Reads ended keys, a few at a time, in the order of the requests. Failed reads are repeated. */
+/** Reads ended keys in the order of the requests, a few at a time. Failed reads are repeated. */
 export class JobEndReader {
   private readonly queue = new Set<string>();
   private runningReadCount = 0;
@@ -38,7 +38,7 @@
     private readonly consumer: JobEndConsumer,
   ) {}
 
-  /** Has no effect while the job waits to be read already. */
+  /** Queues a read of the job's ended key. No effect while one is queued for it already. */
   request(id: string): void {
     this.queue.add(id);
     this.startReads();
@@ -57,7 +57,7 @@
     this.state.getValue(endedKey(id), readEnded, PRIORITY.leader, (result) => {
       this.runningReadCount--;
       if (result.kind === 'found') this.consumer.onEndRead(id, endOf(result));
-      // Neither live nor ended: it was accepted, and the event that says so is under way.
+      // Neither live here nor ended: the job was accepted, but its watch event has not arrived yet.
       else if (result.kind === 'failed' || !this.consumer.isLive(id)) this.retry(id);
       this.startReads();
     });
@@ -70,7 +70,7 @@
   }
 }
 
-/** What an ended key says, with the revision that wrote it. */
+/** The end that an ended key holds, with the revision of the commit that wrote it. */
 export function endOf({ value, version }: { value: EndedValue; version: number }): JobEnd {
   return { state: value.state, at: value.at, revision: version };
 }
--- a/packages/controller/src/jobs/job-lookup.ts
+++ b/packages/controller/src/jobs/job-lookup.ts
@@ -1,4 +1,4 @@
-/** What the state service says of single jobs, proven or read at the lowest cost. */
+/** Lookups of single jobs in the state service, by a shared proof where possible, else a read. */
 import { isJobId, predecessorsOf, type JobState, type JobView } from '@tealdock/wire';
 import { BoundedMap } from '../runtime/bounded.js';
 import { PRIORITY } from '../runtime/ports.js';
@@ -12,8 +12,8 @@
 const MAX_CACHED_JOB_COUNT = 2000;
 
 /**
- * What the keys of a job say. `live`: with the value, null where it can't be decoded, and its
- * version. `none`: it was never accepted. `unknown`: the state service could not be asked.
+ * State of a job by its keys. `live`: with the version of its key, and with the value, null if that
+ * can't be decoded. `none`: the job was never accepted. `unknown`: the lookup failed.
  */
 export type JobLookupResult =
   | { kind: 'live'; value: LiveValue | null; version: number }
@@ -21,23 +21,23 @@
   | { kind: 'none' }
   | { kind: 'unknown' };
 
-/** As `JobLookupResult`; a job that a proof has shown to be live comes without its value. */
+/** As `JobLookupResult`, but without value and version for a job that was proven live. */
 export type JobLocateResult = JobLookupResult | { kind: 'live' };
 
-/** How a job has ended, or the kind of result for any other. */
+/** The final state of a job that has ended, otherwise the kind of the result. */
 export type LookupOutcome = JobState | JobLocateResult['kind'];
 
-/** `unknown` also for a job that was never accepted. */
+/** Whether a job is live; `unknown` also for one that was never accepted. */
 export type Liveness = 'live' | 'ended' | 'unknown';
 
-/** What one lookup has found, in one word. */
+/** Reduces the result of a lookup to its outcome. */
 export const outcomeOf = (result: JobLocateResult): LookupOutcome =>
   result.kind === 'ended' ? result.view.state : result.kind;
 
 /**
- * Looks jobs up by their keys, once it is asked for them: a result is never older than the
- * question. Only ended jobs are cached, since their state can't change. No method throws;
- * each calls back once, at once if the job is known to have ended.
+ * Looks jobs up by their keys. Each lookup asks the state service after the call, so that its
+ * result is never older than the call. Only ended jobs are cached, since their state can't change.
+ * No method throws; each lookup calls back once, immediately if the job is known to have ended.
  */
 export class JobLookup {
   private readonly endedJobs = new BoundedMap<string, JobView>(MAX_CACHED_JOB_COUNT);
@@ -50,22 +50,22 @@
     this.proofs = new LivenessProofs(runtime, state);
   }
 
-  /** How a job has ended, where that is cached; undefined for any other. */
+  /** The final state of a job that has ended, if it is cached; otherwise undefined. */
   finalState(id: string): JobState | undefined {
     return this.endedJobs.get(id)?.state;
   }
 
-  /** What a live job waits for; undefined if this node has not read its key. */
+  /** Ids of a live job's predecessors; undefined if this node does not know its key. */
   predecessorsOf(id: string): string[] | undefined {
     return this.proofs.predecessorsOf(id);
   }
 
-  /** The job's key has this version: this node has committed it, or read it. */
+  /** Records the version of a live job's key that this node has committed or read. */
   recordLive(id: string, version: number, predecessors: string[]): void {
     this.proofs.recordVersion(id, version, predecessors);
   }
 
-  /** This node has committed the job's ended key, or read it. Returns the job's final view. */
+  /** Records an ended key that this node has committed or read; returns the job's final view. */
   recordEnded(id: string, state: EndedValue['state'], taskCount: number): JobView {
     const counts = state === 'done' ? { done: taskCount, running: 0 } : {};
     const view: JobView = { id, state, ...counts };
@@ -74,7 +74,7 @@
     return view;
   }
 
-  /** By a proof shared with other callers if the job's version is known, else by a read. */
+  /** Looks the job up by a shared proof if the version of its key is known, else by a read. */
   locate(id: string, onResult: (result: JobLocateResult) => void): void {
     const isProofPending = this.proofs.request(id, (proof) => {
       if (proof === 'changed') this.read(id, onResult);
@@ -83,12 +83,12 @@
     if (!isProofPending) this.read(id, onResult);
   }
 
-  /** Whether the job was live at some moment after the call, or has ended for good. */
+  /** Finds out whether the job was live at some time after the call, or has ended. */
   proveLiveness(id: string, onResult: (liveness: Liveness) => void): void {
     this.locate(id, ({ kind }) => onResult(kind === 'none' ? 'unknown' : kind));
   }
 
-  /** Reads the live key, then the ended one: a job moves only from the one to the other. */
+  /** Reads the live key and, if it is missing, the ended one: jobs only go from live to ended. */
   read(id: string, onResult: (result: JobLookupResult) => void): void {
     const cached = this.endedJobs.get(id);
     if (cached) return onResult({ kind: 'ended', view: cached });
--- a/packages/controller/src/jobs/live-job.ts
+++ b/packages/controller/src/jobs/live-job.ts
@@ -7,15 +7,18 @@
 import { OpenTasks } from './open-tasks.js';
 import { TaskProgress } from './task-progress.js';
 
-/** What the scheduling cycles note of a job from one to the next. Only they use it. */
+/** What scheduling cycles remember of a job from one to the next; nothing else uses it. */
 interface PlacementState {
-  /** First instant of this term at which a task found no capacity; null once one was placed. */
+  /** When a task first found no machine since the last assignment; null if none has. */
   starvedSince: Instant | null;
-  /** Since when tasks wait for a machine with the image; starts anew with each that got one. */
+  /**
+   * Start of the wait for a machine that holds the image, restarted by each assignment to such a
+   * machine; null before the first wait or such assignment.
+   */
   imageHolderWaitSince: Instant | null;
-  /** Preemption is not planned for the job before this; plans are expensive. */
+  /** Earliest time of the job's next preemption plan, since plans are expensive. */
   nextPreemptionPlanAt: Instant;
-  /** The zone that was found to fit all of a gang that may use only one. */
+  /** For a gang that must run in one zone: the zone found to fit it, null without one. */
   gangZone: string | null;
 }
 
@@ -37,11 +40,11 @@
   private effectiveFinishBy: Instant;
 
   constructor(
-    /** As accepted and stored. */
+    /** The spec as accepted and stored. */
     readonly acceptedSpec: JobSpec,
     /** Version of the job's key. */
     readonly version: number,
-    /** Submission, on this process's steady clock. */
+    /** Time of the submission, on this process's steady clock. */
     readonly submittedAt: Instant,
   ) {
     this.effectiveSpec = acceptedSpec;
@@ -55,22 +58,25 @@
     return this.acceptedSpec.id;
   }
 
-  /** As accepted, but with the highest priority among itself and all that need it. */
+  /** The accepted spec with the highest priority among the job's own and its dependents'. */
   get spec(): JobSpec {
     return this.effectiveSpec;
   }
 
-  /** When its end is due for the sake of all that need it, and for its own. */
+  /**
+   * When the job has to end to meet its own deadline and leave its dependents time for theirs;
+   * Infinity without a deadline.
+   */
   get finishBy(): Instant {
     return this.effectiveFinishBy;
   }
 
-  /** By its own deadline, which counts from the submission; Infinity without a deadline. */
+  /** The job's own deadline, which counts from the submission; Infinity without one. */
   get ownFinishBy(): Instant {
     return this.submittedAt + (this.acceptedSpec.deadline ?? Infinity);
   }
 
-  /** Takes over the priority and the due time that its dependents ask for. */
+  /** Applies the priority and the deadline inherited from the dependents. */
   applyDependentDemand({ priority, finishBy }: DependentDemand): void {
     this.effectiveFinishBy = finishBy;
     if (priority !== this.spec.priority) this.effectiveSpec = { ...this.acceptedSpec, priority };
@@ -81,50 +87,53 @@
     return this.boundTasks;
   }
 
-  /** Tasks neither done nor bound to a machine; 0 until the job is released. */
+  /** Number of tasks neither done nor bound to a machine; 0 until the job is released. */
   get unboundTaskCount(): number {
     if (!this.dependencies.isReleased) return 0;
     return this.spec.taskCount - this.progress.doneTaskCount - this.boundTasks.size;
   }
 
-  /** Tasks that run, for display. */
+  /** Number of tasks that have their image and have not exited, for display. */
   countRunning(): number {
     let count = 0;
     for (const binding of this.boundTasks.values()) if (!binding.mayNeedImageFetch) count++;
     return count;
   }
 
-  /** True if the task is one of the job's, and is neither done nor bound to a machine. */
+  /** True if the job has a task with this index that is neither done nor bound to a machine. */
   needsTask(index: number): boolean {
     return index < this.spec.taskCount && this.isWaiting(index);
   }
 
-  /** The task's result is known. Has no effect if it was known before. */
+  /** Records that the task is done; no effect if that is known already. */
   markDone(index: number): void {
     this.progress.markDone(index);
     this.openTasks.close(index);
   }
 
-  /** Takes over the stored progress of one chunk of tasks. */
+  /** Applies the stored completion bits of one chunk of tasks. */
   applyStoredProgress(chunk: number, storedBits: string): void {
     for (const index of this.progress.applyStoredChunk(chunk, storedBits))
       this.openTasks.close(index);
   }
 
-  /** The binding's task is on a machine, or on its way there. */
+  /** Records that the binding's task is on a machine, or assigned to one. */
   bind(binding: Binding): void {
     this.openTasks.close(binding.index);
     this.boundTasks.set(binding.index, binding);
   }
 
-  /** The binding has ended. Its task waits again, unless it is done or bound otherwise. */
+  /**
+   * Records that the binding has ended: its task waits again unless it is done. No effect if the
+   * task is not bound by this binding.
+   */
   unbind(binding: Binding): void {
     if (this.boundTasks.get(binding.index) !== binding) return;
     this.boundTasks.delete(binding.index);
     if (!this.progress.isDone(binding.index)) this.openTasks.requeue(binding.index);
   }
 
-  /** Opens windows for waiting tasks once the job is released. */
+  /** Opens volunteer windows for waiting tasks, once the job is released. */
   openWindows(now: Instant): void {
     const { isReleased, hasCancelledPredecessor } = this.dependencies;
     if (!isReleased || hasCancelledPredecessor) return;
@@ -135,7 +144,7 @@
     });
   }
 
-  /** Counts the attempts of this term at one task; the first is 1. */
+  /** Returns the number of the next attempt at the task in this term; the first is 1. */
   nextAttempt(index: number): number {
     const count = (this.attemptCounts.get(index) ?? 0) + 1;
     this.attemptCounts.set(index, count);
--- a/packages/controller/src/jobs/liveness-proofs.ts
+++ b/packages/controller/src/jobs/liveness-proofs.ts
@@ -1,32 +1,36 @@
-/** Proofs that jobs are live, one transaction for many questions. */
+/** Proofs that jobs are live, with one transaction for many requests. */
 import type { Duration, Precondition } from '@tealdock/wire';
 import { BoundedMap } from '../runtime/bounded.js';
 import type { Runtime } from '../runtime/runtime.js';
 import { specKey } from '../state/keys.js';
 import type { StateStore } from '../state/state-store.js';
 
-/** Questions that arrive within this time share a proof. */
+/** Requests that arrive within this time share a transaction. */
 const BATCH_DELAY_MS: Duration = 40;
-/** Users give up a poll after 2 s. */
+/** Below the 2 s after which users give up a poll. */
 const COMPARE_TIMEOUT_MS: Duration = 1200;
-/** The state service takes this many preconditions for each write that it takes. */
+/** A transaction may have this many preconditions for each write that it may have. */
 const PRECONDITIONS_PER_WRITE_COUNT = 4;
 const MAX_TRACKED_JOB_COUNT = 5000;
 
-/** `live`: the job's key still has the version that was known. `changed`: it has not. */
+/**
+ * `live`: the job's key still has the recorded version. `changed`: it has another one, or is gone.
+ * `unknown`: the comparison gave no result.
+ */
 type LivenessProof = 'live' | 'changed' | 'unknown';
 
 type OnProof = (proof: LivenessProof) => void;
 
-/** A live job's key as this node last read or wrote it. */
+/** The key of a live job as this node last read or wrote it. */
 interface TrackedKey {
   readonly version: number;
   readonly predecessors: string[];
 }
 
 /**
- * Questions about one job, with the version that its key had when the first of them came. The
- * job may be forgotten before the comparison: a key that is gone must not look the same.
+ * Requests about one job, with the version that was recorded for its key at the first of them. It
+ * is copied here since the job may be forgotten before the comparison, which would then expect no
+ * key and take a removed one for unchanged.
  */
 interface PendingProof {
   readonly job: string;
@@ -35,9 +39,9 @@
 }
 
 /**
- * Proves for many questions at once that their jobs are live: a transaction without writes
- * compares the versions of their keys. It is sent after the questions have come, so its
- * result is never older than what any user was told before.
+ * Proves for many requests at once that jobs are live: a transaction without writes compares the
+ * versions of their keys. It is sent after the requests have arrived, so its result is never older
+ * than any reply that a user received before.
  */
 export class LivenessProofs {
   private readonly trackedKeys = new BoundedMap<string, TrackedKey>(MAX_TRACKED_JOB_COUNT);
@@ -49,24 +53,24 @@
     private readonly state: StateStore,
   ) {}
 
-  /** The job's key was read or written by this node. */
+  /** Records the version of a job's key that this node has read or written. */
   recordVersion(job: string, version: number, predecessors: string[]): void {
     this.trackedKeys.set(job, { version, predecessors });
   }
 
-  /** The job's key is not known any more; proofs under way still compare the old version. */
+  /** Drops the recorded version; proofs that were requested before still compare it. */
   forget(job: string): void {
     this.trackedKeys.delete(job);
   }
 
-  /** What a live job waits for; undefined if no version of its key is known. */
+  /** Ids of the job's predecessors; undefined if no version of its key is recorded. */
   predecessorsOf(job: string): string[] | undefined {
     return this.trackedKeys.get(job)?.predecessors;
   }
 
   /**
-   * Calls back once, after the next batch. Returns false, and never calls back, if no version
-   * of the job's key is known: the key has to be read.
+   * Requests a proof; calls back once, after the next batch. Returns false, and never calls back,
+   * if no version of the job's key is recorded: the caller has to read the key.
    */
   request(job: string, onProof: OnProof): boolean {
     const version = this.trackedKeys.get(job)?.version;
--- a/packages/controller/src/jobs/open-tasks.ts
+++ b/packages/controller/src/jobs/open-tasks.ts
@@ -1,14 +1,17 @@
-/** The tasks of a job that wait for a machine, and the few of them with an open window. */
+/** The waiting tasks of a job, of which a limited number have an open volunteer window. */
 import type { Instant } from '@tealdock/wire';
 
-/** A task whose volunteer window is open. */
+/**
+ * A task whose volunteer window is open: before it is placed it waits for volunteers, that is
+ * candidate machines, for at most λ (`window.lambda`).
+ */
 export interface OpenTask {
   readonly index: number;
-  /** Put forward when the window starts again, because no machine fits the task. */
+  /** Reset when the window is restarted because no machine fits the task. */
   windowOpenedAt: Instant;
 }
 
-/** Open windows of one job at a time; a task without one costs no memory. */
+/** Limit on the open windows of a job that is no gang; a task without one uses no memory. */
 const MAX_OPEN_TASK_COUNT = 256;
 
 /** When and for which tasks windows may be opened. */
@@ -24,12 +27,12 @@
 export class OpenTasks {
   private readonly windows = new Map<number, OpenTask>();
   private readonly requeued: number[] = [];
-  /** No window has ever been opened for this task and those after it. */
+  /** Tasks from this index on have not been considered for a window yet. */
   private nextIndex = 0;
 
   constructor(private readonly taskCount: number) {}
 
-  /** Tasks with an open window. */
+  /** Number of tasks with an open window. */
   get count(): number {
     return this.windows.size;
   }
@@ -49,12 +52,12 @@
     }
   }
 
-  /** The task is done or bound to a machine. Has no effect if it has no open window. */
+  /** Closes the window of a task that is done or bound to a machine; no effect without one. */
   close(index: number): void {
     this.windows.delete(index);
   }
 
-  /** The task lost its machine: it gets a window before those that never had one. */
+  /** Queues a task that lost its machine; it gets a window before tasks that never had one. */
   requeue(index: number): void {
     this.requeued.push(index);
   }
--- a/packages/controller/src/jobs/task-progress.test.ts
+++ b/packages/controller/src/jobs/task-progress.test.ts
@@ -18,7 +18,7 @@
   assert.equal(progress.doneTaskCount, 1);
 });
 
-test('another leader reads the progress that was stored, chunk by chunk', () => {
+test('another leader restores the stored progress chunk by chunk', () => {
   const before = new TaskProgress(TASK_COUNT);
   for (const index of [0, 7, 8, LAST_TASK]) before.markDone(index);
   assert.deepEqual([...before.uncommittedChunks()], [0, 1]);
--- a/packages/controller/src/jobs/task-progress.ts
+++ b/packages/controller/src/jobs/task-progress.ts
@@ -1,11 +1,11 @@
-/** Which tasks of a job are done, in the form in which the state service stores it. */
+/** Completion of a job's tasks, in the form in which the state service stores it. */
 import { CHUNK_TASK_COUNT } from '../state/keys.js';
 
 const BITS_PER_BYTE = 8;
 
 /**
- * One bit a task: set once the task is done. Tasks are stored in chunks of CHUNK_TASK_COUNT,
- * each as a base64 string; a task counts as committed once its chunk was stored with its bit.
+ * One bit per task, set once the task is done. The bits are stored in chunks of CHUNK_TASK_COUNT,
+ * each as a base64 string. A task is committed once its chunk has been stored with its bit set.
  */
 export class TaskProgress {
   private readonly doneBits: Uint8Array;
@@ -32,12 +32,12 @@
     return hasBit(this.doneBits, index);
   }
 
-  /** True if the task is done and the state service has it so. */
+  /** True if the task is done and the state service has stored that. */
   isCommitted(index: number): boolean {
     return this.isDone(index) && !this.uncommittedTasks.has(index);
   }
 
-  /** Has no effect on a task that is done already. */
+  /** Marks a task as done; no effect if it is done already. */
   markDone(index: number): void {
     if (this.isDone(index)) return;
     const byte = Math.floor(index / BITS_PER_BYTE);
@@ -46,7 +46,7 @@
     this.uncommittedTasks.add(index);
   }
 
-  /** All tasks in the stored bits of one chunk become done and committed; returns them. */
+  /** Marks the tasks in one chunk's stored bits as done and committed; returns their indices. */
   applyStoredChunk(chunk: number, storedBits: string): number[] {
     const bits = Buffer.from(storedBits, 'base64');
     const firstTask = chunk * CHUNK_TASK_COUNT;
@@ -62,7 +62,7 @@
     return committed;
   }
 
-  /** What is to be stored for one chunk: one bit a task, in base64. */
+  /** Encodes one chunk for storage: one bit per task, in base64. */
   encodeChunk(chunk: number): string {
     const chunkByteCount = CHUNK_TASK_COUNT / BITS_PER_BYTE;
     const firstByte = chunk * chunkByteCount;
@@ -75,7 +75,7 @@
     return Array.from({ length: chunkOf(this.taskCount - 1) + 1 }, (_, chunk) => chunk);
   }
 
-  /** Numbers of the chunks with tasks that are done and not committed. */
+  /** Numbers of the chunks that have tasks done but not committed. */
   uncommittedChunks(): Set<number> {
     return new Set([...this.uncommittedTasks].map(chunkOf));
   }
--- a/packages/controller/src/jobs/task-requirements.ts
+++ b/packages/controller/src/jobs/task-requirements.ts
@@ -1,4 +1,4 @@
-/** What a task takes of its machine, and on whose account. */
+/** What a task needs of its machine, and the team that it is charged to. */
 import type { JobSpec } from '@tealdock/wire';
 import { NO_RESOURCES, resourcesOf, type Resources } from '@tealdock/scheduler';
 
@@ -6,12 +6,12 @@
 export interface TaskRequirements {
   readonly team: string;
   readonly resources: Resources;
-  /** Null while the job is not known. */
+  /** Null until the job has been looked up. */
   readonly image: string | null;
   readonly imageGb: number;
 }
 
-/** Stands in for the requirements of a task whose job has to be looked up first. */
+/** Placeholder for a task whose job still has to be looked up. */
 export const UNKNOWN_REQUIREMENTS: TaskRequirements = {
   team: '',
   resources: NO_RESOURCES,
@@ -19,7 +19,7 @@
   imageGb: 0,
 };
 
-/** What each task of a job requires. */
+/** Requirements of each task of the job. */
 export function requirementsOf(spec: JobSpec): TaskRequirements {
   const { team, image, imageGb } = spec;
   return { team, resources: resourcesOf(spec), image, imageGb };
