--- a/packages/controller/src/state/shard-packing.test.ts
+++ b/packages/controller/src/state/shard-packing.test.ts
@@ -17,7 +17,7 @@
 const stored = (shards: { key: string; entries: Map<string, string> }[]) =>
   shards.map(({ key, entries }) => [key, ...entries.keys()]);
 
-test('a shard takes entries up to its size, then the next key is used', () => {
+test('a shard is filled up to its maximum size, then the next key is used', () => {
   const table = packing();
   for (const id of ['a', 'b', 'c']) table.set(id, VALUE);
   assert.deepEqual(stored(table.nextBatch('urgent', UNLIMITED)), [
@@ -37,7 +37,7 @@
   ]);
 });
 
-test('of an entry that is stored twice the newer version counts', () => {
+test('the newer version of an entry that is stored twice is kept', () => {
   const table = packing();
   table.load('table/000', 1, [['a', 'old']]);
   table.load('table/001', 2, [['a', 'new']]);
@@ -56,7 +56,7 @@
   ]);
 });
 
-test('a removal is a deferrable change, and forgetting an entry is none', () => {
+test('a removal is a deferrable change, while forgetting an entry is no change', () => {
   const table = packing();
   table.load('table/000', 1, [
     ['a', VALUE],
@@ -71,7 +71,7 @@
   assert.deepEqual(stored(table.nextBatch('deferrable', UNLIMITED)), [['table/000']]);
 });
 
-test('a batch keeps to the limits of a transaction, but never is empty for size', () => {
+test('a batch stays within the transaction limits, but has at least one shard', () => {
   const table = packing();
   for (const id of ['a', 'b', 'c', 'd', 'e']) table.set(id, VALUE);
   const keys = (maxShardCount: number, maxBytes: number) =>
--- a/packages/controller/src/state/shard-packing.ts
+++ b/packages/controller/src/state/shard-packing.ts
@@ -1,42 +1,45 @@
-/** Packs small entries into few values of limited size. Knows nothing of how they are stored. */
+/** Packs small entries into few values of limited size; reads and writes nothing itself. */
 
-/** Quotes, colon and comma around an entry of a map. */
+/** JSON syntax around an entry of an object: quotes, colon and comma. */
 const ENTRY_OVERHEAD_BYTES = 6;
 const KEY_DIGIT_COUNT = 3;
 
-/** Changes that are not stored yet; `deferrable` ones may wait for spare write capacity. */
+/** Unsaved changes of a shard by urgency; `deferrable` ones may wait for spare write capacity. */
 export type UnsavedChanges = 'none' | 'deferrable' | 'urgent';
 
-/** Entries that share a key of the state service. */
+/** Entries that are stored together under one key of the state service. */
 export interface Shard<V> {
   readonly key: string;
   readonly entries: Map<string, V>;
   /** Estimated size of the stored value. */
   sizeBytes: number;
   unsavedChanges: UnsavedChanges;
-  /** Entries moved from here to other shards, which are to be written before this one or with it. */
+  /**
+   * True if entries were moved from here to other shards, which must be written before this shard
+   * or with it.
+   */
   hasMovedEntries: boolean;
-  /** Version of the key, 0 if it does not exist; null while an unanswered commit leaves it open. */
+  /** Version of the key, 0 if it does not exist; null if unknown after a failed commit. */
   version: number | null;
 }
 
-/** How entries are spread over shards. */
+/** How entries are distributed over shards. */
 export interface PackingOptions {
-  /** The keys of the shards are this and a number. */
+  /** Prefix of the shards' keys; a number follows it. */
   keyPrefix: string;
-  /** An entry is added to a shard only up to this size. */
+  /** Estimated size up to which a shard accepts entries, in bytes. */
   maxShardBytes: number;
-  /** The kind of change that a new value of an entry is. */
+  /** Urgency of a new or replaced value. */
   changeKind: Exclude<UnsavedChanges, 'none'>;
 }
 
-/** Limits of what is written in one transaction. */
+/** Limits of the shards written in one transaction. */
 export interface BatchLimits {
   maxShardCount: number;
   maxBytes: number;
 }
 
-/** Entries by id, each in one of several shards, with what of them is not stored yet. */
+/** Distributes entries over shards, and tracks which shards have changes to be stored. */
 export class ShardPacking<V> {
   private readonly shards: Shard<V>[] = [];
   private readonly shardOf = new Map<string, Shard<V>>();
@@ -44,8 +47,8 @@
   constructor(private readonly options: PackingOptions) {}
 
   /**
-   * Takes over a stored shard. An entry that is also in a shard loaded before is dropped
-   * there, so the shards are to be loaded from the oldest version to the newest.
+   * Adds a stored shard. An entry that is also in a shard loaded before is dropped from that one,
+   * so shards must be loaded from the oldest version to the newest.
    */
   load(key: string, version: number, entries: Iterable<[string, V]>): void {
     const shard = this.addShard(key, version);
@@ -81,7 +84,10 @@
     return this.shardOf.get(id)?.entries.get(id);
   }
 
-  /** Keeps the entry in its shard if the new value fits, else moves it to another one. */
+  /**
+   * Adds an entry or replaces its value. It stays in its shard if the new value fits, else it
+   * moves to another one.
+   */
   set(id: string, value: V): void {
     const shard = this.shardOf.get(id);
     if (shard && this.fits(shard, entryBytes(id, value) - storedEntryBytes(shard, id))) {
@@ -89,19 +95,19 @@
       this.place(shard, id, value);
       this.markChanged(shard);
     } else {
-      // Until both shards are written the entry is stored twice; it is never missing.
+      // Its new shard is written first: meanwhile it is stored twice, but never missing.
       if (shard) this.moveOut(shard, id);
       this.placeInAnyShard(id, value);
     }
   }
 
-  /** Drops an entry without a mark that its shard has changed. */
+  /** Drops an entry without marking its shard as changed. */
   forget(id: string): void {
     const shard = this.shardOf.get(id);
     if (shard) this.drop(shard, id);
   }
 
-  /** Drops an entry, which is a deferrable change of its shard; false if there is none. */
+  /** Drops an entry, as a deferrable change of its shard; false if there is no such entry. */
   remove(id: string): boolean {
     const shard = this.shardOf.get(id);
     if (!shard) return false;
@@ -118,15 +124,16 @@
     return this.shards.some((s) => s.unsavedChanges === 'urgent');
   }
 
-  /** A shard that can't be written before the version of its key has been read; null if none. */
+  /** A changed shard whose key's version must be read before it can be written; null if none. */
   unsavedWithUnknownVersion(): Shard<V> | null {
     const isBlocked = (s: Shard<V>) => s.unsavedChanges !== 'none' && s.version === null;
     return this.shards.find(isBlocked) ?? null;
   }
 
   /**
-   * Shards with such changes that are to be written next, as many as one transaction takes.
-   * Those from which entries have moved come last, after the shards that took them in.
+   * The next shards with changes of this urgency, as many as one transaction may write; at least
+   * one, if there is any. Shards that entries were moved out of come last, after the shards that
+   * received the entries.
    */
   nextBatch(changes: Exclude<UnsavedChanges, 'none'>, limits: BatchLimits): Shard<V>[] {
     const changed = this.shards.filter((s) => s.unsavedChanges === changes);
@@ -151,7 +158,7 @@
 
   private placeInAnyShard(id: string, value: V): void {
     const addedBytes = entryBytes(id, value);
-    // A shard that gives entries away is written last, too late for one that it takes in.
+    // Shards that entries were moved out of are written last, too late for an entry moved in.
     const hasSpace = (s: Shard<V>) => !s.hasMovedEntries && this.fits(s, addedBytes);
     const shard = this.shards.find(hasSpace) ?? this.addShard(this.unusedKey(), 0);
     this.place(shard, id, value);
--- a/packages/controller/src/state/sharded-table.ts
+++ b/packages/controller/src/state/sharded-table.ts
@@ -14,30 +14,33 @@
 import type { StateStore } from './state-store.js';
 import { readShard } from './stored-values.js';
 
-/** Part of a value's limit to which a shard is filled: entries may still grow. */
+/** Fraction of the size limit of a value up to which a shard is filled; its entries may grow. */
 const SHARD_FILL_FRACTION = 0.7;
-/** Part of what one transaction may hold; the rest is for its preconditions. */
+/** Size limit of the values in one transaction; it leaves space for the preconditions. */
 const MAX_BATCH_BYTES = 48 * 1024;
-/** Longest wait for deferrable changes: urgent ones may come meanwhile. */
+/** Longest delay of a flush for deferrable changes: it is not moved up if an urgent one comes. */
 const MAX_DEFERRAL_MS = 250;
-/** What deferrable changes may use of all changes a second: ends of jobs and joins can't wait. */
+/**
+ * Fraction of the state service's changes per second that deferrable ones may use. The rest is for
+ * ends of jobs and new machines, which can't wait.
+ */
 const DEFERRABLE_WRITE_FRACTION = 1 / 8;
 const COMMIT_RETRY_DELAY_MS = 300;
 
-/** What a table has to know of leadership: only a leader writes it. */
+/** What a table needs of leadership, since only a leader writes it. */
 interface LeaderLeaseHolder {
-  /** Guards every transaction of a leader. */
+  /** The precondition of every transaction of a leader: that it still leads. */
   leaderPrecondition(): Precondition;
-  /** Null unless leadership is surely held. */
+  /** Null unless the leader's lease is certainly valid now. */
   validLease(): object | null;
 }
 
 /** How a table is stored. */
 export interface ShardedTableOptions<V> {
   keyPrefix: string;
-  /** Changes are gathered for this long before they are written. */
+  /** Time for which changes are collected before they are written together. */
   gatherTime: Duration;
-  /** True where new values may wait for spare write capacity; removals always may. */
+  /** True if new values may wait for spare write capacity; removals always may. */
   valuesDeferrable: boolean;
   /** Receives the entries that a commit has stored, as they were when it was sent. */
   onStored: (entries: [string, V][]) => void;
@@ -51,19 +54,19 @@
 }
 
 /**
- * A table of small entries packed into few keys, since the state service counts changes of
- * keys: a thousand machines are a dozen changes instead of a thousand.
+ * A table of small entries packed into few keys, since the state service limits the number of
+ * changed keys: a thousand machines are a dozen changes instead of a thousand.
  *
- * Only the leader writes it. Each write is guarded by leadership and by the version of its own
- * key, so that a commit which is carried out late can't undo a newer one; after a commit
- * without an answer the version is read again. Failed commits are repeated until `close`.
+ * Only the leader writes it. The preconditions of each write are leadership and the version of
+ * the written key, so that a commit which is carried out late can't undo a newer one. After a
+ * commit without an answer the version is read again. Failed commits are repeated until `close`.
  */
 export class ShardedTable<V> {
   private readonly packing: ShardPacking<V>;
   private callInProgress = false;
   private flushScheduled = false;
   private closed = false;
-  /** Deferrable changes have used their share of the write capacity up to this instant. */
+  /** Earliest time of the next write of deferrable changes, by their share of the capacity. */
   private deferredWritesAllowedAt: Instant = -Infinity;
 
   constructor(
@@ -79,12 +82,12 @@
     });
   }
 
-  /** Writes nothing more. */
+  /** Stops all further writes. */
   close(): void {
     this.closed = true;
   }
 
-  /** Takes over what an earlier term has stored, and returns it; unreadable shards are logged. */
+  /** Loads and returns the entries that earlier terms stored; unreadable shards are logged. */
   load(items: StateItem[]): [string, V][] {
     for (const item of [...items].sort((a, b) => a.version - b.version)) {
       const entries = this.state.decode(item, readShard);
@@ -107,12 +110,12 @@
     this.scheduleFlush();
   }
 
-  /** Drops an entry at the cost of no write, where readers can tell that a stored one is obsolete. */
+  /** Drops an entry without a write; for entries that readers can tell to be obsolete. */
   forget(id: string): void {
     this.packing.forget(id);
   }
 
-  /** Drops an entry and writes that. */
+  /** Drops an entry, and writes its shard without it. */
   remove(id: string): void {
     if (this.packing.remove(id)) this.scheduleFlush();
   }
--- a/packages/controller/src/state/state-calls.ts
+++ b/packages/controller/src/state/state-calls.ts
@@ -1,13 +1,13 @@
-/** Sends calls to the state service, and judges its availability by their outcomes. */
+/** Sends calls to the state service, and tracks its availability by their outcomes. */
 import type { Duration, Instant } from '@tealdock/wire';
 import type { CallPriority, CallResult } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
 
 const DEFAULT_TIMEOUT_MS = 1200;
-/** The service counts as unavailable once calls have been failing for this long. */
+/** The service counts as unavailable once calls have failed for this long without a success. */
 const UNAVAILABLE_AFTER_MS = 2500;
 
-/** A call to the state service; it changes no key and has no body unless they are given. */
+/** A call to the state service; by default it has no body and changes no key. */
 export interface StateCall {
   method: 'GET' | 'POST' | 'DELETE';
   path: string;
@@ -19,21 +19,22 @@
 
 /** Calls of one node to the state service. */
 export class StateCalls {
+  /** Time of the first failure since the last successful call; null without one. */
   private failingFrom: Instant | null = null;
 
   constructor(private readonly runtime: Runtime) {}
 
-  /** False once calls have been refused or without an answer for some time. */
+  /** False once calls have failed for some time without a success. */
   get isAvailable(): boolean {
     return this.failingFrom === null || this.runtime.now - this.failingFrom < UNAVAILABLE_AFTER_MS;
   }
 
-  /** True as soon as the newest call has failed. */
+  /** True from a failed call until the next successful one. */
   get lastCallFailed(): boolean {
     return this.failingFrom !== null;
   }
 
-  /** Sends a call; its outcome comes to the callback, in a later batch. */
+  /** Sends a call and passes its outcome to the callback, in a later batch of commands. */
   send(call: StateCall, onResult: (result: CallResult) => void): void {
     const {
       method,
@@ -52,7 +53,7 @@
     );
   }
 
-  /** A refusal for want of capacity (429) says nothing about the service's health. */
+  /** No answer or a 5xx is a failure; a 429 (rate limit) says nothing about availability. */
   private recordOutcome(result: CallResult): void {
     if (result.kind !== 'answer' || result.status >= 500) this.failingFrom ??= this.runtime.now;
     else if (result.status !== 429) this.failingFrom = null;
--- a/packages/controller/src/state/state-results.ts
+++ b/packages/controller/src/state/state-results.ts
@@ -5,7 +5,7 @@
 export type ReadResult =
   { kind: 'found'; item: StateItem } | { kind: 'missing' } | { kind: 'failed' };
 
-/** The same with a decoded value; one that can't be decoded counts as a failed read. */
+/** As `ReadResult`, with the value decoded; a value that can't be decoded is a failed read. */
 export type ValueReadResult<T> =
   { kind: 'found'; value: T; version: number } | { kind: 'missing' } | { kind: 'failed' };
 
@@ -15,7 +15,8 @@
 
 /**
  * Result of a transaction. `conflict`: a precondition did not hold. `no_lease`: the lease of a
- * write has ended. `refused`: surely not executed. `unknown`: perhaps executed, now or later.
+ * write has ended. `refused`: surely not executed, for another reason. `unknown`: it may have been
+ * executed, or may still be.
  */
 export type CompareAndSwapResult =
   | { kind: 'ok'; revision: number }
@@ -24,11 +25,14 @@
   | { kind: 'refused' }
   | { kind: 'unknown' };
 
-/** Whether keys have the versions with which they were compared. */
+/**
+ * Result of a comparison of key versions. `changed`: some keys have other versions; the list need
+ * not name all of them. `unknown`: there was no usable answer.
+ */
 export type CompareResult =
   { kind: 'equal' } | { kind: 'changed'; changedKeys: string[] } | { kind: 'unknown' };
 
-/** Result of a watch; `too_old`: the service no longer knows all changes since the revision. */
+/** Result of a watch; `too_old`: the service no longer has all changes since the revision. */
 export type WatchResult =
   | { kind: 'events'; revision: number; events: StateEvent[] }
   | { kind: 'too_old' }
--- a/packages/controller/src/state/state-store.ts
+++ b/packages/controller/src/state/state-store.ts
@@ -34,15 +34,15 @@
   WatchResult,
 } from './state-results.js';
 
-/** A commit without an answer for this long may still be carried out. */
+/** A commit that gets no answer within this time may still be carried out. */
 export const COMMIT_TIMEOUT_MS = 2000;
-/** How long after its time a watch may be answered. */
+/** How long after its wait time a watch may be answered. */
 const WATCH_TIMEOUT_MARGIN_MS = 2000;
 const PAGE_SIZE_LIMIT = 200;
 
 /**
- * Calls the state service. No method throws or blocks: results come to the callback, in a
- * later batch of commands. A malformed response counts as a failed call.
+ * Calls the state service. No method throws or blocks: each passes its result to the callback, in
+ * a later batch of commands. A malformed response counts as a failed call.
  */
 export class StateStore {
   private readonly calls: StateCalls;
@@ -51,12 +51,12 @@
     this.calls = new StateCalls(runtime);
   }
 
-  /** False once calls have been refused or without an answer for some time. */
+  /** False once calls have failed for some time without a success. */
   get isAvailable(): boolean {
     return this.calls.isAvailable;
   }
 
-  /** True as soon as the newest call has failed. */
+  /** True from a failed call until the next successful one. */
   get lastCallFailed(): boolean {
     return this.calls.lastCallFailed;
   }
@@ -70,7 +70,7 @@
     });
   }
 
-  /** Reads and decodes one key; a value for which `decode` returns null is logged. */
+  /** Reads and decodes one key; a value that can't be decoded is logged. */
   getValue<T>(
     key: string,
     decode: (stored: unknown) => T | null,
@@ -85,14 +85,14 @@
     });
   }
 
-  /** Decodes an item that was read; null, and an error in the log, if that is not possible. */
+  /** Decodes an item that was read; if `decode` returns null, logs an error and returns null. */
   decode<T>(item: StateItem, decode: (stored: unknown) => T | null): T | null {
     const value = decode(item.value);
     if (value === null) this.runtime.log('error', { key: item.key }, 'stored value unreadable');
     return value;
   }
 
-  /** Reads all items with the prefix, page after page; fails if one of the pages does. */
+  /** Reads all items with the prefix, page by page; fails if any page does. */
   readAll(prefix: string, priority: CallPriority, onResult: (read: RangeReadResult) => void): void {
     const items: StateItem[] = [];
     let firstRevision: number | null = null;
@@ -105,14 +105,14 @@
         firstRevision ??= page.revision;
         const last = page.items.at(-1);
         if (page.more && last) return readPage(last.key);
-        // The oldest revision: a watch from there repeats what later pages already held.
+        // The first page's revision: a watch from there misses no change, but may repeat some.
         onResult({ kind: 'ok', items, revision: firstRevision });
       });
     };
     readPage('');
   }
 
-  /** Makes all writes, or none if a precondition does not hold. */
+  /** Executes all writes, or none if a precondition does not hold. */
   compareAndSwap(
     preconditions: Precondition[],
     writes: Write[],
@@ -131,7 +131,7 @@
     this.calls.send(call, (result) => onResult(commitResult(result)));
   }
 
-  /** Compares versions in a transaction without changes. */
+  /** Compares the versions of keys, in a transaction without writes. */
   compare(
     preconditions: Precondition[],
     timeout: Duration,
@@ -144,7 +144,7 @@
     );
   }
 
-  /** Asks for a lease of this duration. */
+  /** Requests a lease of this duration. */
   grantLease(duration: Duration, onResult: (grant: LeaseGrantResult) => void): void {
     const body = { life_ms: Math.round(duration) };
     const { lease: priority } = PRIORITY;
@@ -169,7 +169,7 @@
     this.calls.send({ method: 'DELETE', path: leasePath(leaseId), priority }, () => undefined);
   }
 
-  /** Waits up to `waitTime` for changes of keys with the prefix after a revision. */
+  /** Waits up to `waitTime` for changes after a revision to keys with the prefix. */
   watch(
     prefix: string,
     afterRevision: number,
--- a/packages/controller/src/state/stored-values.ts
+++ b/packages/controller/src/state/stored-values.ts
@@ -1,39 +1,39 @@
 /**
- * Values of the state service: their types, and readers that check them. The names of their
- * fields are what is stored, and other versions of this program read them.
+ * Values in the state service: their types, and readers that validate them. The field names are
+ * stored and read by other versions of this program, so they can't change.
  */
 import type { JobSpec, JobState, MachineType } from '@tealdock/wire';
 
-/** Who leads; the nonce distinguishes the commits of one member. */
+/** The leader; the nonce distinguishes the commits of one member. */
 export interface LeaderValue {
   member: string;
   nonce: string;
 }
 
-/** Allows a follower to renew workers' leases for the leader; see leadership/delegation-grants.ts. */
+/** Allows a follower to renew workers' leases for the leader (leadership/delegation-grants.ts). */
 export interface GrantValue {
-  /** Fencing token of the leader. */
+  /** Fencing token of the leader that it is for. */
   token: number;
-  /** Time of day of the request, in ms. */
+  /** Unix time of the request, in ms. */
   at: number;
 }
 
 /** An accepted job that has not ended. */
 export interface LiveValue {
   spec: JobSpec;
-  /** Time of day of the submission, in ms. */
+  /** Unix time of the submission, in ms. */
   submitted: number;
 }
 
-/** A job that has ended, for good. */
+/** A job that has ended, which is final. */
 export interface EndedValue {
   state: Extract<JobState, 'done' | 'cancelled'>;
   spec: JobSpec;
-  /** Time of day of the end, in ms; versions before job chains did not write it. */
+  /** Unix time of the end, in ms; absent in values written before job dependencies existed. */
   at?: number;
 }
 
-/** A machine in the machine registry; `since`: the time of day when it was first seen, in s. */
+/** A machine in the machine registry; `since`: Unix time of its first heartbeat, in s. */
 export type RegistryEntry = [
   type: string,
   zone: string,
@@ -42,21 +42,21 @@
   since: number,
 ];
 
-/** Machines up to this id, in the order of strings, belong to the operator and are not rented. */
+/** Machines with ids up to `last`, in string order, are the operator's own, not rented. */
 interface OwnedValue {
   last: string;
 }
 
-/** What of a value's limit is left for the map around a job's description. */
+/** Space in a value for the fields stored beside a job's spec. */
 const VALUE_OVERHEAD_BYTES = 64;
 
-/** Whether a job fits into one value; sizes are counted in the form of JSON. */
+/** Whether a job's spec fits into one value, by the size of its JSON form. */
 export const fitsValue = (spec: JobSpec, maxValueBytes: number): boolean =>
   Buffer.byteLength(JSON.stringify(spec)) + VALUE_OVERHEAD_BYTES <= maxValueBytes;
 
 /**
- * An ended job as stored. A description that was accepted under a larger limit goes without
- * its lists, which nothing asks for any more once the job is over.
+ * An ended job as stored. A spec that was accepted under a larger limit is stored without its
+ * lists of types and predecessors, which nothing reads once the job has ended.
  */
 export function endedValue(
   state: EndedValue['state'],
@@ -70,14 +70,14 @@
   return { state, spec: storedSpec, at: at.getTime() };
 }
 
-/** An accepted job; null for any other value. */
+/** Validates a stored live job; null if it is malformed. */
 export function readLive(stored: unknown): LiveValue | null {
   const value = fieldsOf(stored);
   const isValid = isSpec(value?.['spec']) && typeof value?.['submitted'] === 'number';
   return isValid ? (stored as LiveValue) : null;
 }
 
-/** A job that has ended; null for any other value. */
+/** Validates a stored ended job; null if it is malformed. */
 export function readEnded(stored: unknown): EndedValue | null {
   const value = fieldsOf(stored);
   const state = value?.['state'];
@@ -85,27 +85,27 @@
   return isValid ? (stored as EndedValue) : null;
 }
 
-/** Who leads; null for any other value. */
+/** Validates the stored leader; null if it is malformed. */
 export function readLeader(stored: unknown): LeaderValue | null {
   const value = fieldsOf(stored);
   const isValid = typeof value?.['member'] === 'string' && typeof value['nonce'] === 'string';
   return isValid ? (stored as LeaderValue) : null;
 }
 
-/** A grant of delegated lease renewal; null for any other value. */
+/** Validates a stored grant of delegated lease renewal; null if it is malformed. */
 export function readGrant(stored: unknown): GrantValue | null {
   const value = fieldsOf(stored);
   const isValid = typeof value?.['token'] === 'number' && typeof value['at'] === 'number';
   return isValid ? (stored as GrantValue) : null;
 }
 
-/** The last machine that is the operator's own; null for any other value. */
+/** Validates the stored last id of the operator's own machines; null if it is malformed. */
 export function readOwned(stored: unknown): OwnedValue | null {
   const last = fieldsOf(stored)?.['last'];
   return typeof last === 'string' ? { last } : null;
 }
 
-/** A machine type of the catalog; null for any other value. */
+/** Validates a stored machine type; null if it is malformed. */
 export function readMachineType(stored: unknown): MachineType | null {
   const value = fieldsOf(stored);
   const isValid =
@@ -116,7 +116,7 @@
   return isValid ? (stored as MachineType) : null;
 }
 
-/** The entries of a shard by their ids, unchecked; null for any other value. */
+/** Entries of a stored shard by id, themselves not validated; null if the shard is malformed. */
 export function readShard(stored: unknown): Fields | null {
   return fieldsOf(fieldsOf(stored)?.['entries']);
 }
--- a/packages/controller/src/state/write-share.ts
+++ b/packages/controller/src/state/write-share.ts
@@ -5,20 +5,20 @@
 const ADJUSTMENT_INTERVAL_MS = 1000;
 /** Changes by other nodes are averaged over this time. */
 const AVERAGING_WINDOW_MS = 5_000;
-/** What any node may use, so that the three of them together rarely exceed the limit. */
+/** Fraction that any node may use, so that the three of them together rarely exceed the limit. */
 const DEFAULT_FRACTION = 1 / 2;
-/** What the leader may use at the most, however little the other nodes do. */
+/** Fraction that the leader may use at most, however little the other nodes use. */
 const MAX_FRACTION = 4 / 5;
-/** Kept free beside what the other nodes were seen to use: they have bursts. */
+/** Fraction left free beyond the observed use by other nodes, for their bursts. */
 const RESERVED_FRACTION = 1 / 6;
-/** An accepted job is one changed key, a cancelled one is two. */
+/** An accepted job changes one key, a cancelled one changes two. */
 const WRITES_PER_SUBMISSION_COUNT = 1;
 const WRITES_PER_CANCELLATION_COUNT = 2;
 
 /**
- * Adjusts how many of the changes per second this node may use. The other nodes only accept
- * and cancel jobs, which the leader sees in its watch; what they leave unused, the leader may
- * use for ends of jobs and for the machine registry.
+ * Adjusts the fraction of the changes per second that this node may use. Other nodes only accept
+ * and cancel jobs, which the leader observes in its watch. The leader may use what they leave, for
+ * ends of jobs and for the machine registry.
  */
 export class WriteShare {
   private readonly observedWrites: { at: Instant; count: number }[] = [];
@@ -28,17 +28,20 @@
     private readonly isLeader: () => boolean,
   ) {}
 
-  /** Adjusts the share now and then repeatedly, until this node leads no longer. */
+  /** Adjusts the share at once and then at regular intervals, until this node no longer leads. */
   start(): void {
     this.runtime.every(ADJUSTMENT_INTERVAL_MS, () => {
-      // Set each time: what an earlier term of this node has set last must not stay.
+      // Set even if unchanged: an earlier term of this node resets it to the default as it ends.
       const isLeader = this.isLeader();
       this.runtime.setWriteFraction(isLeader ? this.leaderFraction() : DEFAULT_FRACTION);
       return isLeader;
     });
   }
 
-  /** Counts a change of a job's key that this leader has not caused; its own submissions too. */
+  /**
+   * Counts a change of a live job's key that this leader did not make by ending the job. Jobs
+   * that this node itself accepted are counted as well.
+   */
   recordChange(event: StateEvent): void {
     const count = event.removed ? WRITES_PER_CANCELLATION_COUNT : WRITES_PER_SUBMISSION_COUNT;
     this.observedWrites.push({ at: this.runtime.now, count });
