--- a/packages/controller/src/machines/catalog.ts
+++ b/packages/controller/src/machines/catalog.ts
@@ -1,4 +1,4 @@
-/** Machine types that the cloud offers. */
+/** Catalog of the machine types that the cloud offers. */
 import { CATALOG_PATH, parseCatalog, type Duration, type MachineType } from '@tealdock/wire';
 import type { Leadership } from '../leadership/leadership.js';
 import { parseResponse } from '../runtime/call-results.js';
@@ -14,12 +14,12 @@
 
 /**
  * Machine types as the cloud last listed them. The leader stores them in the state service, so
- * that submissions can be checked after a start during an outage of the cloud.
+ * that a node that starts during an outage of the cloud can check submissions.
  */
 export class Catalog {
   private currentTypes: MachineType[] = [];
-  /** What the leader has stored, as `offerOf` describes it; empty before that. */
-  private storedOffer = '';
+  /** Fingerprint of the types that this node has stored as leader; empty before the first time. */
+  private storedFingerprint = '';
 
   constructor(
     private readonly runtime: Runtime,
@@ -37,7 +37,7 @@
     return this.currentTypes;
   }
 
-  /** Reads the stored types, and those of the cloud from now on at regular intervals. */
+  /** Reads the stored types once, and the cloud's at regular intervals from now on. */
   start(): void {
     this.readStored();
     this.refresh();
@@ -64,17 +64,17 @@
   private update(types: MachineType[]): void {
     this.currentTypes = types;
     if (!this.leadership.validLease()) return;
-    const offer = offerOf(types);
-    if (offer !== this.storedOffer) this.store(types, offer);
+    const fingerprint = fingerprintOf(types);
+    if (fingerprint !== this.storedFingerprint) this.store(types, fingerprint);
   }
 
-  /** Stores as many types as one transaction takes. */
-  private store(types: MachineType[], offer: string): void {
+  /** Stores the types, up to the number that one transaction may write. */
+  private store(types: MachineType[], fingerprint: string): void {
     const limit = this.runtime.settings.state.maxTransactionWrites;
     const writes = types.slice(0, limit).map((type) => ({ put: typeKey(type.name), value: type }));
     const preconditions = [this.leadership.leaderPrecondition()];
     this.state.compareAndSwap(preconditions, writes, PRIORITY.background, (commit) => {
-      if (commit.kind === 'ok') this.storedOffer = offer;
+      if (commit.kind === 'ok') this.storedFingerprint = fingerprint;
     });
   }
 
@@ -90,7 +90,7 @@
   }
 }
 
-/** What is offered, without the prices: these change all the time and are not worth a write. */
-function offerOf(types: MachineType[]): string {
+/** Changes if the offered types do; leaves out prices, which change too often to be stored. */
+function fingerprintOf(types: MachineType[]): string {
   return types.map((t) => `${t.name}:${t.cpus}:${t.memoryGb}:${t.zones.join()}`).join();
 }
--- a/packages/controller/src/machines/fetch-sharing.ts
+++ b/packages/controller/src/machines/fetch-sharing.ts
@@ -1,46 +1,50 @@
-/** Whether image fetches on one machine slow each other down. */
+/** Estimates whether concurrent image fetches on a machine share its fetch rate. */
 import type { ImageFetch } from './image-fetches.js';
 
-/** A fetch says nothing unless the two estimates of it differ by this much. */
+/** A fetch is ignored unless its two estimates differ by at least this factor. */
 const MIN_ESTIMATE_FACTOR = 1.5;
-/** An image that came before this fraction of it could be fetched was there before. */
+/** An image that arrived before this fraction could be fetched was on the machine before. */
 const MIN_FETCHED_FRACTION = 1 / 3;
-/** Weight of the newest fetch in the probability. */
+/** Weight of the newest fetch in the moving average. */
 const NEWEST_FETCH_FRACTION = 0.1;
-/** From this probability on, fetches are taken to share the rate. */
+/** From this probability on, fetches are assumed to share the rate. */
 const MIN_SHARING_PROBABILITY = 0.5;
-/** Stands in for an estimate of nothing, whose logarithm is not finite. */
+/** Lower limit of an estimate, since the logarithm of 0 is not finite. */
 const MIN_ESTIMATE_GB = 1e-6;
 
 /**
- * Learns from how long fetches take whether several at the same time share a machine's rate,
- * which differs between platforms. Sharing is assumed at first: too many fetches on a large
- * machine cost more than waiting for one of them.
+ * Learns from the durations of fetches whether concurrent ones share a machine's rate, which
+ * differs between platforms. Sharing is assumed at first: too many fetches on a large machine
+ * cost more than waiting for one of them.
  */
 export class FetchSharing {
   private probability = 1;
 
-  /** How sure it is that fetches share the rate, from 0 to 1. */
+  /** Estimated probability that fetches share the rate, from 0 to 1. */
   get sharingProbability(): number {
     return this.probability;
   }
 
-  /** True if fetches are to be taken to share the rate. */
+  /** True if fetches are to be assumed to share the rate. */
   get isShared(): boolean {
     return this.probability >= MIN_SHARING_PROBABILITY;
   }
 
-  /** Starts from what another leader had learnt. */
+  /** Restores the probability that another leader estimated. */
   restore(sharingProbability: number): void {
     this.probability = sharingProbability;
   }
 
-  /** A fetch ended; without others beside it, it changes nothing. */
-  record({ sizeGb, sharedGb, soloGb }: Readonly<ImageFetch>): void {
-    if (soloGb < sizeGb * MIN_FETCHED_FRACTION || soloGb < sharedGb * MIN_ESTIMATE_FACTOR) return;
+  /** Updates the probability by a completed fetch; no effect if its two estimates hardly differ. */
+  record({ sizeGb, sharedRateGb, fullRateGb }: Readonly<ImageFetch>): void {
+    if (
+      fullRateGb < sizeGb * MIN_FETCHED_FRACTION ||
+      fullRateGb < sharedRateGb * MIN_ESTIMATE_FACTOR
+    )
+      return;
     const error = (estimateGb: number) =>
       Math.abs(Math.log(Math.max(estimateGb, MIN_ESTIMATE_GB) / sizeGb));
-    const wasShared = error(sharedGb) < error(soloGb) ? 1 : 0;
+    const wasShared = error(sharedRateGb) < error(fullRateGb) ? 1 : 0;
     this.probability += NEWEST_FETCH_FRACTION * (wasShared - this.probability);
   }
 }
--- a/packages/controller/src/machines/image-cache.test.ts
+++ b/packages/controller/src/machines/image-cache.test.ts
@@ -4,7 +4,7 @@
 
 const images = (cache: ImageCache) => [...cache.entries()].map(([image]) => image);
 
-test('the images used the longest ago are evicted until all fit', () => {
+test('the least recently used images are evicted until all fit', () => {
   const cache = new ImageCache();
   cache.setCapacity(10);
   for (const image of ['a', 'b', 'c']) cache.recordUse(image, 3);
--- a/packages/controller/src/machines/image-cache.ts
+++ b/packages/controller/src/machines/image-cache.ts
@@ -1,18 +1,18 @@
-/** Images that a machine should have, as the leader infers it from what ran there. */
+/** Images that a machine is expected to hold, inferred by the leader from the tasks run there. */
 
-/** Evicts what was used the longest ago, as the machine is taken to do. */
+/** Model of a machine's image cache, which is assumed to evict the least recently used image. */
 export class ImageCache {
   /** Sizes in GB by image, the least recently used first. */
   private readonly sizes = new Map<string, number>();
   /** Unlimited until the machine's type is known. */
   private capacityGb = Infinity;
 
-  /** Takes effect when the next image is recorded. */
+  /** Sets the capacity, which takes effect at the next use of an image. */
   setCapacity(capacityGb: number): void {
     this.capacityGb = capacityGb;
   }
 
-  /** True if the machine should have the image. */
+  /** True if the machine is expected to hold the image. */
   has(image: string): boolean {
     return this.sizes.has(image);
   }
@@ -22,7 +22,7 @@
     return this.sizes;
   }
 
-  /** The image was used just now; others are evicted until all fit. */
+  /** Records a use of the image, and evicts others until all fit. */
   recordUse(image: string, sizeGb: number): void {
     this.sizes.delete(image);
     this.sizes.set(image, sizeGb);
@@ -35,7 +35,7 @@
     }
   }
 
-  /** The machine lacks the image. False if that was known. */
+  /** Removes an image that the machine turned out to lack; false if it was not expected there. */
   remove(image: string): boolean {
     return this.sizes.delete(image);
   }
--- a/packages/controller/src/machines/image-fetches.test.ts
+++ b/packages/controller/src/machines/image-fetches.test.ts
@@ -20,19 +20,19 @@
 const delayOfB = (fetches: ImageFetches, isRateShared: boolean, now: number) =>
   fetches.delayOf({ image: 'b', sizeGb: 4, awaited: AWAITED, isRateShared, now });
 
-test('with a shared rate an image waits for those that started before it', () => {
+test('with a shared rate an image waits for the fetches that started before it', () => {
   assert.equal(delayOfB(twoFetches(), true, 3000), 11_000);
   assert.equal(delayOfB(twoFetches(), false, 3000), 1000);
 });
 
-test('a fetch that no task waits for is given up', () => {
+test('a fetch that no task waits for is aborted', () => {
   const fetches = twoFetches();
   fetches.retain(new Map([['b', 4]]), 3000);
   assert.equal(fetches.complete('a', 3000), undefined);
   assert.equal(delayOfB(fetches, true, 5000), 2000);
 });
 
-test('fetches that end as if they were alone show that the rate is not shared', () => {
+test('concurrent fetches that each take the full rate show that it is not shared', () => {
   const sharing = new FetchSharing();
   assert.ok(sharing.isShared);
   for (let i = 0; i < 10; i++) {
@@ -44,8 +44,8 @@
   assert.ok(!sharing.isShared);
 });
 
-test('a fetch without others beside it shows nothing', () => {
+test('a fetch that was never concurrent does not change the probability', () => {
   const sharing = new FetchSharing();
-  sharing.record({ sizeGb: 4, sharedGb: 4, soloGb: 4 });
+  sharing.record({ sizeGb: 4, sharedRateGb: 4, fullRateGb: 4 });
   assert.equal(sharing.sharingProbability, 1);
 });
--- a/packages/controller/src/machines/lease-expiry.ts
+++ b/packages/controller/src/machines/lease-expiry.ts
@@ -1,4 +1,4 @@
-/** Finds out when workers' leases have surely expired. */
+/** Determines when workers' leases have certainly expired. */
 import type { Duration, Instant } from '@tealdock/wire';
 import { maxOnOtherClock } from '../runtime/clock-drift.js';
 import { PRIORITY } from '../runtime/ports.js';
@@ -8,11 +8,11 @@
 import type { Machine } from './machine.js';
 import { ObservedGrants } from './observed-grants.js';
 
-/** Time that a response, which renews the lease, may be on its way to the worker. */
+/** Longest time that a response, which renews the lease, may take to reach the worker. */
 const RESPONSE_DELAY_MARGIN_MS: Duration = 1500;
 /**
- * Grants are read this often while a machine is late: a grant counts from when it is first
- * seen, and one that is seen late puts off the expiry of all late machines' leases.
+ * Grants are read this often while a machine is late. A grant counts from when it is first read,
+ * so one that is read late delays the expiry of the leases of all late machines.
  */
 const GRANT_READ_INTERVAL_MS: Duration = 3000;
 /** A machine is late once this many heartbeats are missing. */
@@ -26,10 +26,10 @@
 }
 
 /**
- * Finds machines whose lease has surely expired. A worker without a response for its whole
- * lease has killed all its tasks. Another node may have renewed the lease under a grant, so
- * grants are read first; one that this read does not show was given after the lease had
- * expired (docs/safety.md).
+ * Finds machines whose lease has certainly expired: a worker that has had no response for the
+ * duration of its lease has killed all its tasks. Another node may have renewed the lease under a
+ * grant, so grants are read first; a grant that this read does not return was given after the
+ * lease had expired (docs/safety.md).
  */
 export class LeaseExpiry {
   private readonly grants: ObservedGrants;
@@ -45,7 +45,7 @@
     this.grants = new ObservedGrants(runtime, state);
   }
 
-  /** Reads the grants if a lease may have expired, and reports the leases that have. */
+  /** Reads the grants if a lease may have expired, then reports the machines whose lease has. */
   check(): void {
     if (this.isReading || !this.mustReadGrants()) return;
     this.isReading = true;
@@ -60,7 +60,7 @@
     });
   }
 
-  /** The end of a worker's lease if its last answered heartbeat arrived at `renewedAt`. */
+  /** Latest end of a worker's lease if its last answered heartbeat arrived at `renewedAt`. */
   leaseEnd(renewedAt: Instant): Instant {
     const duration = maxOnOtherClock(this.runtime.settings.workerLeaseDuration);
     return renewedAt + duration + RESPONSE_DELAY_MARGIN_MS;
@@ -72,7 +72,7 @@
     return mayReadAgain && this.isSomeMachineLate();
   }
 
-  /** Some machine that matters is late, or has sent no heartbeat in this term. */
+  /** True if some machine is not reconciled, or is late while tasks are bound to it. */
   private isSomeMachineLate(): boolean {
     const maxSilence = this.runtime.settings.heartbeatInterval * MISSED_HEARTBEAT_COUNT;
     for (const { registration, heartbeats, bindings } of this.term.machines.values()) {
@@ -83,15 +83,19 @@
     return false;
   }
 
-  /** Machines whose lease had expired at that instant, where something depends on it. */
+  /**
+   * Machines whose lease had expired at that instant. Leaves out reconciled and registered ones
+   * without bindings, since nothing depends on their lease.
+   */
   private expiredAt(instant: Instant): Machine[] {
     const expired: Machine[] = [];
     for (const machine of this.term.machines.values()) {
       const { registration, heartbeats, bindings } = machine;
-      const matters = !registration.isReconciled || bindings.size > 0 || !registration.isRegistered;
+      const isRelevant =
+        !registration.isReconciled || bindings.size > 0 || !registration.isRegistered;
       const renewedAt = heartbeats.lastLeaseRenewalAt ?? this.term.electedAt;
-      const mayBeRenewedAt = Math.max(renewedAt, this.grants.delegatedUntil);
-      if (matters && instant >= this.leaseEnd(mayBeRenewedAt)) expired.push(machine);
+      const lastPossibleRenewalAt = Math.max(renewedAt, this.grants.delegatedUntil);
+      if (isRelevant && instant >= this.leaseEnd(lastPossibleRenewalAt)) expired.push(machine);
     }
     return expired;
   }
--- a/packages/controller/src/machines/machine-health.test.ts
+++ b/packages/controller/src/machines/machine-health.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { MachineHealth } from './machine-health.js';
 
-test('three failures in a row of its own quarantine a machine', () => {
+test('three consecutive failures that are its own fault quarantine a machine', () => {
   const health = new MachineHealth();
   health.recordTaskFailure(true, 0);
   health.recordTaskFailure(false, 0);
@@ -12,7 +12,7 @@
   assert.deepEqual([health.isQuarantined(119_999), health.isQuarantined(120_000)], [true, false]);
 });
 
-test('a completed task ends the row of failures', () => {
+test('a completed task resets the failure count', () => {
   const health = new MachineHealth();
   health.recordTaskFailure(true, 0);
   health.recordTaskFailure(true, 0);
@@ -21,7 +21,7 @@
   assert.ok(!health.isQuarantined(0));
 });
 
-test('each lost start in a row quarantines for longer, until a task is observed', () => {
+test('each consecutive lost start lengthens the quarantine, until a task is observed', () => {
   const health = new MachineHealth();
   const quarantines = [1, 2, 3, 4].map(() => health.recordLostStart(0));
   assert.deepEqual(quarantines, [3000, 12_000, 48_000, 120_000]);
--- a/packages/controller/src/machines/machine-health.ts
+++ b/packages/controller/src/machines/machine-health.ts
@@ -1,20 +1,23 @@
-/** Failures of one machine, and its quarantine. */
+/** Consecutive failures on one machine, and its quarantine. */
 import type { Duration, Instant } from '@tealdock/wire';
 
-/** A machine on which so many tasks in a row failed is quarantined. */
-const MAX_FAILURE_COUNT = 3;
+/** From this many consecutive task failures on, a machine is quarantined. */
+const QUARANTINE_FAILURE_COUNT = 3;
 const QUARANTINE_MS: Duration = 120_000;
-/** The first quarantine for a lost start; each further lost start in a row multiplies it. */
+/** First quarantine for a lost start; each further consecutive one multiplies it by the factor. */
 const LOST_START_QUARANTINE_MS: Duration = 3000;
 const LOST_START_QUARANTINE_FACTOR = 4;
 
-/** A quarantined machine gets no new tasks. */
+/** Decides on quarantine: a quarantined machine gets no new tasks. */
 export class MachineHealth {
   private consecutiveFailureCount = 0;
   private lostStartCount = 0;
   private quarantinedUntil: Instant = 0;
 
-  /** Dispatched starts in a row that never showed up: responses seem not to reach the worker. */
+  /**
+   * Number of consecutive dispatched starts whose task no heartbeat has shown: responses seem not
+   * to reach the worker.
+   */
   get consecutiveLostStartCount(): number {
     return this.lostStartCount;
   }
@@ -23,25 +26,25 @@
     return this.quarantinedUntil > now;
   }
 
-  /** A task failed; `isMachineAtFault` is false for a job that fails on every machine. */
+  /** Records a failed task; `isMachineAtFault` is false if the job fails on every machine. */
   recordTaskFailure(isMachineAtFault: boolean, now: Instant): void {
     if (isMachineAtFault) this.consecutiveFailureCount++;
-    if (this.consecutiveFailureCount >= MAX_FAILURE_COUNT) {
+    if (this.consecutiveFailureCount >= QUARANTINE_FAILURE_COUNT) {
       this.quarantinedUntil = now + QUARANTINE_MS;
     }
   }
 
-  /** A task completed. A quarantine that has begun goes on. */
+  /** Records a completed task, which resets the count but does not end a quarantine. */
   recordTaskSuccess(): void {
     this.consecutiveFailureCount = 0;
   }
 
-  /** A heartbeat shows a new task or a new state of one. */
+  /** Records that a heartbeat shows a new task or a new state of one. */
   recordTaskObserved(): void {
     this.lostStartCount = 0;
   }
 
-  /** A dispatched start did not show up. Returns the length of the quarantine for it. */
+  /** Records that no heartbeat has shown a dispatched start; returns the quarantine for it. */
   recordLostStart(now: Instant): Duration {
     const quarantine = Math.min(
       QUARANTINE_MS,
--- a/packages/controller/src/machines/machine-heartbeats.ts
+++ b/packages/controller/src/machines/machine-heartbeats.ts
@@ -1,7 +1,7 @@
-/** What the heartbeats of one machine's worker have shown in this term. */
+/** What the heartbeats of one machine's worker have reported in this term. */
 import type { Duration, Instant, TaskStatus, WorkerHeartbeat } from '@tealdock/wire';
 
-/** Heartbeats of one machine. Only the newest counts; a late one changes nothing. */
+/** Heartbeats of one machine. A heartbeat counts only if it is newer than all counted before. */
 export class MachineHeartbeats {
   private newestAgentEpoch = 0;
   private newestSequenceNumber = -1;
@@ -12,17 +12,17 @@
   private leaseRenewedAt: Instant | null = null;
   private olderTokenSince: Instant | null = null;
 
-  /** Agent epoch of the newest counted heartbeat; 0 before it. */
+  /** Agent epoch of the newest counted heartbeat; 0 before the first. */
   get agentEpoch(): number {
     return this.newestAgentEpoch;
   }
 
-  /** Number of the newest counted heartbeat within its agent epoch; -1 before it. */
+  /** Number of the newest counted heartbeat within its agent epoch; -1 before the first. */
   get sequenceNumber(): number {
     return this.newestSequenceNumber;
   }
 
-  /** Where the worker takes direct commands; empty before the first counted heartbeat. */
+  /** Address for direct commands to the worker; empty before the first counted heartbeat. */
   get address(): string {
     return this.newestAddress;
   }
@@ -32,17 +32,17 @@
     return this.newestExitedTasks;
   }
 
-  /** When the cloud takes the machine away; null without such a notice. */
+  /** When the cloud takes the machine back; null without a preemption notice. */
   get preemptionDeadline(): Instant | null {
     return this.newestPreemptionDeadline;
   }
 
-  /** Arrival of the newest counted heartbeat; null before it. */
+  /** Arrival of the newest counted heartbeat; null before the first. */
   get lastCountedAt(): Instant | null {
     return this.countedAt;
   }
 
-  /** Arrival of the newest heartbeat that was answered with 200 in this term; null before it. */
+  /** Arrival of the newest heartbeat that was answered with 200 in this term; null without one. */
   get lastLeaseRenewalAt(): Instant | null {
     return this.leaseRenewedAt;
   }
@@ -53,7 +53,7 @@
     return sequenceNumber > this.newestSequenceNumber;
   }
 
-  /** Counts a heartbeat. */
+  /** Counts a heartbeat; to be called only if it is newer than any counted one. */
   record(heartbeat: WorkerHeartbeat, now: Instant): void {
     const { preemptionNotice, tasks } = heartbeat;
     this.newestAgentEpoch = heartbeat.agentEpoch;
@@ -64,12 +64,12 @@
     this.newestExitedTasks = tasks.filter((task) => task.state === 'exited');
   }
 
-  /** A heartbeat is answered with 200, which renews the worker's lease. */
+  /** Records that a heartbeat is answered with 200, which renews the worker's lease. */
   recordLeaseRenewal(now: Instant): void {
     this.leaseRenewedAt = now;
   }
 
-  /** A heartbeat carries an older term's token. Returns how long ago the first one came. */
+  /** Records a heartbeat with an older term's token; returns the time since the first such one. */
   recordOlderToken(now: Instant): Duration {
     this.olderTokenSince ??= now;
     return now - this.olderTokenSince;
--- a/packages/controller/src/machines/machine-registration.ts
+++ b/packages/controller/src/machines/machine-registration.ts
@@ -1,14 +1,14 @@
-/** Where one machine stands in the machine registry, and in this term's reconciliation. */
+/** State of one machine in the machine registry, and in this term's reconciliation. */
 import type { Instant } from '@tealdock/wire';
 
-/** An entry of the machine registry, as a new term reads it. */
+/** An entry of the machine registry, as read by a new term. */
 interface RestoredRegistration {
   readonly isReturning: boolean;
   readonly firstObservedAt: Instant;
   readonly isReconciled: boolean;
 }
 
-/** From the first heartbeat of a machine to its return to the cloud. */
+/** Registration of a machine, from its first heartbeat to its return to the cloud. */
 export class MachineRegistration {
   private registered = false;
   private returning = false;
@@ -16,32 +16,32 @@
   private reconciled = false;
   private observedAt: Instant = Infinity;
 
-  /** True once the machine registry has it; no start is dispatched before. */
+  /** True once the machine registry has stored the machine; no start is dispatched before that. */
   get isRegistered(): boolean {
     return this.registered;
   }
 
-  /** It gets no more work, and goes back to the cloud. */
+  /** True once the machine is to be returned to the cloud; it gets no more tasks. */
   get isReturning(): boolean {
     return this.returning;
   }
 
-  /** The machine registry says that it goes back, so no later term gives it work. */
+  /** True once the machine registry has stored that, so that no later term gives it tasks. */
   get isReturnCommitted(): boolean {
     return this.returnCommitted;
   }
 
-  /** Its tasks are known in this term, or it is proven to have none of older terms. */
+  /** True once this term knows its tasks, or knows that it has none from older terms. */
   get isReconciled(): boolean {
     return this.reconciled;
   }
 
-  /** First known to be there, on this process's steady clock; Infinity before that. */
+  /** When its worker's first heartbeat came, on this process's steady clock; Infinity before. */
   get firstObservedAt(): Instant {
     return this.observedAt;
   }
 
-  /** Takes over what the machine registry says. */
+  /** Applies the stored entry of the machine registry. */
   restore({ isReturning, firstObservedAt, isReconciled }: RestoredRegistration): void {
     this.registered = true;
     this.returning = isReturning;
@@ -50,12 +50,12 @@
     this.reconciled = isReconciled;
   }
 
-  /** Its worker sent a heartbeat. */
+  /** Records a heartbeat of its worker. */
   recordObserved(now: Instant): void {
     this.observedAt = Math.min(this.observedAt, now);
   }
 
-  /** The machine registry has stored its entry. */
+  /** Records that the machine registry has stored its entry. */
   recordRegistered(isReturnCommitted: boolean): void {
     this.registered = true;
     if (isReturnCommitted) this.returnCommitted = true;
--- a/packages/controller/src/machines/machine-usage.test.ts
+++ b/packages/controller/src/machines/machine-usage.test.ts
@@ -7,8 +7,8 @@
 const RESOURCES = { cpus: 2, gpus: 1, memoryGb: 8 };
 const NONE = { cpus: 0, gpus: 0, memoryGb: 0 };
 
-/** A machine and a ledger that follow the transitions of one binding, as in a term. */
-class Sums implements BindingObserver {
+/** A machine and a ledger that are updated by the transitions of bindings, as in a term. */
+class UsageFixture implements BindingObserver {
   readonly machine = new Machine('m-1', 'small', 'a', false);
   readonly ledger = new UsageLedger();
 
@@ -35,8 +35,8 @@
   observer,
 });
 
-test('the sums over bindings follow each transition', () => {
-  const sums = new Sums();
+test('each transition of a binding updates the sums', () => {
+  const sums = new UsageFixture();
   const binding = sums.bind(Binding.assigned(initial(sums), false));
   const { usage } = sums.machine;
   assert.deepEqual([...usage.awaitedImages], [['img', 4]]);
@@ -52,8 +52,8 @@
   assert.equal(usage.used.cpus, 5);
 });
 
-test('an ended binding leaves nothing in the sums, and the machine is idle', () => {
-  const sums = new Sums();
+test('an ended binding no longer counts in the sums, and the machine is idle', () => {
+  const sums = new UsageFixture();
   const binding = sums.bind(Binding.assigned(initial(sums), false));
   const { usage } = sums.machine;
   usage.updateIdle(200);
--- a/packages/controller/src/machines/machine-usage.ts
+++ b/packages/controller/src/machines/machine-usage.ts
@@ -1,19 +1,19 @@
-/** What is bound to one machine, and sums over it. */
+/** Bindings of one machine, and sums over them. */
 import type { Duration, Instant } from '@tealdock/wire';
 import { NO_RESOURCES, subtractResources, addResources, type Resources } from '@tealdock/scheduler';
 import { bindingKey, type Binding } from '../jobs/binding.js';
 
-/** Time constant with which computing time of the past loses its weight. */
+/** Time constant of the exponential decay of past compute time. */
 const COMPUTE_TIME_DECAY_MS: Duration = 300_000;
 
-/** Sums over the bindings of a machine; computed again after a change. */
+/** Sums over the bindings of a machine. */
 interface UsageSums {
   readonly used: Resources;
   readonly stopping: Resources;
   readonly awaitedImages: ReadonlyMap<string, number>;
 }
 
-/** Bindings of one machine and their sums, which are cached until a change is reported. */
+/** Bindings of one machine and their sums, which are cached until `invalidate` is called. */
 export class MachineUsage {
   private readonly byKey = new Map<string, Binding>();
   private cachedSums: UsageSums | null = null;
@@ -22,32 +22,32 @@
 
   constructor(private readonly hasImage: (image: string) => boolean) {}
 
-  /** By `bindingKey`, in the order in which they were bound. */
+  /** Bindings by `bindingKey`, in the order in which they were bound. */
   get bindings(): ReadonlyMap<string, Binding> {
     return this.byKey;
   }
 
-  /** Resources of all tasks on the machine, or on their way there. */
+  /** Resources of all tasks that are on the machine or assigned to it. */
   get used(): Resources {
     return this.sums.used;
   }
 
-  /** The part of the used resources that is being stopped. */
+  /** The part of `used` that belongs to tasks being stopped. */
   get stopping(): Resources {
     return this.sums.stopping;
   }
 
-  /** Images that tasks on the machine, or on their way there, still wait for: sizes in GB. */
+  /** Images that tasks on the machine or assigned to it still wait for, with sizes in GB. */
   get awaitedImages(): ReadonlyMap<string, number> {
     return this.sums.awaitedImages;
   }
 
-  /** CPUs times milliseconds in use, where the past loses its weight over some minutes. */
+  /** CPU-milliseconds used, with a weight that decays over some minutes. */
   get recentComputeTime(): number {
     return this.decayedComputeTime;
   }
 
-  /** Since when the machine has no bindings; null while it has some. */
+  /** When the machine became idle, that is without bindings; null while it has some. */
   get idleSince(): Instant | null {
     return this.unboundSince;
   }
@@ -57,14 +57,14 @@
     this.invalidate();
   }
 
-  /** False if there was no such binding. */
+  /** Removes a binding; false if there was no such binding. */
   remove(binding: Binding): boolean {
     if (!this.byKey.delete(bindingKey(binding.task, binding.attempt))) return false;
     this.invalidate();
     return true;
   }
 
-  /** A binding or the machine's images have changed. */
+  /** To be called after a binding or the machine's images have changed. */
   invalidate(): void {
     this.cachedSums = null;
   }
@@ -73,13 +73,13 @@
     return subtractResources(total, this.used);
   }
 
-  /** Adds the computing time of the interval since the last call. */
+  /** Adds the compute time of the interval since the last call. */
   accumulateComputeTime(elapsed: Duration): void {
     const decay = Math.exp(-elapsed / COMPUTE_TIME_DECAY_MS);
     this.decayedComputeTime = this.decayedComputeTime * decay + this.used.cpus * elapsed;
   }
 
-  /** To be called at regular intervals; `idleSince` is exact to one interval. */
+  /** Updates `idleSince`; to be called at regular intervals, which limit its precision. */
   updateIdle(now: Instant): void {
     this.unboundSince = this.byKey.size === 0 ? (this.unboundSince ?? now) : null;
   }
--- a/packages/controller/src/machines/machine.ts
+++ b/packages/controller/src/machines/machine.ts
@@ -9,7 +9,7 @@
 import { MachineRegistration } from './machine-registration.js';
 import { MachineUsage } from './machine-usage.js';
 
-/** One machine; each concern has an object of its own, images and their fetches are here. */
+/** One machine. Each concern has an object of its own; images and fetches are combined here. */
 export class Machine implements MachinePool {
   readonly heartbeats = new MachineHeartbeats();
   readonly registration = new MachineRegistration();
@@ -22,54 +22,54 @@
     readonly id: string,
     readonly type: string,
     readonly zone: string,
-    /** The cloud may take it away after a short notice. */
+    /** Whether it is a spot machine, which the cloud may take back at short notice. */
     readonly spot: boolean,
   ) {
     this.usage = new MachineUsage((image) => this.images.has(image));
   }
 
-  /** By `bindingKey`, in the order in which they were bound. */
+  /** Bindings by `bindingKey`, in the order in which they were bound. */
   get bindings(): ReadonlyMap<string, Binding> {
     return this.usage.bindings;
   }
 
-  /** To be called by the term's bindings only. */
+  /** Adds a binding; to be called only by the term's `Bindings`. */
   bind(binding: Binding): void {
     this.usage.add(binding);
   }
 
-  /** To be called by the term's bindings only. False if it was not bound here. */
+  /** Removes a binding, false if it was not here; to be called only by the term's `Bindings`. */
   unbind(binding: Binding, now: Instant): boolean {
     if (!this.usage.remove(binding)) return false;
     this.fetches.retain(this.usage.awaitedImages, now);
     return true;
   }
 
-  /** Takes over the size of its image cache and its fetch rate. */
+  /** Applies the type's image cache size and fetch rate. */
   applyType(type: MachineType): void {
     this.images.setCapacity(type.cacheGb);
     this.fetches.setRate(type.fetchGbPerS);
   }
 
-  /** True if the machine should have the image. */
+  /** True if the machine is expected to hold the image. */
   hasImage(image: string): boolean {
     return this.images.has(image);
   }
 
-  /** Images that it should have, with their sizes in GB, the least recently used first. */
+  /** Images that it is expected to hold, with sizes in GB, the least recently used first. */
   imageEntries(): Iterable<[image: string, sizeGb: number]> {
     return this.images.entries();
   }
 
-  /** The image was used there just now. */
+  /** Records a use of the image on this machine. */
   recordImageUse(image: string, sizeGb: number): void {
     this.images.recordUse(image, sizeGb);
     this.usage.invalidate();
   }
 
   /**
-   * A task runs with the image. Returns its fetch as it ended; undefined if that was not seen
-   * from its start.
+   * Records that a task runs with the image. Returns the completed fetch; undefined if no fetch of
+   * the image had been started.
    */
   recordImageFetched(
     image: string,
@@ -81,32 +81,32 @@
     return fetch;
   }
 
-  /** A start was dispatched to it: a fetch starts, unless it has the image. */
+  /** Records a dispatched start, which starts a fetch unless the machine holds the image. */
   recordStartDispatched({ image, imageGb }: Binding, now: Instant): void {
     if (image !== null && !this.hasImage(image)) this.fetches.start(image, imageGb, now);
   }
 
-  /** A heartbeat shows that it fetches the image; it may have been thought to have it. */
+  /** Records that a heartbeat shows a fetch of the image, even if the machine should hold it. */
   recordImageMissing({ image, imageGb }: Binding, now: Instant): void {
     if (image === null || !this.images.remove(image)) return;
     this.fetches.start(image, imageGb, now);
     this.usage.invalidate();
   }
 
-  /** How long one more task would wait for its image. */
+  /** How long one more task would wait for the image; 0 if the machine holds it. */
   imageDelay(image: string, sizeGb: number, isRateShared: boolean, now: Instant): Duration {
     if (this.hasImage(image)) return 0;
     const awaited = this.usage.awaitedImages;
     return this.fetches.delayOf({ image, sizeGb, awaited, isRateShared, now });
   }
 
-  /** Resources that no task takes. */
+  /** Resources that no bound task uses. */
   free(type: MachineType): Resources {
     return this.usage.free(type);
   }
 }
 
-/** The machine's type in the catalog. Undefined if it is unknown: nothing is placed on it. */
+/** The machine's type in the catalog; undefined if unknown, so that nothing is placed on it. */
 export function machineTypeOf(types: MachineType[], machine: Machine): MachineType | undefined {
   return types.find((type) => type.name === machine.type);
 }
--- a/packages/controller/src/machines/observed-grants.ts
+++ b/packages/controller/src/machines/observed-grants.ts
@@ -1,4 +1,4 @@
-/** Grants under which other nodes may have renewed workers' leases, as the leader sees them. */
+/** Delegation grants, under which other nodes may have renewed workers' leases. */
 import type { Duration, Instant, StateItem } from '@tealdock/wire';
 import { GRANT_DURATION_MS } from '../leadership/delegation-grants.js';
 import { maxOnOtherClock } from '../runtime/clock-drift.js';
@@ -6,10 +6,10 @@
 import type { StateStore } from '../state/state-store.js';
 import { readGrant } from '../state/stored-values.js';
 
-/** A grant that was requested this long ago has ended, on any clock. */
+/** A grant that was requested this long ago has expired, on any clock. */
 const STALE_GRANT_AGE_MS: Duration = 60_000;
 
-/** A grant counts from the moment at which it is first seen here, since clocks differ. */
+/** Grants as read by the leader. Each counts from when it was first read, since clocks differ. */
 export class ObservedGrants {
   private readonly versions = new Map<string, number>();
   private validUntil: Instant = -Infinity;
@@ -19,12 +19,12 @@
     private readonly state: StateStore,
   ) {}
 
-  /** Until when any node may renew leases under an observed grant; -Infinity without one. */
+  /** Until when nodes may renew leases under the observed grants; -Infinity without any. */
   get delegatedUntil(): Instant {
     return this.validUntil;
   }
 
-  /** Takes in a grant's item. A version that was seen before changes nothing. */
+  /** Records a grant as read; no effect if this version was read before. */
   record(item: StateItem): void {
     const { key, version } = item;
     if (this.versions.get(key) === version) return;
--- a/packages/controller/src/machines/usage-ledger.ts
+++ b/packages/controller/src/machines/usage-ledger.ts
@@ -4,9 +4,9 @@
 
 /** What one team uses. */
 interface TeamUsage {
-  /** Of all its bindings, also those whose start may have been lost. */
+  /** Resources of all its bindings, including those whose start may have been lost. */
   readonly bound: Resources;
-  /** The part of it that is being stopped. */
+  /** The part of `bound` that belongs to tasks being stopped. */
   readonly stopping: Resources;
 }
 
@@ -17,23 +17,23 @@
 export interface UsageView {
   /** Resources of all the team's bindings. */
   usageOf(team: string): Resources;
-  /** What the team uses once all that is being stopped is gone. */
+  /** Resources of the team's bindings that are not being stopped. */
   usageAfterStops(team: string): Resources;
-  /** How many bindings a job has in each zone; zones without one are absent. */
+  /** Number of a job's bindings by zone; zones without one are absent. */
   zoneCountsOf(job: string): ReadonlyMap<string, number>;
 }
 
 /**
- * Sums over all bindings, kept as bindings come, change and go: adding up thousands of them
- * for each decision would take longer than the decisions. Bindings whose job has to be
- * looked up stand under the empty team, without resources.
+ * Sums over all bindings, updated as bindings are added, changed and removed: adding up thousands
+ * of them for each decision would take longer than the decisions. Bindings whose job still has to
+ * be looked up count under the empty team, with zero resources.
  */
 export class UsageLedger implements UsageView {
   private readonly teams = new Map<string, TeamUsage>();
-  /** Bindings by zone, by job. */
+  /** Number of bindings by job and zone. */
   private readonly zoneCounts = new Map<string, Map<string, number>>();
 
-  /** A binding has begun on a machine in this zone. */
+  /** Adds a binding on a machine in this zone. */
   add(binding: Binding, zone: string): void {
     this.updateTeam(binding, addResources);
     const counts = this.zoneCounts.get(binding.job) ?? new Map<string, number>();
@@ -41,7 +41,7 @@
     this.zoneCounts.set(binding.job, counts);
   }
 
-  /** A binding that was added with this zone has ended. */
+  /** Removes a binding that was added with this zone. */
   remove(binding: Binding, zone: string): void {
     this.updateTeam(binding, subtractResources);
     const counts = this.zoneCounts.get(binding.job);
