--- a/packages/controller/src/jobs/dependency-graph.ts
+++ b/packages/controller/src/jobs/dependency-graph.ts
@@ -124,9 +124,9 @@
     this.runtime.log('debug', { job: job.id, ageMs }, 'job released');
   }
 
-  /** Converts a wall-clock time to this process's steady clock; a future time becomes now. */
-  private steadyInstant(timeOfDayMs: number): Instant {
-    return this.runtime.now - Math.max(0, this.runtime.wallClock.getTime() - timeOfDayMs);
+  /** Converts a Unix time to this process's steady clock; a future time becomes now. */
+  private steadyInstant(unixTimeMs: number): Instant {
+    return this.runtime.now - Math.max(0, this.runtime.wallClock.getTime() - unixTimeMs);
   }
 
   private cancelWithDependents(first: LiveJob): void {
--- a/packages/controller/src/jobs/open-tasks.ts
+++ b/packages/controller/src/jobs/open-tasks.ts
@@ -11,7 +11,7 @@
   windowOpenedAt: Instant;
 }
 
-/** Limit on the open windows of a job that is no gang; a task without one uses no memory. */
+/** Limit on the open windows of a job other than a gang; a task without one uses no memory. */
 const MAX_OPEN_TASK_COUNT = 256;
 
 /** When and for which tasks windows may be opened. */
--- a/packages/controller/src/machines/machine-usage.ts
+++ b/packages/controller/src/machines/machine-usage.ts
@@ -69,6 +69,7 @@
     this.cachedSums = null;
   }
 
+  /** The part of the machine's total resources that no bound task uses. */
   free(total: Resources): Resources {
     return subtractResources(total, this.used);
   }
--- a/packages/controller/src/state/sharded-table.ts
+++ b/packages/controller/src/state/sharded-table.ts
@@ -54,12 +54,12 @@
 }
 
 /**
- * A table of small entries packed into few keys, since the state service limits the number of
- * changed keys: a thousand machines are a dozen changes instead of a thousand.
+ * A table of small entries packed into few keys, since the state service limits the changes of
+ * keys per second: a thousand machines are a dozen changes instead of a thousand.
  *
  * Only the leader writes it. The preconditions of each write are leadership and the version of
- * the written key, so that a commit which is carried out late can't undo a newer one. After a
- * commit without an answer the version is read again. Failed commits are repeated until `close`.
+ * the written key, so that a commit which is carried out late can't undo a newer one. Failed
+ * commits are repeated until `close`; unless a commit was refused, the version is read again first.
  */
 export class ShardedTable<V> {
   private readonly packing: ShardPacking<V>;
