--- a/packages/controller/src/requests/cancellations.ts
+++ b/packages/controller/src/requests/cancellations.ts
@@ -7,17 +7,17 @@
 import { endedValue, type LiveValue } from '../state/stored-values.js';
 import { errorReply, jobReply, unavailableReply, type Respond } from './replies.js';
 
-/** Commits that may fail since another node has changed the job meanwhile. */
-const MAX_ATTEMPT_COUNT = 5;
+/** How often a cancellation is tried; a commit fails if another node changes the job first. */
+const MAX_COMMIT_ATTEMPT_COUNT = 5;
 
-/** A live job as it was read. */
+/** A live job's stored value, and the key version that the commit requires. */
 interface LiveJobVersion {
   id: string;
   value: LiveValue;
   version: number;
 }
 
-/** Cancels jobs in the state service; a job is cancelled once its ended key says so. */
+/** Cancels jobs. A job is cancelled once the state service has committed its ended key. */
 export class Cancellations {
   constructor(
     private readonly runtime: Runtime,
@@ -26,9 +26,9 @@
     private readonly onCancelled: (id: string) => void,
   ) {}
 
-  /** Cancels a job if it is live; replies with its state, or a 404 for an unknown one. */
+  /** Cancels the job if it is live and replies with its state; 404 if there is no such job. */
   cancel(id: string, respond: Respond): void {
-    this.readAndCancel(id, MAX_ATTEMPT_COUNT, respond);
+    this.readAndCancel(id, MAX_COMMIT_ATTEMPT_COUNT, respond);
   }
 
   private readAndCancel(id: string, attemptsLeft: number, respond: Respond): void {
--- a/packages/controller/src/requests/heartbeat-requests.ts
+++ b/packages/controller/src/requests/heartbeat-requests.ts
@@ -1,4 +1,7 @@
-/** Workers' heartbeats: answered by the leader, else delegated, parked or redirected. */
+/**
+ * Requests with workers' heartbeats. The leader answers them. Any other node renews the lease
+ * for the leader, parks the heartbeat or redirects the worker.
+ */
 import { parseHeartbeat, unpackBody, type WorkerHeartbeat } from '@tealdock/wire';
 import type { DelegatedRenewal } from '../leadership/delegated-renewal.js';
 import type { Leadership } from '../leadership/leadership.js';
@@ -10,7 +13,7 @@
 import { ParkedHeartbeats, type HeartbeatRequest } from './parked-heartbeats.js';
 import { replyMalformed, replyMethodNotAllowed, replyRedirect } from './replies.js';
 
-/** What a node knows of the leader, and what it may do for it. */
+/** Dependencies of `HeartbeatRequests`. */
 export interface HeartbeatServices {
   state: StateStore;
   leadership: Leadership;
@@ -31,7 +34,7 @@
     this.parked = new ParkedHeartbeats(runtime);
   }
 
-  /** Takes in a heartbeat; its answer may come later, or be that of another node. */
+  /** Replies to a heartbeat, now or later. */
   handle(request: HttpRequest): void {
     if (request.method !== 'POST') return replyMethodNotAllowed(this.runtime, request, 'POST');
     let heartbeat: WorkerHeartbeat;
@@ -43,15 +46,18 @@
     this.process({ request, heartbeat });
   }
 
-  /** Passes parked heartbeats on once the election is over, or this node can't follow it. */
+  /**
+   * Answers parked heartbeats once the election has ended, or once this node has lost the state
+   * service and can't learn the result. Called at the end of each batch.
+   */
   resumeParked(): void {
     if (this.parked.isEmpty) return;
-    const handler = this.parkedHandler();
+    const handler = this.resumeHandler();
     if (handler) this.parked.resume(handler);
   }
 
-  /** Null while the election goes on. */
-  private parkedHandler(): ((resumed: HeartbeatRequest) => void) | null {
+  /** How parked heartbeats are to be answered now; null while the election is under way. */
+  private resumeHandler(): ((resumed: HeartbeatRequest) => void) | null {
     const { leader, delegatedRenewal, state } = this.services;
     if (leader.renewalGrant()) return (resumed) => this.process(resumed);
     const liveLeader = this.liveLeader();
@@ -65,19 +71,21 @@
   private process(received: HeartbeatRequest): void {
     const { request, heartbeat } = received;
     this.services.leadership.observeHigherToken(heartbeat.fencingToken);
-    if (!this.services.leaderHeartbeats.answer(request.id, heartbeat)) this.follow(received);
+    if (!this.services.leaderHeartbeats.answer(request.id, heartbeat))
+      this.answerAsFollower(received);
   }
 
   /**
-   * Names the leader only while it seems to live, so that workers lose no time on
-   * it. While there is none, the heartbeat waits for the election for a moment: a
-   * thousand workers that go round the nodes once a second would slow it down.
+   * Redirects the worker to the leader if that is alive: a worker sent to a dead leader would
+   * lose time. Without a live leader, the heartbeat is parked for a short time until the election
+   * has ended, since a thousand workers that retry at one node after the other every second would
+   * slow the election down.
    */
-  private follow(received: HeartbeatRequest): void {
+  private answerAsFollower(received: HeartbeatRequest): void {
     const { state, delegatedRenewal } = this.services;
     const leader = this.liveLeader();
     if (leader === null && delegatedRenewal.mayRenew) return this.renewForLeader(received);
-    // A node without the state service will not learn the result of the election.
+    // A node that can't reach the state service would not learn the result of the election.
     if (leader === null && !state.lastCallFailed && !this.parked.isFull) {
       return this.park(received);
     }
@@ -96,6 +104,7 @@
     );
   }
 
+  /** Null if no leader is known, if this node leads, or if the leader's heartbeats are missing. */
   private liveLeader(): string | null {
     const { leadership, peers } = this.services;
     const { leader } = leadership;
--- a/packages/controller/src/requests/job-requests.ts
+++ b/packages/controller/src/requests/job-requests.ts
@@ -1,4 +1,4 @@
-/** Users' requests about jobs: which of them there are, and how many at a time. */
+/** Users' requests about jobs: routes them by path and limits how many are pending. */
 import { JOBS_PATH } from '@tealdock/wire';
 import type { Peers } from '../peers/peers.js';
 import type { CallResult, HttpRequest, Reply } from '../runtime/ports.js';
@@ -14,25 +14,25 @@
 } from './replies.js';
 import type { Submissions } from './submissions.js';
 
-/** Requests that wait for the state service at a time; further ones are to be repeated. */
+/** Requests that may be pending at the same time; a further one gets a 503 with a retry time. */
 const MAX_PENDING_COUNT = 400;
 
-/** What serves the requests. */
+/** The services that carry out the requests. */
 export interface JobServices {
   submissions: Submissions;
   jobStatus: JobStatus;
   cancellations: Cancellations;
 }
 
-/** A request as its path names it, with the only method that the path allows. */
+/** The operation that a path stands for, and the only method that the path allows. */
 interface Operation {
   method: 'GET' | 'POST';
   run: (respond: Respond) => void;
 }
 
 /**
- * Serves users' requests on any node from the state service. A node that alone has lost the
- * state service has a peer answer them.
+ * Serves users' requests on any node, from the state service. A node that can't reach the state
+ * service forwards them to a peer that can.
  */
 export class JobRequests {
   private pendingCount = 0;
@@ -44,7 +44,7 @@
     private readonly services: JobServices,
   ) {}
 
-  /** Replies to a request, now or later; false if its path is none of the users'. */
+  /** Replies to a request, now or later; false if its path does not belong to this interface. */
   handle(request: HttpRequest): boolean {
     const operation = this.operationOf(request);
     if (!operation) return false;
@@ -68,11 +68,16 @@
     if (id === undefined) {
       return { method: 'POST', run: (respond) => submissions.submit(request, respond) };
     }
-    if (verb === undefined) return { method: 'GET', run: (respond) => jobStatus.poll(id, respond) };
+    if (verb === undefined)
+      return { method: 'GET', run: (respond) => jobStatus.replyWithState(id, respond) };
     if (verb !== 'cancel' || more.length > 0) return null;
     return { method: 'POST', run: (respond) => cancellations.cancel(id, respond) };
   }
 
+  /**
+   * Sends the reply. If this node could not reach the state service, a user's request is forwarded
+   * to a peer instead; a request that came from a peer is not, so that none goes in circles.
+   */
   private finish(request: HttpRequest, reply: Reply): void {
     const mayForward =
       reply.status === 503 && request.via === 'public' && this.state.lastCallFailed;
@@ -90,7 +95,7 @@
   }
 }
 
-/** A peer's response to a user's request; null if there was none. */
+/** A peer's response to a forwarded request; null if there was none. */
 function forwardedReply(result: CallResult): Reply | null {
   if (result.kind !== 'answer') return null;
   const { status, body } = result;
--- a/packages/controller/src/requests/job-status.ts
+++ b/packages/controller/src/requests/job-status.ts
@@ -1,4 +1,4 @@
-/** The state of jobs as users see it. */
+/** Replies to users with the state of their jobs. */
 import type { JobView } from '@tealdock/wire';
 import { AncestorCheck } from '../jobs/ancestor-check.js';
 import type { JobLocateResult, JobLookup } from '../jobs/job-lookup.js';
@@ -8,7 +8,7 @@
 import { errorReply, jobReply, unavailableReply, type Respond } from './replies.js';
 import type { Reply } from '../runtime/ports.js';
 
-/** Replies with the state of jobs, from reads of the state service after the request came. */
+/** Replies with the state of a job, read from the state service after the request arrived. */
 export class JobStatus {
   private readonly ancestorCheck: AncestorCheck;
 
@@ -21,15 +21,15 @@
     this.ancestorCheck = new AncestorCheck(runtime, lookup);
   }
 
-  /** Replies with the state of a job, or a 404 for an unknown one. */
-  poll(id: string, respond: Respond): void {
+  /** Replies with the state of a job; 404 if there is no such job. */
+  replyWithState(id: string, respond: Respond): void {
     this.lookup.locate(id, (job) => {
       this.respondWith(id, job, errorReply(404, 'no such job'), respond);
     });
   }
 
-  /** Replies with the state of a job that is known already, else with `replyIfUnknown`. */
-  pollOrElse(id: string, replyIfUnknown: Reply, respond: Respond): void {
+  /** Replies with the state of a job if it exists, else with `replyIfUnknown`. */
+  replyWithStateOrElse(id: string, replyIfUnknown: Reply, respond: Respond): void {
     this.lookup.read(id, (job) => this.respondWith(id, job, replyIfUnknown, respond));
   }
 
@@ -46,9 +46,9 @@
   }
 
   /**
-   * A live job is over all the same if one that it needs was cancelled: no leader may have
-   * ended it yet. This node does so before it replies, so that no other node replies with an
-   * older state afterwards.
+   * A live job counts as cancelled if a job that it needs, directly or indirectly, was cancelled.
+   * The leader may not have ended it yet, so this node cancels it before replying: otherwise
+   * another node could reply with an older state afterwards.
    */
   private respondLive(id: string, respond: Respond): void {
     this.ancestorCheck.check(id, (verdict) => {
--- a/packages/controller/src/requests/leader-heartbeats.ts
+++ b/packages/controller/src/requests/leader-heartbeats.ts
@@ -1,4 +1,4 @@
-/** Answers of the leader to workers' heartbeats. */
+/** The leader's answers to workers' heartbeats. */
 import { renderHeartbeatResponse, type Duration, type WorkerHeartbeat } from '@tealdock/wire';
 import type { Granted } from '../authority/decision.js';
 import type { Catalog } from '../machines/catalog.js';
@@ -7,15 +7,17 @@
 import type { LongPolls } from './long-polls.js';
 import { replyRedirect } from './replies.js';
 
-/** What this node may answer as the leader; both are null where it does not lead. */
+/** This node's current term as the leader. */
 export interface LeaderContext {
+  /** Null while this node does not lead. */
   readonly term: Term | null;
+  /** Null while this node does not lead. */
   readonly longPolls: LongPolls | null;
   /** Null unless answers may renew leases now (docs/safety.md, Freshness of cancellations). */
   renewalGrant(): Granted | null;
 }
 
-/** Takes heartbeats into the term, and answers them with commands for the worker. */
+/** Applies heartbeats to the term, and answers them with commands for the worker. */
 export class LeaderHeartbeats {
   constructor(
     private readonly runtime: Runtime,
@@ -23,10 +25,11 @@
     private readonly leader: LeaderContext,
   ) {}
 
-  /** Answers a heartbeat, now or after a long poll; false where this node may not do so. */
+  /** Answers a heartbeat, now or after a long poll; false if this node may not answer it. */
   answer(requestId: number, heartbeat: WorkerHeartbeat): boolean {
     const { term, longPolls } = this.leader;
-    // Also while it may not answer: a leader that an outage kept from answering is reachable.
+    // Recorded even if it may not be answered: a leader that can't renew leases during an outage
+    // is still reachable, and should not resign for lack of heartbeats.
     term?.recordHeartbeat();
     const grant = this.leader.renewalGrant();
     if (!grant || !term) return false;
@@ -39,7 +42,8 @@
     const counted = outcome.kind === 'counted';
     this.runtime.stats.record('evidence.renewal_age_ms', grant.evidence.age);
     this.runtime.stats.count(counted ? 'reports.counted' : 'reports.ignored');
-    // Only a newer heartbeat shows that the one before was given up; a late copy does not.
+    // A newer heartbeat shows that the worker no longer waits for the answer to the one before; a
+    // duplicate that arrives late does not.
     if (counted) longPolls?.abandon(heartbeat.machine, grant);
     const waitTime = counted && commands.length === 0 ? this.longPollTimeout(term, heartbeat) : 0;
     if (waitTime > 0) {
@@ -51,6 +55,7 @@
     return true;
   }
 
+  /** 0 if the answer should not be held back. */
   private longPollTimeout(term: Term, heartbeat: WorkerHeartbeat): Duration {
     const type = this.catalog.types.find((t) => t.name === heartbeat.type);
     return type ? term.workerCommands.longPollTimeoutOf(heartbeat.machine, type) : 0;
--- a/packages/controller/src/requests/long-polls.ts
+++ b/packages/controller/src/requests/long-polls.ts
@@ -1,13 +1,13 @@
-/** Answers to heartbeats that wait for a start. */
+/** Long polls: answers to heartbeats that are held back until there is a command to send. */
 import { renderHeartbeatResponse, type Duration } from '@tealdock/wire';
 import type { Granted } from '../authority/decision.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { Term } from '../term/term.js';
 
 /**
- * An answer without commands is kept back for a short, bounded time, so that a start assigned
- * meanwhile leaves at once instead of with the next heartbeat. A machine has one long poll at
- * the most, that of its newest heartbeat, since a worker has one request under way.
+ * Holds back answers without commands for a short, bounded time, so that a start assigned in the
+ * meantime is sent at once instead of with the next heartbeat. A machine has at most one long
+ * poll, that of its newest heartbeat, since a worker has one request in flight.
  */
 export class LongPolls {
   private readonly requestByMachine = new Map<string, number>();
@@ -18,7 +18,7 @@
     private readonly renewalGrant: () => Granted | null,
   ) {}
 
-  /** Keeps the answer back until there are commands, for this long at the most. */
+  /** Holds the answer back until there are commands, for at most `waitTime`. */
   open(machine: string, requestId: number, waitTime: Duration): void {
     this.runtime.stats.count('reports.held');
     this.requestByMachine.set(machine, requestId);
@@ -27,7 +27,7 @@
     });
   }
 
-  /** Ends a machine's long poll without an answer: the worker has given that request up. */
+  /** Closes a machine's long poll with a 503: the worker no longer waits for that request. */
   abandon(machine: string, grant: Granted): void {
     const requestId = this.requestByMachine.get(machine);
     if (requestId === undefined) return;
@@ -36,7 +36,10 @@
     this.runtime.reply(requestId, { status: 503, body });
   }
 
-  /** Answers where there are commands by now; everywhere once the term may not answer. */
+  /**
+   * Answers the long polls of machines that have commands by now, or all of them once the term
+   * may not answer any more.
+   */
   release(): void {
     if (!this.renewalGrant() || this.term.closed) {
       for (const [machine, requestId] of this.requestByMachine) this.answer(machine, requestId);
--- a/packages/controller/src/requests/parked-heartbeats.ts
+++ b/packages/controller/src/requests/parked-heartbeats.ts
@@ -1,13 +1,13 @@
-/** Heartbeats whose answer waits for the end of an election. */
+/** Heartbeats that are parked until an election has ended. */
 import type { Duration, WorkerHeartbeat } from '@tealdock/wire';
 import type { HttpRequest } from '../runtime/ports.js';
 import type { Runtime } from '../runtime/runtime.js';
 
-/** How long a heartbeat waits; workers give up after 4 s. */
+/** How long a heartbeat is parked at most; workers give up after 4 s. */
 const MAX_WAIT_MS: Duration = 2500;
-/** Part of a node's connections that may wait; the others stay free for workers and users. */
+/** Parked heartbeats as a share of a node's connections; the rest stays free for other requests. */
 const MAX_PARKED_FRACTION = 1 / 2;
-/** Heartbeats answered in one batch: a new process takes seconds for a thousand of them. */
+/** Heartbeats resumed in one batch: a newly started process takes seconds to answer a thousand. */
 const MAX_RESUMED_COUNT = 64;
 
 /** A heartbeat and the request that it came in. */
@@ -16,7 +16,7 @@
   heartbeat: WorkerHeartbeat;
 }
 
-/** A queue of heartbeats, each of which leaves it once: resumed, or when its wait is over. */
+/** A queue of heartbeats. Each one leaves it exactly once: it is resumed or it times out. */
 export class ParkedHeartbeats {
   private readonly byRequest = new Map<number, HeartbeatRequest>();
 
@@ -30,7 +30,7 @@
     return this.byRequest.size >= this.runtime.settings.maxConnections * MAX_PARKED_FRACTION;
   }
 
-  /** Adds a heartbeat; `onTimeout` is called unless it has been resumed by then. */
+  /** Adds a heartbeat; `onTimeout` is called if it is not resumed in time. */
   add(parked: HeartbeatRequest, onTimeout: () => void): void {
     const { id } = parked.request;
     this.byRequest.set(id, parked);
@@ -40,7 +40,10 @@
     });
   }
 
-  /** Passes on the oldest heartbeats; the rest follow in the next batches, which come at once. */
+  /**
+   * Removes the oldest heartbeats and passes them to `handle`. If any are left, a timer that is
+   * due at once makes sure that another batch follows.
+   */
   resume(handle: (resumed: HeartbeatRequest) => void): void {
     const resumed = [...this.byRequest.values()].slice(0, MAX_RESUMED_COUNT);
     for (const parked of resumed) {
--- a/packages/controller/src/requests/submissions.ts
+++ b/packages/controller/src/requests/submissions.ts
@@ -20,7 +20,7 @@
 import type { JobStatus } from './job-status.js';
 import { errorReply, jobReply, unavailableReply, type Respond } from './replies.js';
 
-/** Accepts jobs into the state service; a job is accepted once its key says so. */
+/** Accepts jobs. A job is accepted once the state service has committed its key. */
 export class Submissions {
   constructor(
     private readonly runtime: Runtime,
@@ -30,7 +30,7 @@
     private readonly jobStatus: JobStatus,
   ) {}
 
-  /** Accepts the job or refuses it. One that is known already gets its state as the reply. */
+  /** Accepts or refuses a job. If the job exists already, the reply is its state. */
   submit(request: HttpRequest, respond: Respond): void {
     let body: unknown = null;
     let spec: JobSpec;
@@ -39,14 +39,14 @@
       spec = parseSubmission(body);
     } catch (error) {
       if (!(error instanceof WireError)) throw error;
-      return this.refuse(submissionId(body), errorReply(400, error.message), respond);
+      return this.refuseUnlessKnown(submissionId(body), errorReply(400, error.message), respond);
     }
     const refusal = this.refusalOf(spec);
-    if (refusal) return this.refuse(spec.id, refusal, respond);
+    if (refusal) return this.refuseUnlessKnown(spec.id, refusal, respond);
     this.checkPredecessors(spec, respond);
   }
 
-  /** Why the job can't be accepted whatever its predecessors are; null if it can. */
+  /** Null if the job may be accepted, as far as that does not depend on its predecessors. */
   private refusalOf(spec: JobSpec): Reply | null {
     if (!this.catalog.isLoaded) return unavailableReply();
     const { teams, state } = this.runtime.settings;
@@ -57,13 +57,13 @@
     return null;
   }
 
-  /** Replies with a refusal only where the job is not known already. */
-  private refuse(id: string | null, refusal: Reply, respond: Respond): void {
+  /** Replies with the job's state if it exists already, else with the refusal. */
+  private refuseUnlessKnown(id: string | null, refusal: Reply, respond: Respond): void {
     if (id === null) return respond(refusal);
-    this.jobStatus.pollOrElse(id, refusal, respond);
+    this.jobStatus.replyWithStateOrElse(id, refusal, respond);
   }
 
-  /** Each predecessor must have been accepted, as its key shows. */
+  /** Accepts the job if the state service has a key for each predecessor. */
   private checkPredecessors(spec: JobSpec, respond: Respond): void {
     const predecessors = predecessorsOf(spec);
     const outcomes = new Set<LookupOutcome>();
@@ -76,15 +76,16 @@
         if (pendingCount > 0) return;
         if (outcomes.has('none')) {
           const refusal = errorReply(422, 'waits_on: names an unknown job');
-          return this.refuse(spec.id, refusal, respond);
+          return this.refuseUnlessKnown(spec.id, refusal, respond);
         }
-        if (outcomes.has('unknown')) return this.refuse(spec.id, unavailableReply(), respond);
+        if (outcomes.has('unknown'))
+          return this.refuseUnlessKnown(spec.id, unavailableReply(), respond);
         this.accept(spec, outcomes.has('cancelled'), respond);
       });
     }
   }
 
-  /** A job that needs a cancelled one is accepted, and is over at once. */
+  /** A job with a cancelled predecessor is accepted too, but is stored as cancelled at once. */
   private accept(spec: JobSpec, predecessorCancelled: boolean, respond: Respond): void {
     const preconditions = [
       { key: specKey(spec.id), version: 0 },
@@ -110,8 +111,8 @@
     respond: Respond,
   ): void {
     const { id, taskCount } = spec;
-    // Known already, or by an earlier commit of this request that got no answer.
-    if (commit.kind === 'conflict') return this.refuse(id, unavailableReply(), respond);
+    // The job exists already: from an earlier submission, or from a commit that got no answer.
+    if (commit.kind === 'conflict') return this.refuseUnlessKnown(id, unavailableReply(), respond);
     if (commit.kind !== 'ok') return respond(unavailableReply());
     this.runtime.log('info', { job: id, tasks: taskCount }, 'job accepted');
     if (predecessorCancelled) {
@@ -122,12 +123,13 @@
   }
 }
 
-/** Why a job can't wait for the jobs that it names, whatever these are; null if it can. */
+/** Why the predecessors are refused: an id is malformed or the job's own; null if none is. */
 function predecessorProblem(spec: JobSpec): string | null {
   const isInvalid = (id: string) => !isJobId(id) || id === spec.id;
   return predecessorsOf(spec).some(isInvalid) ? 'waits_on: names no other job' : null;
 }
 
+/** Why a job that exceeds the size limit of a stored value is refused. */
 function sizeProblem(spec: JobSpec): string {
   return predecessorsOf(spec).length > 0
     ? 'waits_on: too many jobs'
