--- a/packages/controller/src/node/leader-broadcasts.ts
+++ b/packages/controller/src/node/leader-broadcasts.ts
@@ -1,4 +1,4 @@
-/** What a leader tells the other controllers periodically. */
+/** The leader's periodic messages to the other controllers. */
 import type { LeaderBroadcast } from '@tealdock/wire';
 import type { Leadership } from '../leadership/leadership.js';
 import type { Peers } from '../peers/peers.js';
@@ -7,11 +7,11 @@
 import { collectHints } from '../term/successor-hints.js';
 
 const TASK_COUNTS_INTERVAL_MS = 2000;
-/** Jobs of which one message holds counts, to limit its size. */
+/** The most jobs that one message holds counts of, to limit its size. */
 const MAX_TASK_COUNTS_JOB_COUNT = 4000;
 const HINTS_INTERVAL_MS = 5000;
 
-/** Sends task counts for display, and hints for a successor. Nothing depends on their arrival. */
+/** Sends task counts for display and hints for the next leader; correctness needs neither. */
 export class LeaderBroadcasts {
   constructor(
     private readonly runtime: Runtime,
@@ -20,7 +20,7 @@
     private readonly leader: Pick<LeaderContext, 'term'>,
   ) {}
 
-  /** Sends messages from now on, whenever this node leads. */
+  /** Starts the periodic messages; they are sent only while this node leads. */
   start(): void {
     this.runtime.every(TASK_COUNTS_INTERVAL_MS, () => {
       this.broadcastTaskCounts();
@@ -49,7 +49,7 @@
     this.broadcast({ kind: 'hints', ...collectHints(term) });
   }
 
-  /** This node serves users as the others do, so it receives its own messages too. */
+  /** Also applies the message to this node, which serves users and may be elected again. */
   private broadcast(message: LeaderBroadcast): void {
     this.runtime.broadcast(message);
     this.peers.receiveBroadcast(message);
--- a/packages/controller/src/node/leader-reachability.ts
+++ b/packages/controller/src/node/leader-reachability.ts
@@ -1,16 +1,16 @@
-/** Resignation of a leader that no worker reaches. */
+/** Makes a leader resign if no worker can reach it. */
 import type { Leadership } from '../leadership/leadership.js';
 import type { LeaderContext } from '../requests/leader-heartbeats.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { StateStore } from '../state/state-store.js';
 
 const CHECK_INTERVAL_MS = 1000;
-/** A term gets this long to receive its first heartbeats. */
+/** Time after its election in which a leader does not resign for lack of heartbeats. */
 const FIRST_HEARTBEATS_GRACE_MS = 12_000;
-/** A single silent machine may itself be the one that is cut off. */
+/** With fewer machines, the machine rather than the leader may be the one that is cut off. */
 const MIN_MACHINE_COUNT = 2;
 
-/** Has a leader resign in favour of a node that workers may reach. */
+/** Makes this node resign while it leads but receives no heartbeats, so that another can lead. */
 export class LeaderReachability {
   constructor(
     private readonly runtime: Runtime,
@@ -19,7 +19,7 @@
     private readonly leader: Pick<LeaderContext, 'term'>,
   ) {}
 
-  /** Checks from now on, whenever this node leads. */
+  /** Starts the periodic check; it has no effect while this node does not lead. */
   start(): void {
     this.runtime.every(CHECK_INTERVAL_MS, () => {
       if (this.isUnreachable()) this.leadership.resign('no heartbeats arrive');
--- a/packages/controller/src/node/node-health.ts
+++ b/packages/controller/src/node/node-health.ts
@@ -1,14 +1,17 @@
-/** Whether load balancers should send requests to this node. */
+/** The result of health checks: whether load balancers should send requests to this node. */
 import type { Instant } from '@tealdock/wire';
 import type { Catalog } from '../machines/catalog.js';
 import type { Peers } from '../peers/peers.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { StateStore } from '../state/state-store.js';
 
-/** A new node is healthy once it can judge submissions, or after this long anyway. */
+/**
+ * A new node is unhealthy until it has the catalog, which it needs to validate submissions, but
+ * for no longer than this.
+ */
 const STARTUP_GRACE_MS = 6000;
 
-/** Judges the health of this node. */
+/** Determines the health of this node. */
 export class NodeHealth {
   private startedAt: Instant = 0;
 
@@ -19,14 +22,15 @@
     private readonly peers: Peers,
   ) {}
 
-  /** The node starts now. */
+  /** Records that the node starts now. */
   start(): void {
     this.startedAt = this.runtime.now;
   }
 
   /**
-   * In an outage common to all, nodes stay healthy: removals would only double
-   * the load balancer's pause. A node cut off from everything is unhealthy.
+   * A node that reaches neither the state service nor any peer is unhealthy. If all nodes lose
+   * the state service they stay healthy, since removing them would only double the time for
+   * which the load balancer serves nothing.
    */
   get isHealthy(): boolean {
     const isStarting = this.runtime.now - this.startedAt < STARTUP_GRACE_MS;
--- a/packages/controller/src/node/request-router.ts
+++ b/packages/controller/src/node/request-router.ts
@@ -1,4 +1,4 @@
-/** Passes requests on by their paths, and serves health, metrics and cancellations of peers. */
+/** Routes requests by path, and itself serves health checks, metrics and peers' cancellations. */
 import {
   CANCELLATIONS_PATH,
   HEALTH_PATH,
@@ -15,23 +15,23 @@
 
 const METRICS_PATH = '/metrics';
 
-/** What serves the requests. */
+/** The handlers that requests are routed to. */
 export interface RequestHandlers {
   jobRequests: JobRequests;
   heartbeatRequests: HeartbeatRequests;
   health: NodeHealth;
-  /** A peer has committed the cancellation of this job. */
+  /** Called when a peer announces that it has committed the cancellation of this job. */
   onCancellation: (job: string) => void;
 }
 
-/** Replies to every request, now or later. */
+/** Makes sure that every request gets a reply, now or later. */
 export class RequestRouter {
   constructor(
     private readonly runtime: Runtime,
     private readonly handlers: RequestHandlers,
   ) {}
 
-  /** Passes a request on; one without a handler gets a 404. */
+  /** Passes a request to the handler of its path; 404 if there is none. */
   route(request: HttpRequest): void {
     const { path, via } = request;
     if (path === HEALTH_PATH) return this.replyWithHealth(request);
--- a/packages/controller/src/node/term-lifecycle.ts
+++ b/packages/controller/src/node/term-lifecycle.ts
@@ -1,4 +1,4 @@
-/** Starts a term with all that works in it when this node is elected, and ends it. */
+/** Creates a term and its components when this node is elected, and closes it afterwards. */
 import type { Granted } from '../authority/decision.js';
 import { Autoscaler } from '../autoscaling/autoscaler.js';
 import type { Leadership, LeadershipListener } from '../leadership/leadership.js';
@@ -14,7 +14,7 @@
 import { applyHints } from '../term/successor-hints.js';
 import { Term } from '../term/term.js';
 
-/** What a term is built on. */
+/** The services that a term uses; they outlive it. */
 export interface TermServices {
   state: StateStore;
   leadership: Leadership;
@@ -22,7 +22,7 @@
   peers: Peers;
 }
 
-/** The current term of this node, if it leads. */
+/** Holds the current term of this node while it leads. */
 export class TermLifecycle implements LeadershipListener, LeaderContext {
   private currentTerm: Term | null = null;
   private currentLongPolls: LongPolls | null = null;
@@ -42,17 +42,17 @@
     return this.currentLongPolls;
   }
 
-  /** What allows answers that renew workers' leases now; null if nothing does. */
+  /** The decision that allows answers that renew workers' leases; null if they are not allowed. */
   renewalGrant(): Granted | null {
     return this.currentTerm?.renewalGrant() ?? null;
   }
 
-  /** A node that committed a cancellation names the job; it is ended here without delay. */
+  /** Ends a job whose cancellation this node or a peer has committed, before the watch shows it. */
   cancellationReceived(job: string): void {
     this.currentTerm?.liveJobs.applyCancellation(job);
   }
 
-  /** Starts a term, and the scheduler, the autoscaler and the completion of jobs in it. */
+  /** Starts a term with its scheduler, its autoscaler and its completion of jobs. */
   onElected(fencingToken: number): void {
     this.closeTerm();
     const { state, leadership, peers } = this.services;
@@ -60,10 +60,10 @@
     if (peers.hints) applyHints(peers.hints, term);
     this.currentTerm = term;
     this.currentLongPolls = new LongPolls(this.runtime, term, () => this.renewalGrant());
-    this.startParts(term);
+    this.startComponents(term);
   }
 
-  /** Ends the term: whatever still runs of it changes and answers nothing more. */
+  /** Closes the term, so that its remaining timers and callbacks change and answer nothing. */
   onLeadershipLost(): void {
     const fencingToken = this.currentTerm?.fencingToken;
     this.runtime.log('info', { fencingToken }, 'leadership lost');
@@ -77,7 +77,7 @@
     this.currentLongPolls?.release();
   }
 
-  private startParts(term: Term): void {
+  private startComponents(term: Term): void {
     const { runtime } = this;
     const { state, leadership, catalog } = this.services;
     const autoscaler = new Autoscaler(runtime, state, leadership, term, catalog);
--- a/packages/controller/src/peers/peers.ts
+++ b/packages/controller/src/peers/peers.ts
@@ -19,13 +19,16 @@
 /** A refused connection counts as recent for this long. */
 const REFUSED_CONNECTION_TTL_MS = 5000;
 
-/** Tasks of a job that are done and that run, for display. */
+/** Numbers of a job's tasks that are done and that are running, for display. */
 export type TaskCounts = Pick<JobCount, 'done' | 'running'>;
 
-/** What this node asks of a peer. */
+/** The parts of a call that differ between calls to peers. */
 type PeerCall = Pick<Call, 'to' | 'method' | 'path' | 'body' | 'priority'>;
 
-/** The other controllers as they have last described themselves. Never a proof of anything. */
+/**
+ * The other controllers, as their last messages described them. That may be outdated, so it must
+ * never be used as a proof, for instance of who leads.
+ */
 export class Peers {
   private readonly heartbeats = new Map<
     string,
@@ -38,7 +41,7 @@
 
   constructor(private readonly runtime: Runtime) {}
 
-  /** Has heartbeats sent from now on, as long as the process runs. */
+  /** Calls `sendHeartbeat` now and then periodically, as long as the process runs. */
   start(sendHeartbeat: () => void): void {
     this.startedAt = this.runtime.now;
     this.runtime.every(HEARTBEAT_INTERVAL_MS, () => {
@@ -47,44 +50,47 @@
     });
   }
 
-  /** Replaces the heartbeat known of that member. */
+  /** Records a heartbeat as the member's newest one. */
   receiveHeartbeat(heartbeat: PeerHeartbeat): void {
     this.heartbeats.set(heartbeat.member, { heartbeat, receivedAt: this.runtime.now });
   }
 
-  /** Keeps the leader's task counts, or its hints for a successor. */
+  /** Stores the leader's task counts or its hints, in place of the last ones. */
   receiveBroadcast(message: LeaderBroadcast): void {
     if (message.kind === 'hints') this.lastHints = message;
     else this.taskCounts = new Map(message.jobs.map((job) => [job.id, job]));
   }
 
-  /** The last hints of a leader, this node or another one; null if none have been received. */
+  /** The last hints sent by a leader, this node or another one; null if there were none. */
   get hints(): Hints | null {
     return this.lastHints;
   }
 
-  /** The leader's counts of a job's tasks; undefined if it has sent none. */
+  /** The leader's counts of a job's tasks; undefined if its last message had none of the job. */
   taskCountsOf(job: string): TaskCounts | undefined {
     return this.taskCounts.get(job);
   }
 
-  /** A connection to the member was refused: its host answers, so there is no partition. */
+  /**
+   * Records that the member's host refused a connection: the host is reachable, so there is no
+   * network partition, and the member's process is not running.
+   */
   recordConnectionRefused(member: string): void {
     this.connectionRefusedAt.set(member, this.runtime.now);
   }
 
-  /** Whether its host was seen to be reachable while the member's process was not. */
+  /** Whether the member's host was reachable recently although its process was not running. */
   hasRefusedConnectionRecently(member: string): boolean {
     const refusedAt = this.connectionRefusedAt.get(member) ?? -Infinity;
     return this.runtime.now - refusedAt < REFUSED_CONNECTION_TTL_MS;
   }
 
-  /** When the member's last heartbeat came; the start of this process if none has. */
+  /** When the member's last heartbeat arrived; when this process started if none has. */
   lastHeartbeatAt(member: string): Instant {
     return this.heartbeats.get(member)?.receivedAt ?? this.startedAt;
   }
 
-  /** Whether a heartbeat has come recently; false for this node itself. */
+  /** Whether a heartbeat of the member has arrived recently; false for this node itself. */
   isAlive(member: string): boolean {
     const last = this.heartbeats.get(member);
     return last !== undefined && this.runtime.now - last.receivedAt <= HEARTBEAT_TTL_MS;
@@ -94,14 +100,17 @@
     return this.runtime.settings.peers.some((peer) => this.isAlive(peer.member));
   }
 
-  /** A live peer that reaches the state service; null if there is none. */
+  /** A live peer that says it reaches the state service; null if there is none. */
   get peerWithStateAccess(): string | null {
     const hasStateAccess = ({ member }: { member: string }) =>
       this.isAlive(member) && this.heartbeats.get(member)?.heartbeat.stateAvailable === true;
     return this.runtime.settings.peers.find(hasStateAccess)?.member ?? null;
   }
 
-  /** Lets the leader stop the tasks at once; nothing depends on the arrival of this. */
+  /**
+   * Announces cancelled jobs to all peers, so that the leader stops their tasks at once. The
+   * leader learns of them from its watch too if an announcement is lost.
+   */
   broadcastCancellations(jobs: string[]): void {
     const body = packBody(renderCancellations(jobs));
     const { leader: priority } = PRIORITY;
@@ -112,8 +121,8 @@
   }
 
   /**
-   * Has a peer that reaches the state service answer a user's request. False if there is no
-   * such peer; then `onResult` is not called.
+   * Forwards a user's request to a peer that reaches the state service. False if there is no such
+   * peer; then `onResult` is not called.
    */
   forwardRequest(request: HttpRequest, onResult: (result: CallResult) => void): boolean {
     const to = this.peerWithStateAccess;
