--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -1,4 +1,4 @@
-/** The state owner of a node: puts its parts together and drives them. */
+/** The state owner of a node: creates its parts and passes commands to them. */
 import type { Instant } from '@tealdock/wire';
 import { JobLookup } from './jobs/job-lookup.js';
 import { DelegatedRenewal } from './leadership/delegated-renewal.js';
@@ -21,8 +21,8 @@
 import { StateStore } from './state/state-store.js';
 
 /**
- * The one owner of all state of a process. Commands come in batches through
- * `process`; what is to be done outside goes out as effects.
+ * Owns all state of a process and does no network I/O. Commands come in batches through
+ * `process`, which returns the effects that the process must carry out.
  */
 export class Controller {
   private readonly runtime: Runtime;
@@ -59,8 +59,9 @@
   }
 
   /**
-   * Applies commands at an instant of the process's steady clock and at a time of day, and
-   * returns the effects to carry out. The first call starts the node.
+   * Applies commands and runs the timers that are due, and returns the effects to carry out. `now`
+   * is the time on the process's monotonic clock, `wallClock` the time of day. The first call
+   * starts the node.
    */
   process(commands: Command[], now: Instant, wallClock: Date): Effect[] {
     this.runtime.now = now;
@@ -73,7 +74,7 @@
     return this.runtime.takeEffects();
   }
 
-  /** When the next batch is due even if no command comes; `Infinity` if never. */
+  /** When `process` must be called next even if no command arrives; `Infinity` if never. */
   nextDue(): Instant {
     return this.runtime.nextTimerDue();
   }
@@ -127,7 +128,7 @@
       case 'request':
         return this.router.route(command);
       case 'tick':
-        // Only wakes the owner for its timers.
+        // The batch only serves to run timers that are due.
         return;
     }
   }
--- a/packages/controller/src/index.ts
+++ b/packages/controller/src/index.ts
@@ -1,4 +1,4 @@
-/** The state owner of a node, and the ports through which its process drives it. */
+/** The state owner of a node, and the types through which its process uses it. */
 export * from './runtime/ports.js';
 export * from './controller.js';
 export * from './runtime/stats.js';
--- a/packages/controller/src/runtime/bounded.ts
+++ b/packages/controller/src/runtime/bounded.ts
@@ -1,6 +1,6 @@
-/** Collections of limited size, for caches and for what may be forgotten. */
+/** Collections of limited size, for caches and other data that may be forgotten. */
 
-/** A map that forgets the entry set longest ago once it holds more than its limit. */
+/** A map that drops the entry that was set longest ago when it exceeds its limit. */
 export class BoundedMap<K, V> extends Map<K, V> {
   constructor(private readonly maxSize: number) {
     super();
@@ -14,7 +14,7 @@
   }
 }
 
-/** A set that forgets the value added longest ago once it holds more than its limit. */
+/** A set that drops the value that was added longest ago when it exceeds its limit. */
 export class BoundedSet<T> extends Set<T> {
   constructor(private readonly maxSize: number) {
     super();
--- a/packages/controller/src/runtime/call-results.test.ts
+++ b/packages/controller/src/runtime/call-results.test.ts
@@ -25,7 +25,7 @@
 });
 
 test('a malformed body of any form counts as no response, for each parser', () => {
-  // Each parser with a body that has the right fields with one wrong value.
+  // Each parser with a body that has the right fields, but one wrong value.
   const parsers: [(body: unknown) => unknown, unknown][] = [
     [parseCatalog, { flavours: [{ label: '' }] }],
     [parseChanges, { epoch: 1, news: [{ write: 'key', stamp: -1 }] }],
--- a/packages/controller/src/runtime/ports.ts
+++ b/packages/controller/src/runtime/ports.ts
@@ -1,7 +1,10 @@
-/** Commands that reach the state owner, and the effects that it asks for. */
+/**
+ * The inputs and outputs of the state owner, which is the single-threaded `Controller`: commands
+ * go in, effects come out.
+ */
 import type { Duration, Instant, LeaderBroadcast, PeerHeartbeat } from '@tealdock/wire';
 
-/** A request that came in over HTTP, or from another controller. */
+/** A request received over HTTP or from another controller. */
 export interface HttpRequest {
   kind: 'request';
   id: number;
@@ -11,7 +14,7 @@
   via: RequestOrigin;
 }
 
-/** An input of the state owner; all of them go through one queue, in batches. */
+/** An input of the state owner; commands are queued and processed in batches. */
 export type Command =
   | HttpRequest
   | { kind: 'result'; id: number; result: CallResult }
@@ -20,18 +23,18 @@
   | { kind: 'peer_refused'; member: string }
   | { kind: 'tick' };
 
-/** Where a request came in: from users and workers, or from another controller. */
+/** Who sent a request: `public` for users and workers, `peer` for another controller. */
 export type RequestOrigin = 'public' | 'peer';
 
 /** The service or process that a call goes to. */
 export type CallTarget = 'state' | 'cloud' | 'peer' | 'worker';
 
-/** Calls to a rate-limited service wait in the order of these, the lowest first. */
+/** Calls to a rate-limited service are sent in this order, the lowest number first. */
 export const PRIORITY = { lease: 0, user: 1, leader: 2, background: 3 } as const;
 /** One of the priorities. */
 export type CallPriority = (typeof PRIORITY)[keyof typeof PRIORITY];
 
-/** A request to something outside this process. */
+/** A request to another process. */
 export interface Call {
   target: CallTarget;
   /** Member name of a peer, or address of a worker; empty for the other targets. */
@@ -40,19 +43,19 @@
   path: string;
   body: unknown;
   priority: CallPriority;
-  /** Keys that it changes; the state service limits these per second as well. */
+  /** Number of keys that the call writes; the state service limits these per second as well. */
   writeCount: number;
   timeout: Duration;
 }
 
 /**
- * Outcome of a call. `answer`: a response came. `unsent`: surely not executed. `lost`: no
- * response; it may have been executed, or may still be.
+ * Outcome of a call. `answer`: a response arrived. `unsent`: the call was surely not executed.
+ * `lost`: there was no response, so the call may have been executed or may still be.
  */
 export type CallResult =
   { kind: 'answer'; status: number; body: unknown } | { kind: 'unsent' } | { kind: 'lost' };
 
-/** The response to a request. */
+/** The reply to a request. */
 export interface Reply {
   status: number;
   body: unknown;
@@ -60,17 +63,17 @@
   retryAfter?: Duration;
   /** Sent as the `Allow` header. */
   allow?: string;
-  /** The response may only be sent before this instant; afterwards it becomes a 503. */
+  /** The reply may only be sent before this instant; later a 503 is sent instead. */
   validUntil?: Instant;
 }
 
-/** Something that the state owner asks its process to do. */
+/** An output of the state owner, which its process carries out after the batch. */
 export type Effect =
   | { kind: 'reply'; id: number; reply: Reply }
   | { kind: 'call'; id: number; call: Call }
   | { kind: 'heartbeat'; leader: string; fencingToken: number; stateAvailable: boolean }
   | { kind: 'broadcast'; message: LeaderBroadcast }
-  /** From now on this node may use that fraction of the changes per second. */
+  /** Sets the fraction of the state service's writes per second that this node may use. */
   | { kind: 'set_write_fraction'; fraction: number };
 
 /** Severity of a log line. */
--- a/packages/controller/src/runtime/runtime.ts
+++ b/packages/controller/src/runtime/runtime.ts
@@ -1,4 +1,4 @@
-/** Time, timers, calls and effects of the state owner. */
+/** Time, timers, outgoing calls and effects of the state owner. */
 import TinyQueue from 'tinyqueue';
 import type {
   Duration,
@@ -13,12 +13,12 @@
 /** A callback that is due at an instant. */
 interface Timer {
   due: Instant;
-  /** Timers due at the same instant run in the order of their numbers. */
+  /** Timers that are due at the same instant run in the order in which they were set. */
   number: number;
   run: () => void;
 }
 
-/** What a process provides to its state owner. */
+/** What the process provides to its state owner. */
 export interface Environment {
   settings: Settings;
   operator: OperatorSettings;
@@ -28,13 +28,13 @@
 }
 
 /**
- * What the parts of the state owner share within a batch: the time of the
- * batch, effects going out, continuations of calls, and timers.
+ * Shared by all parts of the state owner: the time of the current batch, its effects, the
+ * callbacks of pending calls, and timers.
  */
 export class Runtime {
-  /** Time of the batch on the process's steady clock, in ms. */
+  /** Time of the batch on the process's monotonic clock, in ms. */
   now: Instant = 0;
-  /** Time of day of the batch, for stored values: they outlive this process. */
+  /** Time of day of the batch, for stored values, since these outlive this process. */
   wallClock = new Date(0);
   private effects: Effect[] = [];
   private readonly pendingCalls = new Map<number, (result: CallResult) => void>();
@@ -64,19 +64,19 @@
     this.env.log(level, fields, message);
   }
 
-  /** Sends a call; its outcome comes to the callback, once, in a later batch. */
+  /** Sends a call; `onResult` gets its outcome, exactly once, in a later batch. */
   call(call: Call, onResult: (result: CallResult) => void): void {
     const id = ++this.lastCallId;
     this.pendingCalls.set(id, onResult);
     this.effects.push({ kind: 'call', id, call });
   }
 
-  /** Responds to a request. */
+  /** Replies to a request. */
   reply(id: number, reply: Reply): void {
     this.effects.push({ kind: 'reply', id, reply });
   }
 
-  /** Sends a heartbeat to all peers; an empty leader stands for an unknown one. */
+  /** Sends a heartbeat to all peers; `leader` is empty if the leader is unknown. */
   sendHeartbeat(leader: string, fencingToken: number, stateAvailable: boolean): void {
     this.effects.push({ kind: 'heartbeat', leader, fencingToken, stateAvailable });
   }
@@ -91,19 +91,19 @@
     this.effects.push({ kind: 'set_write_fraction', fraction });
   }
 
-  /** Passes on the outcome of a call; an unknown id is ignored. */
+  /** Passes the outcome of a call to its callback; an unknown id is ignored. */
   completeCall(id: number, result: CallResult): void {
     const onResult = this.pendingCalls.get(id);
     this.pendingCalls.delete(id);
     onResult?.(result);
   }
 
-  /** Runs `run` once the delay has passed, never within this call. */
+  /** Calls `run` in a batch once the delay has passed, never synchronously. */
   after(delay: Duration, run: () => void): void {
     this.timers.push({ due: this.now + delay, number: ++this.lastTimerNumber, run });
   }
 
-  /** Runs `run` at once and then periodically, until it returns false. */
+  /** Calls `run` at once and then periodically, until it returns false. */
   every(period: Duration, run: () => boolean): void {
     const runAndRepeat = () => {
       if (run()) this.after(period, runAndRepeat);
@@ -111,7 +111,7 @@
     runAndRepeat();
   }
 
-  /** Runs what is due. Timers that are set meanwhile wait for the next batch, even if due. */
+  /** Runs all timers that are due, except those set during this call: they run in later batches. */
   runDueTimers(): void {
     const lastNumber = this.lastTimerNumber;
     const postponed: Timer[] = [];
@@ -125,12 +125,12 @@
     for (const timer of postponed) this.timers.push(timer);
   }
 
-  /** When the next timer is due; `Infinity` if there is none. */
+  /** The instant at which the next timer is due; `Infinity` if there is none. */
   nextTimerDue(): Instant {
     return this.timers.peek()?.due ?? Infinity;
   }
 
-  /** Returns the effects since the last call. */
+  /** Returns and removes the effects added since the last call. */
   takeEffects(): Effect[] {
     const effects = this.effects;
     this.effects = [];
--- a/packages/controller/src/runtime/stats.ts
+++ b/packages/controller/src/runtime/stats.ts
@@ -1,10 +1,10 @@
 /** Counters, gauges and histograms. */
 import { createHistogram, type RecordableHistogram } from 'node:perf_hooks';
 
-/** Up to two hours; the default range takes some hundred KB for each histogram. */
+/** Two hours at most, since Node's default range takes some hundred KB for each histogram. */
 const HISTOGRAM_RANGE_MS = { lowest: 1, highest: 7_200_000, figures: 2 };
 
-/** A histogram as `GET /metrics` shows it; durations are in ms. */
+/** Summary of a histogram in the reply to `GET /metrics`; durations are in ms. */
 export interface HistogramSummary {
   count: number;
   mean: number;
@@ -14,33 +14,33 @@
   max: number;
 }
 
-/** All metrics, as `GET /metrics` shows them. */
+/** All metrics, in the form of the reply to `GET /metrics`. */
 export interface StatsSnapshot {
-  /** Current values, and the highest ones under `<name>.most`. */
+  /** Current values by name, and their maxima since the process started as `<name>.most`. */
   gauges: Record<string, number>;
   counters: Record<string, number>;
   histograms: Record<string, HistogramSummary>;
 }
 
-/** Metrics of a process since its start; for their names see docs/operations.md. */
+/** Collects the metrics of a process since its start; docs/operations.md lists their names. */
 export class Stats {
   private readonly gauges = new Map<string, number>();
   private readonly counters = new Map<string, number>();
   private readonly histograms = new Map<string, RecordableHistogram>();
 
-  /** Adds to a counter. */
+  /** Adds `by` to a counter. */
   count(name: string, by = 1): void {
     this.counters.set(name, (this.counters.get(name) ?? 0) + by);
   }
 
-  /** Sets a gauge, and keeps its highest value in a gauge of its own. */
+  /** Sets a gauge, and updates the gauge that holds its maximum. */
   setGauge(name: string, value: number): void {
     const maxName = `${name}.most`;
     this.gauges.set(name, value);
     this.gauges.set(maxName, Math.max(value, this.gauges.get(maxName) ?? value));
   }
 
-  /** Adds a value, in ms for durations, to a histogram; it is rounded and limited to its range. */
+  /** Adds a value to a histogram, rounded and clamped to its range; durations are in ms. */
   record(name: string, value: number): void {
     let histogram = this.histograms.get(name);
     if (!histogram) this.histograms.set(name, (histogram = createHistogram(HISTOGRAM_RANGE_MS)));
