--- a/packages/wire/src/body.ts
+++ b/packages/wire/src/body.ts
@@ -1,20 +1,20 @@
-/** MessagePack bodies of requests and answers, and conversions of their units. */
+/** MessagePack bodies of requests and responses, and conversions between seconds and ms. */
 import { decode, encode } from '@msgpack/msgpack';
 import type { Duration } from './domain.js';
 import { WireError } from './errors.js';
 
-/** The limit for request bodies and for answers to workers and users. */
+/** Size limit of request bodies and of responses to workers and users. */
 export const MAX_BODY_BYTES = 64 * 1024;
 
 const MS_PER_SECOND = 1000;
 
-/** A value as MessagePack; fields that are undefined are left out. */
+/** Encodes a value as MessagePack; fields that are undefined are left out. */
 export function packBody(value: unknown): Buffer {
   const bytes = encode(value, { ignoreUndefined: true });
   return Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
 }
 
-/** What a MessagePack body holds; throws `WireError` for anything else. */
+/** Decodes a MessagePack body; throws `WireError` if it is not valid MessagePack. */
 export function unpackBody(bytes: Uint8Array): unknown {
   try {
     return decode(bytes);
@@ -23,7 +23,7 @@
   }
 }
 
-/** Seconds, as the interfaces carry durations. */
+/** Converts a duration to seconds, the unit of durations in all interfaces. */
 export const secondsOf = (duration: Duration): number => duration / MS_PER_SECOND;
-/** Milliseconds, as all durations inside tealdock are. */
+/** Converts seconds to milliseconds, the unit of all durations inside tealdock. */
 export const millisecondsOf = (seconds: number): Duration => seconds * MS_PER_SECOND;
--- a/packages/wire/src/cancellations.ts
+++ b/packages/wire/src/cancellations.ts
@@ -1,9 +1,9 @@
-/** Messages by which controllers announce cancelled jobs to each other. */
+/** Requests by which controllers announce cancelled jobs to each other. */
 import { z } from 'zod';
 import { isJobId } from './jobs.js';
 import { validateBody } from './validation.js';
 
-/** Where a controller announces jobs whose cancellation it has committed. */
+/** The path to which a controller posts the jobs whose cancellation it has committed. */
 export const CANCELLATIONS_PATH = '/cancellations';
 
 const MAX_JOB_COUNT = 1000;
@@ -12,7 +12,7 @@
   jobs: z.array(z.string().refine(isJobId)).max(MAX_JOB_COUNT),
 });
 
-/** Ids of jobs that a controller has cancelled; throws `WireError`. */
+/** Parses the ids of the jobs that a controller has cancelled; throws `WireError`. */
 export function parseCancellations(body: unknown): string[] {
   return validateBody(cancellationsSchema, body).jobs;
 }
--- a/packages/wire/src/cloud.ts
+++ b/packages/wire/src/cloud.ts
@@ -1,32 +1,33 @@
 /**
  * The cloud's interface: its catalog of machine types, its machine list, rentals and returns.
- * All of its own names are mapped here; see domain.ts for the terms used everywhere else.
+ * This file maps the cloud's own names to those in domain.ts, which all other code uses.
  */
 import { z } from 'zod';
 import { millisecondsOf } from './body.js';
 import type { ListedMachine, MachineType } from './domain.js';
 import { validateBody } from './validation.js';
 
-/** Machine types on offer. */
+/** The machine types on offer (GET). */
 export const CATALOG_PATH = '/catalog';
 /** The machine list (GET) and rentals (POST). */
 export const MACHINES_PATH = '/machines';
 /** Returns of machines (POST). */
 export const RETURN_PATH = '/machines/return';
-/** Machines that one rental may ask for. */
+/** The most machines that one rental may ask for. */
 export const MAX_RENTAL_COUNT = 50;
-/** Machines that one return may name. */
+/** The most machines that one return may name. */
 export const MAX_RETURN_COUNT = 100;
-/** Machines on one page of the list. */
-const MAX_PAGE_COUNT = 500;
+/** The most machines on one page of the list. */
+const MAX_PAGE_MACHINE_COUNT = 500;
 
-/** A request for machines; its name makes it idempotent. */
+/** A request for machines of one kind. */
 export interface RentRequest {
+  /** Identifies the request, so that repeating it rents no further machines. */
   request: string;
   type: string;
   zone: string;
   spot: boolean;
-  /** How many machines, at most `MAX_RENTAL_COUNT`. */
+  /** Number of machines, at most `MAX_RENTAL_COUNT`. */
   count: number;
 }
 
@@ -63,7 +64,7 @@
   has_next: z.boolean().nullish(),
 });
 
-/** Machine types that the cloud offers; throws `WireError`. */
+/** Parses the machine types that the cloud offers; throws `WireError`. */
 export function parseCatalog(body: unknown): MachineType[] {
   return validateBody(catalogSchema, body).flavours.map((flavour) => ({
     name: flavour.label,
@@ -79,7 +80,7 @@
   }));
 }
 
-/** The body of a rental. */
+/** The body of a rental request. */
 export const renderRent = (request: RentRequest): Record<string, unknown> => ({
   rental: request.request,
   flavour: request.type,
@@ -88,17 +89,17 @@
   count: request.count,
 });
 
-/** Ids of the machines that a rental was answered with; throws `WireError`. */
+/** Parses the response to a rental: the ids of the rented machines; throws `WireError`. */
 export const parseRented = (body: unknown): string[] => validateBody(rentedSchema, body).hosts;
 
-/** The body of a return of machines, by their ids. */
+/** The body of a request that returns machines, by their ids. */
 export const renderReturn = (machines: string[]): Record<string, unknown> => ({ hosts: machines });
 
-/** The path of the page of the machine list that begins after an id; '' for the first page. */
+/** The path of the page of the machine list that follows the id `after`; '' for the first page. */
 export const listPath = (after: string): string =>
-  `${MACHINES_PATH}?after=${encodeURIComponent(after)}&most=${MAX_PAGE_COUNT}`;
+  `${MACHINES_PATH}?after=${encodeURIComponent(after)}&most=${MAX_PAGE_MACHINE_COUNT}`;
 
-/** One page of the machine list, and whether there are more; throws `WireError`. */
+/** Parses a page of the machine list; `more` if another page follows. Throws `WireError`. */
 export function parseList(body: unknown): { machines: ListedMachine[]; more: boolean } {
   const page = validateBody(machinePageSchema, body);
   return {
--- a/packages/wire/src/domain.ts
+++ b/packages/wire/src/domain.ts
@@ -1,21 +1,24 @@
-/** The project's own terms for what the interfaces carry. */
+/** The domain types, under the names that the project uses whatever an interface calls them. */
 declare global {
-  /** The standard's type for steady instants and durations; Node's own typings leave it out. */
+  /** The web standard's type for monotonic timestamps and durations; Node's typings lack it. */
   type DOMHighResTimeStamp = number;
 }
 
 /** A duration in milliseconds, as everywhere inside tealdock. */
 export type Duration = DOMHighResTimeStamp;
-/** A reading of the steady clock, in milliseconds. */
+/** A reading of this process's monotonic clock, in milliseconds. */
 export type Instant = DOMHighResTimeStamp;
 
-/** How urgent a job is, from the highest to the lowest. */
+/** Priorities of jobs, highest first. */
 export type Priority = 'production' | 'high' | 'normal' | 'low';
 
-/** `gang`: all tasks run at the same time. `service`: runs until it is cancelled. */
+/**
+ * `array`: independent tasks. `gang`: all tasks run at the same time. `service`: the tasks run
+ * until the job is cancelled.
+ */
 export type JobKind = 'array' | 'gang' | 'service';
 
-/** A job as its user described it. This is also its stored form, so field names stay. */
+/** A job as its user described it, and as it is stored: its field names must not change. */
 export interface JobSpec {
   id: string;
   kind: JobKind;
@@ -23,53 +26,53 @@
   team: string;
   priority: Priority;
   taskCount: number;
-  /** What each task takes of its machine. */
+  /** Resources that each task takes on its machine: `cpus`, `gpus` and `memoryGb`. */
   cpus: number;
   gpus: number;
   memoryGb: number;
   image: string;
   imageGb: number;
-  /** Machine types that it may use; null for all. */
+  /** Machine types that the job may use; null for all. */
   types: string[] | null;
-  /** The zone that it has to run in; null for any. */
+  /** The zone that the job must run in; null for any. */
   zone: string | null;
-  /** All tasks in the same zone. */
+  /** Whether all tasks must run in the same zone. */
   oneZone: boolean;
-  /** At most half of the tasks in one zone. */
+  /** Whether at most half of the tasks, rounded up, may run in the same zone. */
   spread: boolean;
-  /** Whether it may use spot machines. */
+  /** Whether the job may use spot machines. */
   spot: boolean;
-  /** Run time of a task, as its user expects it. */
+  /** Run time of a task, as the user expects it. */
   estimate: Duration;
-  /** Time between a task's own checkpoints; 0 if it can't save. */
+  /** Interval at which a task saves its state by itself; 0 if it can't save it. */
   checkpoint: Duration;
-  /** What saving takes when a task is stopped. */
+  /** Time that a task needs to save its state when it is stopped. */
   save: Duration;
-  /** When it should be done, from its submission on; null without a deadline. */
+  /** Time from the submission by which the job should be done; null without a deadline. */
   deadline: Duration | null;
-  /** Jobs that have to be done before any task of this one starts; stored ones may lack it. */
+  /** Jobs that must be done before any task of this one starts; absent in some stored jobs. */
   predecessors?: string[];
 }
 
-/** Jobs that have to be done before any task of this one starts. */
+/** Ids of the jobs that must be done before any task of this one starts; empty for none. */
 export const predecessorsOf = (spec: JobSpec): string[] => spec.predecessors ?? [];
 
-/** The state of a job, as users see it. */
+/** The state of a job, as shown to users. */
 export type JobState = 'queued' | 'running' | 'done' | 'cancelled';
 
-/** What users see of a job. */
+/** A job as shown to users. */
 export interface JobView {
   id: string;
   state: JobState;
-  /** Tasks that are done; undefined where the counts are not known. */
+  /** Number of tasks that are done; undefined if the counts are not known. */
   done?: number;
-  /** Tasks that run. */
+  /** Number of tasks that are running; undefined if the counts are not known. */
   running?: number;
 }
 
-/** State of a task on its machine. */
+/** The state of a task on its machine. */
 export type TaskState = 'fetching' | 'running' | 'saving' | 'exited';
-/** Why a task is over. */
+/** Why a task has exited. */
 export type ExitReason = 'done' | 'stopped' | 'error' | 'no_room' | 'busy' | 'unknown';
 
 /** A task as its worker reports it. */
@@ -79,25 +82,25 @@
   state: TaskState;
   /** Null until it has exited. */
   reason: ExitReason | null;
-  /** Whether its state was saved when it was stopped. */
+  /** Whether the task saved its state when it was stopped. */
   saved: boolean;
 }
 
-/** A worker's heartbeat: all that is on its machine. */
+/** A worker's heartbeat, with all tasks on its machine. */
 export interface WorkerHeartbeat {
   machine: string;
-  /** Where the worker takes direct commands. */
+  /** `host:port` at which the worker accepts direct commands. */
   address: string;
   type: string;
   zone: string;
   spot: boolean;
-  /** Incarnation of the worker process; it grows with each start. */
+  /** Incarnation number of the worker process; it increases with each start. */
   agentEpoch: number;
-  /** Number of the heartbeat within its agent epoch. */
+  /** Number of the heartbeat within the agent epoch, increasing with each heartbeat. */
   sequenceNumber: number;
   /** The highest fencing token that the worker has seen. */
   fencingToken: number;
-  /** Time until the cloud takes the machine; null without a notice. */
+  /** Time until the cloud preempts the machine; null if it has announced nothing. */
   preemptionNotice: Duration | null;
   tasks: TaskStatus[];
 }
@@ -108,41 +111,42 @@
   | { op: 'stop'; task: string; attempt: number; gracePeriod: Duration }
   | { op: 'forget'; task: string; attempt: number };
 
-/** A kind of machine as the catalog describes it. Also a stored form, so field names stay. */
+/** A machine type of the catalog, also as it is stored: its field names must not change. */
 export interface MachineType {
   name: string;
   cpus: number;
   gpus: number;
   memoryGb: number;
-  /** Room for images. */
+  /** Disk space for cached images. */
   cacheGb: number;
+  /** Rate at which a machine fetches images. */
   fetchGbPerS: number;
   /** Price per hour. */
   price: number;
   /** Price per hour of a spot machine. */
   spotPrice: number;
-  /** Time from a rental until the worker reports. */
+  /** Time from a rental until the worker's first heartbeat. */
   boot: Duration;
   zones: string[];
 }
 
-/** A machine in the cloud's list. */
+/** A machine in the cloud's machine list. */
 export interface ListedMachine {
   id: string;
-  /** Empty until it has one. */
+  /** Empty until the machine has an address. */
   address: string;
   type: string;
   zone: string;
   spot: boolean;
   state: 'booting' | 'running' | 'failed';
-  /** Time since it was rented. */
+  /** Time since the machine was rented. */
   age: Duration;
 }
 
-/** `run-000412/3`: the fourth task of a job, as indices begin at 0. */
+/** The id of a task, such as `run-000412/3` for the fourth task of a job: indices start at 0. */
 export const taskId = (job: string, index: number): string => `${job}/${index}`;
 
-/** Job and index of a task id; null for anything else. */
+/** Splits a task id into the job's id and the index; null if it is not a task id. */
 export function splitTaskId(task: string): { job: string; index: number } | null {
   const [, job, index] = /^(.+)\/(\d{1,6})$/.exec(task) ?? [];
   return job === undefined ? null : { job, index: Number(index) };
--- a/packages/wire/src/errors.ts
+++ b/packages/wire/src/errors.ts
@@ -1,16 +1,16 @@
-/** Errors of what comes from outside: bodies, frames between controllers, settings files. */
+/** Errors in input from outside the process: bodies, peers' frames and settings files. */
 
-/** A body that is not MessagePack, or does not have the form that its interface asks for. */
+/** A body is not MessagePack, or does not match the schema of its interface. */
 export class WireError extends Error {
   override readonly name = 'WireError';
 }
 
-/** Bytes from another controller that are no frame of the protocol between controllers. */
+/** Bytes from another controller are not a valid frame of the peer protocol. */
 export class PeerProtocolError extends Error {
   override readonly name = 'PeerProtocolError';
 }
 
-/** A settings file that can't be parsed, or a setting in it that is missing or out of range. */
+/** A settings file can't be parsed, or a setting in it is missing or out of range. */
 export class SettingsError extends Error {
   override readonly name = 'SettingsError';
 }
--- a/packages/wire/src/index.ts
+++ b/packages/wire/src/index.ts
@@ -1,4 +1,4 @@
-/** Formats of all interfaces. */
+/** Message formats of all interfaces, and the settings files. */
 export * from './domain.js';
 export * from './errors.js';
 export * from './body.js';
--- a/packages/wire/src/jobs.ts
+++ b/packages/wire/src/jobs.ts
@@ -1,6 +1,6 @@
 /**
- * Users' interface: submissions and the state of jobs. All of its own names are mapped here; see
- * domain.ts for the terms used everywhere else.
+ * Users' interface: submissions and the state of jobs. This file maps the interface's own names
+ * to those in domain.ts, which all other code uses.
  */
 import { z } from 'zod';
 import { millisecondsOf } from './body.js';
@@ -8,9 +8,9 @@
 import { WireError } from './errors.js';
 import { validateBody } from './validation.js';
 
-/** Submissions (POST); single jobs are below it. */
+/** Submissions (POST); the paths of single jobs begin with it. */
 export const JOBS_PATH = '/api/jobs';
-/** Health checks of the platform. */
+/** The platform's health checks (GET). */
 export const HEALTH_PATH = '/healthz';
 const MAX_TASK_COUNT = 100_000;
 
@@ -55,17 +55,17 @@
   waits_on: z.array(z.string()).nullish(),
 });
 
-/** Job ids always have one form; anything else names no job. */
+/** Whether a value has the form of a job id: `run-` and 1 to 60 digits. */
 export const isJobId = (text: unknown): text is string =>
   typeof text === 'string' && /^run-\d{1,60}$/.test(text);
 
-/** The id in a submission, even when the rest of it is malformed; null if it has none. */
+/** The job id in a submission, even if the rest is malformed; null if there is no valid one. */
 export function submissionId(body: unknown): string | null {
   const ref = (body as { ref?: unknown } | null)?.ref;
   return isJobId(ref) ? ref : null;
 }
 
-/** The job that a submission describes; throws `WireError` naming the wrong field. */
+/** Parses a submission; throws `WireError` naming the first wrong field. */
 export function parseSubmission(body: unknown): JobSpec {
   const submission = validateBody(submissionSchema, body);
   if (!isJobId(submission.ref)) throw new WireError('ref: not a job id');
@@ -94,7 +94,7 @@
   };
 }
 
-/** The state of a job, as users read it. */
+/** The body of a reply that shows a job to its user. */
 export function renderJobView(view: JobView): Record<string, unknown> {
   return {
     ref: view.id,
--- a/packages/wire/src/operator-settings.ts
+++ b/packages/wire/src/operator-settings.ts
@@ -32,31 +32,35 @@
 /** The operators' own settings. */
 export interface OperatorSettings {
   window: {
-    /** Longest time that a task waits for candidates: λ of the paper. */
+    /** Longest time that a task waits for candidate machines: λ of the paper. */
     lambda: Duration;
-    /** Time after which a window may close early, since standing candidates are known. */
+    /** Time after which a window may close early: recent heartbeats have shown candidates. */
     closeEarly: Duration;
-    /** How long the answer to a heartbeat may be held back for a start. */
+    /** How long the answer to a heartbeat may be held back in case a start gets assigned. */
     longPollTimeout: Duration;
   };
   leadership: {
+    /** Duration of the lease that the leader holds in the state service. */
     leaseDuration: Duration;
-    /** A leader that no worker has reached for this long resigns. */
+    /** A leader that has received no heartbeat for this long resigns. */
     unreachableTimeout: Duration;
   };
   fleet: {
-    /** A rented machine without work is returned after this long. */
+    /** Idle time after which a rented machine is returned; not used under `fast`. */
     idleTimeout: Duration;
-    /** A boot has failed after this many times what its machine type names. */
+    /** A boot counts as failed after this multiple of the boot time of its machine type. */
     bootTimeoutFactor: number;
-    /** In a fleet with its own machines: capacity kept free, as a multiple of the work at hand. */
+    /** Under `fast`: capacity kept for jobs to come, as a multiple of the unfinished tasks. */
     headroom: number;
-    /** `frugal`: price first. `fast`: starts first. `auto`: fast where machines are owned. */
+    /**
+     * `frugal` minimises the price, `fast` the time to start. `auto` stands for `fast` if the
+     * operator owns machines, else for `frugal`.
+     */
     policy: 'auto' | 'frugal' | 'fast';
   };
 }
 
-/** Reads the operators' INI file; throws `SettingsError` naming the wrong setting. */
+/** Parses the operators' INI file; throws `SettingsError` naming the first wrong setting. */
 export function parseOperatorSettings(text: string): OperatorSettings {
   const { window, leadership, fleet } = validateSettings(operatorSchema, parseIni(text));
   return {
--- a/packages/wire/src/peers.ts
+++ b/packages/wire/src/peers.ts
@@ -1,42 +1,41 @@
-/** Messages between controllers: frames of Avro records over TCP. */
+/** Messages between controllers: Avro records in length-prefixed frames over TCP. */
 import avsc from 'avsc';
 import { PeerProtocolError } from './errors.js';
 
-/** Tasks of a live job that are done and that run, for display. */
+/** Numbers of a live job's tasks that are done and that are running, for display. */
 export interface JobCount {
   id: string;
   done: number;
   running: number;
 }
 
-/**
- * What a leader has learnt and a successor may use: run times by class, and which
- * machines hold which images, as indices into the list of images.
- */
+/** What a leader has learnt and the state service does not hold, for use by the next leader. */
 export interface Hints {
+  /** Actual run time divided by the users' estimate, by class of jobs. */
   ratios: { jobClass: string; ratio: number }[];
   images: { image: string; gb: number }[];
+  /** The images that each machine holds, as indices into `images`. */
   machines: { id: string; held: number[] }[];
-  /** How likely it is, from 0 to 1, that fetches at the same time share a machine's rate. */
+  /** Probability, from 0 to 1, that concurrent image fetches share a machine's fetch rate. */
   fetchSharing: number;
 }
 
-/** What the leader sends the others: task counts for display, and hints for a successor. */
+/** The leader's messages to all peers: task counts for display, or hints for the next leader. */
 export type LeaderBroadcast = { kind: 'counts'; jobs: JobCount[] } | ({ kind: 'hints' } & Hints);
 
-/** A heartbeat of a controller, with what it knows of the leader. */
+/** A controller's heartbeat to its peers. */
 export interface PeerHeartbeat {
   kind: 'heartbeat';
   member: string;
-  /** The member that leads, as far as it knows; empty where it knows of none. */
+  /** The leading member, as far as the sender knows; empty if it knows of none. */
   leader: string;
-  /** Fencing token of its own term; 0 where it does not lead. */
+  /** Fencing token of the sender's own term; 0 if it does not lead. */
   fencingToken: number;
-  /** Whether it reaches the state service. */
+  /** Whether the sender reaches the state service. */
   stateAvailable: boolean;
 }
 
-/** What controllers send each other; see docs/design.md, "Between controllers". */
+/** The messages between controllers; see docs/design.md, "Between controllers". */
 export type PeerMessage =
   | PeerHeartbeat
   | LeaderBroadcast
@@ -49,10 +48,10 @@
   fields: Object.entries(fields).map(([field, type]) => ({ name: field, type })),
 });
 const listOf = (items: avsc.Schema): avsc.Schema => ({ type: 'array', items });
-const message = (name: string, fields: Record<string, avsc.Schema>): avsc.Type =>
+const messageType = (name: string, fields: Record<string, avsc.Schema>): avsc.Type =>
   avsc.Type.forSchema(recordOf(name, fields));
 
-/** The Avro record of a heartbeat. */
+/** The fields of a heartbeat's Avro record. */
 interface HeartbeatRecord {
   member: string;
   leader: string;
@@ -60,23 +59,23 @@
   stateOk: boolean;
 }
 
-const heartbeatType = message('Beat', {
+const heartbeatType = messageType('Beat', {
   member: 'string',
   leader: 'string',
   token: 'long',
   stateOk: 'boolean',
 });
-const countsType = message('Counts', {
+const countsType = messageType('Counts', {
   jobs: listOf(recordOf('JobCount', { id: 'string', done: 'int', running: 'int' })),
 });
-const hintsType = message('Hints', {
+const hintsType = messageType('Hints', {
   ratios: listOf(recordOf('ClassRatio', { jobClass: 'string', ratio: 'double' })),
   images: listOf(recordOf('Image', { image: 'string', gb: 'double' })),
   machines: listOf(recordOf('Holder', { id: 'string', held: listOf('int') })),
   fetchSharing: 'double',
 });
-const askType = message('Ask', { id: 'long', method: 'string', path: 'string', body: 'bytes' });
-const answerType = message('Answer', { id: 'long', status: 'int', body: 'bytes' });
+const askType = messageType('Ask', { id: 'long', method: 'string', path: 'string', body: 'bytes' });
+const answerType = messageType('Answer', { id: 'long', status: 'int', body: 'bytes' });
 const TYPES = {
   heartbeat: heartbeatType,
   ask: askType,
@@ -84,29 +83,30 @@
   counts: countsType,
   hints: hintsType,
 } as const;
-/** A frame's kind is an index into this list, so its order is part of the protocol. */
+/** The kind in a frame's header is an index into this list, so its order must not change. */
 const KINDS = ['heartbeat', 'ask', 'answer', 'counts', 'hints'] as const;
-/** Four bytes of length, one of kind. */
+/** A frame's header: four bytes for the length of the body, one for the kind. */
 const LENGTH_BYTES = 4;
 const HEADER_BYTES = LENGTH_BYTES + 1;
 const MAX_FRAME_BYTES = 256 * 1024;
 
-/** A heartbeat's fields in the names of its Avro record. */
-function recordFor(message: PeerMessage): unknown {
+/** Renames the fields of a heartbeat to those of its Avro record; other messages are unchanged. */
+function toRecord(message: PeerMessage): unknown {
   if (message.kind !== 'heartbeat') return message;
   const { member, leader, fencingToken, stateAvailable } = message;
   return { member, leader, token: fencingToken, stateOk: stateAvailable };
 }
 
-function messageFrom(kind: PeerMessage['kind'], record: object): PeerMessage {
+/** The reverse of `toRecord`. */
+function fromRecord(kind: PeerMessage['kind'], record: object): PeerMessage {
   if (kind !== 'heartbeat') return { kind, ...record } as PeerMessage;
   const { member, leader, token, stateOk } = record as HeartbeatRecord;
   return { kind, member, leader, fencingToken: token, stateAvailable: stateOk };
 }
 
-/** A frame: four bytes of length, one of kind, then the Avro record of the message. */
+/** Encodes a message as a frame: header, then the Avro record. */
 export function packPeer(message: PeerMessage): Buffer {
-  const body = TYPES[message.kind].toBuffer(recordFor(message));
+  const body = TYPES[message.kind].toBuffer(toRecord(message));
   const frame = Buffer.alloc(HEADER_BYTES + body.length);
   frame.writeUInt32BE(body.length, 0);
   frame.writeUInt8(KINDS.indexOf(message.kind), LENGTH_BYTES);
@@ -114,12 +114,12 @@
   return frame;
 }
 
-/** Cuts a stream of bytes into messages. After an error the stream can't be read on. */
+/** Decodes a stream of bytes into messages. After an error, the stream must not be read on. */
 export class PeerDecoder {
-  /** Bytes of a frame that is not complete yet. */
+  /** Received bytes that do not form a complete frame yet. */
   private pending: Buffer = Buffer.alloc(0);
 
-  /** The messages that are complete with these bytes; throws `PeerProtocolError`. */
+  /** Adds received bytes and returns the messages they complete; throws `PeerProtocolError`. */
   push(chunk: Buffer): PeerMessage[] {
     this.pending = Buffer.concat([this.pending, chunk]);
     const messages: PeerMessage[] = [];
@@ -139,7 +139,7 @@
 
 function decodeRecord(kind: PeerMessage['kind'], bytes: Buffer): PeerMessage {
   try {
-    return messageFrom(kind, TYPES[kind].fromBuffer(bytes) as object);
+    return fromRecord(kind, TYPES[kind].fromBuffer(bytes) as object);
   } catch (error) {
     throw new PeerProtocolError(`malformed ${kind} frame: ${String(error)}`, { cause: error });
   }
--- a/packages/wire/src/platform-settings.ts
+++ b/packages/wire/src/platform-settings.ts
@@ -1,4 +1,4 @@
-/** The platform's settings of a node (TOML). All names of the file are mapped here. */
+/** The platform's settings of a node (TOML). This file maps the names in the TOML file. */
 import { parse as parseToml } from 'smol-toml';
 import { z } from 'zod';
 import { millisecondsOf } from './body.js';
@@ -61,46 +61,50 @@
   }),
 });
 
-/** A team with its guarantee and its limit; without a limit the maxima are Infinity. */
+/** A team with its guaranteed resources and its limits. */
 export interface Team {
   name: string;
+  /** Guaranteed; 0 for none. */
   cpus: number;
+  /** Infinity without a limit. */
   maxCpus: number;
+  /** Guaranteed; 0 for none. */
   gpus: number;
+  /** Infinity without a limit. */
   maxGpus: number;
 }
-/** A service-level objective for a class of jobs, or for guaranteed work. */
+/** A service-level objective for a class of jobs, or for jobs within their team's guarantee. */
 export interface Objective {
   /** `wait`, `finished`, `guarantee` or `deadline`; unknown kinds are ignored. */
   kind: string;
-  /** Null where it is for no single class. */
+  /** Null if the objective does not apply to one class. */
   jobClass: string | null;
-  /** Time from the moment a job may start; null where the objective has none. */
+  /** Time limit, counted from when the job can start; null if the objective has none. */
   within: Duration | null;
 }
-/** The platform's settings of one node. */
+/** The platform's settings, as one node gets them. */
 export interface Settings {
   /** Name of this controller. */
   member: string;
   zone: string;
-  /** Where users, workers and health checks connect. */
+  /** The address that users, workers and health checks connect to. */
   publicAddress: string;
-  /** Where the other controllers connect. */
+  /** The address that the other controllers connect to. */
   peerListenAddress: string;
   /** The other controllers. */
   peers: { member: string; address: string }[];
   cloudAddress: string;
   stateAddress: string;
   zones: string[];
-  /** How far the time of day may be off. */
+  /** The most by which the time of day of any host may be off. */
   maxClockError: Duration;
   teams: Team[];
   objectives: Objective[];
-  /** Time between two heartbeats of a worker. */
+  /** Time between two heartbeats of the same worker. */
   heartbeatInterval: Duration;
-  /** How long a worker keeps its tasks without an answer to a heartbeat. */
+  /** How long a worker keeps its tasks running without an answer to a heartbeat. */
   workerLeaseDuration: Duration;
-  /** Within what time the tasks of a cancelled job have to be gone. */
+  /** Time after a job's cancellation by which none of its tasks may run any more. */
   cancellationLimit: Duration;
   state: {
     requestsPerSecond: number;
@@ -110,17 +114,17 @@
   };
   cloud: {
     requestsPerSecond: number;
-    /** By how much the machine list may be behind. */
+    /** How far the cloud's machine list may lag behind. */
     listLag: Duration;
   };
-  /** Sockets that the process may hold. */
+  /** Sockets that the process may have open. */
   maxConnections: number;
 }
 
-/** 0 means none, so no limit. */
+/** In the settings file, 0 stands for no limit. */
 const infinityIfZero = (value: number): number => (value === 0 ? Infinity : value);
 
-/** Reads the platform's TOML file, ignoring unknown fields; throws `SettingsError`. */
+/** Parses the platform's TOML file and ignores unknown fields; throws `SettingsError`. */
 export function parseSettings(text: string): Settings {
   const { settings, ...node } = validateSettings(platformSchema, readToml(text));
   return {
@@ -159,7 +163,10 @@
   };
 }
 
-/** Limits may be lowered without notice to what `next` says: the lower of both hold always. */
+/**
+ * The platform may lower its limits to those in `next` at any time without notice, so the lower of
+ * the two values is used from the start.
+ */
 function stateLimits({ next, ...now }: z.infer<typeof platformSchema>['settings']['state']) {
   const lower = (key: keyof typeof now) => Math.min(now[key], next?.[key] ?? Infinity);
   return {
--- a/packages/wire/src/state.ts
+++ b/packages/wire/src/state.ts
@@ -1,7 +1,7 @@
 /**
  * The state service's interface: keys with versions, compare-and-swap transactions, leases and
- * watches. All of its own names are mapped here. Every `parse…` throws `WireError` and nothing
- * else for an answer that does not have its form.
+ * watches. This file maps the service's own names to the project's. Every `parse…` function
+ * throws `WireError`, and no other error, for a malformed response.
  */
 import { z } from 'zod';
 import type { Duration } from './domain.js';
@@ -9,7 +9,7 @@
 
 /** Transactions (POST). */
 export const COMMIT_PATH = '/commit';
-/** Leases: granted by POST here, renewed and revoked below it. */
+/** Leases: granted by a POST to this path, renewed and revoked at paths below it. */
 export const LEASES_PATH = '/grants';
 
 /** A stored key with its value and version. */
@@ -18,14 +18,14 @@
   value: unknown;
   version: number;
 }
-/** A condition of a transaction: the key has this version, 0 if it does not exist. */
+/** A condition of a transaction: the key has this version; 0 requires that it does not exist. */
 export interface Precondition {
   key: string;
   version: number;
 }
-/** A change of a transaction; a value put with a lease is removed when the lease ends. */
+/** A write of a transaction; a value put with a lease is removed when that lease ends. */
 export type Write = { put: string; value: unknown; lease?: number } | { remove: string };
-/** A change of a key that was watched. */
+/** A change of a watched key. */
 export interface StateEvent {
   key: string;
   /** Undefined for a removal. */
@@ -58,12 +58,12 @@
   version: item.stamp,
 });
 
-/** The path of one key. */
+/** The path of a key. */
 export const keyPath = (key: string): string => `/keys/${key}`;
-/** The path of a page of the keys with a prefix, after a key; '' for the first page. */
+/** The path of the page of keys with a prefix that follows the key `after`; '' for the first. */
 export const pagePath = (prefix: string, after: string, limit: number): string =>
   `/keys?starts=${prefix}&most=${limit}${after ? `&after=${after}` : ''}`;
-/** The path of a watch: changes after a revision, awaited for so long. */
+/** The path of a watch that waits up to `timeout` for changes after a revision. */
 export const watchPath = (prefix: string, afterRevision: number, timeout: Duration): string =>
   `/changes?starts=${prefix}&after=${afterRevision}&hold_ms=${timeout}`;
 /** The path that renews a lease (POST). */
@@ -71,22 +71,25 @@
 /** The path of one lease. */
 export const leasePath = (lease: number): string => `${LEASES_PATH}/${lease}`;
 
-/** One stored key; throws `WireError`. */
+/** Parses one stored key; throws `WireError`. */
 export const parseItem = (body: unknown): StateItem => itemFrom(validateBody(itemSchema, body));
-/** One page of stored keys, whether there are more, and the store's revision; throws `WireError`. */
+/**
+ * Parses a page of stored keys and the store's revision; `more` if another page follows. Throws
+ * `WireError`.
+ */
 export function parsePage(body: unknown): { items: StateItem[]; more: boolean; revision: number } {
   const page = validateBody(pageSchema, body);
   return { items: page.items.map(itemFrom), more: page.has_next ?? false, revision: page.epoch };
 }
-/** The store's revision after a transaction; throws `WireError`. */
+/** Parses the store's revision after a transaction; throws `WireError`. */
 export const parseCommitRevision = (body: unknown): number =>
   validateBody(committedSchema, body).epoch;
-/** Keys whose preconditions did not hold; throws `WireError`. */
+/** Parses the keys whose preconditions did not hold; throws `WireError`. */
 export const parseFailedPreconditions = (body: unknown): string[] =>
   validateBody(conflictSchema, body).failed;
-/** The id of a lease that was granted; throws `WireError`. */
+/** Parses the id of a granted lease; throws `WireError`. */
 export const parseLeaseId = (body: unknown): number => validateBody(leaseSchema, body).tenancy;
-/** The changes that a watch was answered with, up to a revision; throws `WireError`. */
+/** Parses the changes in a watch's response, up to and including `revision`; throws `WireError`. */
 export function parseChanges(body: unknown): { revision: number; events: StateEvent[] } {
   const changes = validateBody(changesSchema, body);
   return {
@@ -100,7 +103,7 @@
   };
 }
 
-/** The body of a transaction. */
+/** The body of a transaction request. */
 export function renderTransaction(
   preconditions: Precondition[],
   writes: Write[],
--- a/packages/wire/src/workers.ts
+++ b/packages/wire/src/workers.ts
@@ -1,20 +1,20 @@
 /**
- * Workers' interface: heartbeats and commands. All of its own names are mapped here; see
- * domain.ts for the terms used everywhere else.
+ * Workers' interface: heartbeats and commands. This file maps the interface's own names to those
+ * in domain.ts, which all other code uses.
  */
 import { z } from 'zod';
 import { millisecondsOf, secondsOf } from './body.js';
 import type { ExitReason, TaskState, WorkerCommand, WorkerHeartbeat } from './domain.js';
 import { validateBody } from './validation.js';
 
-/** Where workers send their heartbeats. */
+/** The path to which workers post their heartbeats. */
 export const HEARTBEAT_PATH = '/hello';
-/** Where a worker takes commands outside the answers to its heartbeats. */
+/** A worker's own path for commands that do not come in the answer to a heartbeat. */
 export const COMMANDS_PATH = '/commands';
 
 const TASK_STATES = {
   pulling: 'fetching',
-  // A gang's task that waits for the others has its image, but does not run yet.
+  // A gang's task that waits for the others has fetched its image, but does not run yet.
   waiting: 'fetching',
   running: 'running',
   saving: 'saving',
@@ -23,7 +23,7 @@
 const EXIT_REASONS: Record<string, ExitReason> = {
   done: 'done',
   stopped: 'stopped',
-  // A gang's task ended because of the others: neither it nor its machine failed.
+  // A gang's task was ended because another one ended: neither it nor its machine failed.
   peers: 'stopped',
   incomplete: 'stopped',
   error: 'error',
@@ -54,7 +54,7 @@
   ),
 });
 
-/** A worker's heartbeat; throws `WireError` naming the wrong field. */
+/** Parses a worker's heartbeat; throws `WireError` naming the first wrong field. */
 export function parseHeartbeat(body: unknown): WorkerHeartbeat {
   const heartbeat = validateBody(heartbeatSchema, body);
   return {
@@ -71,7 +71,7 @@
       task: task.piece,
       attempt: task.try_no,
       state: TASK_STATES[task.status],
-      // A reason this version does not know is a failure like any other.
+      // A reason that this version does not know counts as an error.
       reason: task.status === 'exited' ? (EXIT_REASONS[task.reason ?? ''] ?? 'error') : null,
       saved: task.saved ?? false,
     })),
@@ -85,7 +85,7 @@
   return { verb: command.op, ...base };
 }
 
-/** The answer to a heartbeat; it renews the worker's lease. */
+/** The body of an answer to a heartbeat; the answer renews the worker's lease. */
 export function renderHeartbeatResponse(
   fencingToken: number,
   commands: WorkerCommand[],
@@ -93,7 +93,7 @@
   return { fence: fencingToken, orders: commands.map(renderCommand) };
 }
 
-/** Commands sent to a worker directly; they do not renew its lease. */
+/** The body of a request that sends a worker commands directly; it does not renew its lease. */
 export function renderDirectCommands(
   fencingToken: number,
   agentEpoch: number,
@@ -102,6 +102,6 @@
   return { ...renderHeartbeatResponse(fencingToken, commands), shift: agentEpoch };
 }
 
-/** Tells a worker which controller leads, by its address; null where none is known. */
+/** The body of a redirect to the leader, named by its member name; null if none is known. */
 export const renderRedirect = (leader: string | null): Record<string, unknown> =>
   leader === null ? {} : { upstream: leader };
