--- a/packages/adapters/src/call-rate-limiter.ts
+++ b/packages/adapters/src/call-rate-limiter.ts
@@ -1,15 +1,15 @@
-/** Rate limits for calls to the outside services. */
+/** Rate limits for calls to the state service and the cloud. */
 import type { Settings } from '@tealdock/wire';
 import type { Call } from '@tealdock/controller';
 import { TokenBucket, type Clock } from './token-bucket.js';
 
-/** Each node may use this fraction of what the outside services allow to all. */
+/** One node's fractions of the rate limits, which the services apply to all nodes together. */
 const STATE_RATE_FRACTION = 0.5;
 const CLOUD_RATE_FRACTION = 0.8;
-/** A call that waited this fraction of its timeout for a token is better dropped. */
+/** A call that has waited in a bucket for this fraction of its timeout is dropped. */
 const MAX_WAIT_FRACTION = 0.6;
 
-/** Holds calls back to what the outside services allow, the more urgent ones first. */
+/** Delays calls to the state service and the cloud to stay below their limits, by priority. */
 export class CallRateLimiter {
   private readonly stateCalls: TokenBucket;
   private readonly stateWrites: TokenBucket;
@@ -21,20 +21,20 @@
     private readonly clock: Clock,
   ) {
     this.state = state;
-    this.stateCalls = this.bucket(state.requestsPerSecond * STATE_RATE_FRACTION);
-    this.stateWrites = this.bucket(
+    this.stateCalls = this.newBucket(state.requestsPerSecond * STATE_RATE_FRACTION);
+    this.stateWrites = this.newBucket(
       state.writesPerSecond * STATE_RATE_FRACTION,
       state.maxTransactionWrites,
     );
-    this.cloudCalls = this.bucket(cloud.requestsPerSecond * CLOUD_RATE_FRACTION);
+    this.cloudCalls = this.newBucket(cloud.requestsPerSecond * CLOUD_RATE_FRACTION);
   }
 
-  /** Which fraction of the state service's changes per second this node may use from now on. */
+  /** Sets the fraction of the state service's writes per second that this node may use. */
   setWriteFraction(fraction: number): void {
     this.stateWrites.setRate(this.state.writesPerSecond * fraction);
   }
 
-  /** Sends the call once there are tokens for it, or drops it unsent when that takes too long. */
+  /** Calls `send` once there are tokens for the call, or `drop` if that takes too long. */
   submit(call: Call, send: () => void, drop: () => void): void {
     const { priority } = call;
     const timeout = call.timeout * MAX_WAIT_FRACTION;
@@ -45,7 +45,7 @@
     else take(this.stateWrites, call.writeCount, () => take(this.stateCalls, 1, send));
   }
 
-  private bucket(tokensPerSecond: number, minBurst = 1): TokenBucket {
+  private newBucket(tokensPerSecond: number, minBurst = 1): TokenBucket {
     return new TokenBucket(tokensPerSecond, Math.max(tokensPerSecond, minBurst), this.clock);
   }
 }
--- a/packages/adapters/src/command-queue.ts
+++ b/packages/adapters/src/command-queue.ts
@@ -1,21 +1,21 @@
-/** The queue of commands for the state owner. */
+/** The queue of the state owner's commands. */
 import type { Command } from '@tealdock/controller';
 
-/** Effects leave only after their whole batch, so batches are short. */
+/** Commands per batch. Effects are carried out only after the whole batch, so batches are short. */
 const MAX_BATCH_COUNT = 64;
 
 /**
- * Commands that wait for the state owner. After a failover, heartbeats of the whole fleet
- * queue up, and a process that has just started takes seconds for them. Results of its own
- * calls go first: behind the heartbeats, the result of a lease renewal would come after the
- * lease has expired. Results and requests come from different sources, so no order between
- * them is lost.
+ * Queues commands for the state owner, results of its own calls first. After a failover the
+ * heartbeats of the whole fleet queue up, and a process that has just started takes seconds to
+ * process them: a lease renewal whose result waited behind them would be too late, since the
+ * lease would have expired. Results and requests come from different sources, so their order
+ * relative to each other does not matter.
  */
 export class CommandQueue {
   private results: Command[] = [];
   private others: Command[] = [];
 
-  /** Commands that wait. */
+  /** Number of queued commands. */
   get length(): number {
     return this.results.length + this.others.length;
   }
@@ -25,7 +25,7 @@
     (command.kind === 'result' ? this.results : this.others).push(command);
   }
 
-  /** Removes and returns the next batch: all results, and at least one other command. */
+  /** Removes and returns the next batch: all results, and at least one other command if any. */
   nextBatch(): Command[] {
     const { results } = this;
     this.results = [];
--- a/packages/adapters/src/connections.ts
+++ b/packages/adapters/src/connections.ts
@@ -1,13 +1,16 @@
-/** The connections that clients have opened, and which of them stay open. */
+/** Clients' connections to the public HTTP server, and which of them are kept open. */
 import type { Duration, Instant } from '@tealdock/wire';
 import type { SocketShares } from '@tealdock/controller';
 
-/** Who uses a connection, by the last request on it; also names of gauges. */
+/**
+ * The client of a connection, by the last request on it; `nobody` before the first one. The values
+ * are parts of the names of gauges.
+ */
 export type ClientKind = 'nobody' | 'worker' | 'user' | 'probe';
 
-/** A socket, as far as the table needs it. */
+/** The part of a socket's interface that `Connections` needs. */
 export interface Closable {
-  /** Closes it at once. */
+  /** Closes the socket at once. */
   destroy(): unknown;
 }
 
@@ -16,29 +19,30 @@
   /** Requests that have not been answered yet. */
   unansweredCount: number;
   lastUsedAt: Instant;
-  /** Beyond the clients' share: answered once, then closed. */
+  /** True if it exceeds the clients' share: it gets one answer and is then closed. */
   isSurplus: boolean;
 }
 
-/** For connections without any request. */
+/** Idle timeout of connections on which no request has arrived yet. */
 const UNUSED_TIMEOUT_MS = 10_000;
-/** Shorter: other clients wait for the place of one that will be turned away. */
+/** Idle timeout of surplus connections: short, since there are few places for rejected clients. */
 const SURPLUS_TIMEOUT_MS = 2000;
 const USER_IDLE_TIMEOUT_MS = 60_000;
-/** A worker that has missed so many heartbeats is gone, or will open a new connection. */
+/** After this many missed heartbeats, a worker is gone or will open a new connection. */
 const MISSED_HEARTBEAT_COUNT = 4;
 const MIN_WORKER_IDLE_TIMEOUT_MS = 15_000;
 
 /**
- * Admission of clients' connections. Machines that die, are taken or returned close
- * nothing, so idle connections are closed early; with many machines coming and going they
- * would else fill the table within a minute. When it is full, the connection of a user that
- * has been idle for the longest is closed for each new one; workers keep theirs, since their
- * leases depend on them. A surplus connection is answered once, with a time to retry, and
- * closed.
+ * Admits clients' connections and closes idle ones. A machine that fails, is preempted or is
+ * returned does not close its connection; with many machines coming and going, such connections
+ * would fill the table within a minute, so idle ones are closed early. When the table is full,
+ * each new connection replaces the user's connection that has been idle for the longest. Workers
+ * keep theirs, since they need them to renew their leases. If no user's connection is idle, the
+ * new one is surplus, as is a worker's beyond the workers' share: it is answered once, with a
+ * retry time, and closed.
  */
 export class Connections {
-  /** In the order of their last use, oldest first. */
+  /** In the order of their last use, least recently used first. */
   private readonly connections = new Map<Closable, Connection>();
   private readonly countByClient: Record<ClientKind, number> = {
     nobody: 0,
@@ -54,12 +58,12 @@
     private readonly now: () => Instant,
   ) {}
 
-  /** Open connections by client; `surplus` ones are counted under that alone. */
+  /** Numbers of open connections by client; surplus ones count only as `surplus`. */
   counts(): Record<ClientKind | 'surplus', number> {
     return { ...this.countByClient, surplus: this.surplusCount };
   }
 
-  /** A client has connected. */
+  /** Adds the connection of a client that has connected. */
   connectionOpened(socket: Closable): void {
     const regularCount = this.connections.size - this.surplusCount;
     const isSurplus = regularCount >= this.shares.clients && !this.closeOneIdleUser();
@@ -69,7 +73,7 @@
     else this.countByClient.nobody++;
   }
 
-  /** A connection is gone, whoever closed it. */
+  /** Removes a connection that has been closed by either side. */
   connectionClosed(socket: Closable): void {
     const connection = this.connections.get(socket);
     if (!connection) return;
@@ -78,7 +82,7 @@
     else this.countByClient[connection.client]--;
   }
 
-  /** A request has come in. False if it is to be turned away; a probe never is. */
+  /** Records a request. False if it must be rejected, which a health probe never is. */
   admitRequest(socket: Closable, client: ClientKind): boolean {
     const connection = this.connections.get(socket);
     if (!connection) return true;
@@ -94,12 +98,12 @@
     return !connection.isSurplus || client === 'probe';
   }
 
-  /** Whether the connection is to be closed with the answer. */
+  /** Whether the connection must be closed after the next answer. */
   mustCloseAfterAnswer(socket: Closable): boolean {
     return this.connections.get(socket)?.isSurplus ?? false;
   }
 
-  /** A request has been answered, or its connection is gone. */
+  /** Records that a request has been answered or that its connection is closed. */
   requestAnswered(socket: Closable): void {
     const connection = this.connections.get(socket);
     if (!connection) return;
@@ -107,7 +111,7 @@
     this.markUsed(socket, connection);
   }
 
-  /** Closes connections that have been idle for too long. */
+  /** Closes all connections that have been idle for longer than their timeout. */
   closeIdleConnections(): void {
     const now = this.now();
     const idle = [...this.connections].filter(
@@ -136,7 +140,7 @@
     this.connections.set(socket, connection);
   }
 
-  /** False if no user's connection is idle. */
+  /** Closes the user's connection that has been idle for the longest; false if none is idle. */
   private closeOneIdleUser(): boolean {
     for (const [socket, { client, isSurplus, unansweredCount }] of this.connections) {
       if (client !== 'user' || isSurplus || unansweredCount > 0) continue;
--- a/packages/adapters/src/http-client.ts
+++ b/packages/adapters/src/http-client.ts
@@ -1,36 +1,36 @@
-/** HTTP requests to the outside, over connections that stay open. */
+/** HTTP requests to other processes. */
 import { Agent, request, type IncomingMessage } from 'node:http';
 import { WireError, packBody, unpackBody, type Duration } from '@tealdock/wire';
 import type { CallResult } from '@tealdock/controller';
 
-/** Longer answers are not read; only those to watches come near it. */
+/** A longer response is not read and counts as lost; only those to watches come near this. */
 const MAX_ANSWER_BYTES = 8 * 1024 * 1024;
 const MAX_PORT = 65_535;
 /** The lowest status of an error. */
 const MIN_ERROR_STATUS = 400;
 
-/** One request to an outside service. */
+/** A request to another process. */
 export interface HttpCall {
   host: string;
   port: number;
   method: string;
   path: string;
-  /** Sent as MessagePack; null for none. */
+  /** Sent as MessagePack; null for a request without a body. */
   body: unknown;
   timeout: Duration;
 }
 
-/** Host and port of an address in the form `host:port`. */
+/** Splits an address in the form `host:port`. */
 export function splitAddress(address: string): { host: string; port: number } {
   const colon = address.lastIndexOf(':');
   return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
 }
 
-/** Sends calls; each has exactly one result, and none throws. */
+/** Sends HTTP requests; each has exactly one result, and none throws. */
 export class HttpClient {
   private readonly agent: Agent;
 
-  /** Without `keepAlive`, calls to many hosts leave no sockets behind. */
+  /** `keepAlive` should be false for calls to many hosts, so that no idle sockets stay open. */
   constructor(maxSockets: number, keepAlive = true) {
     this.agent = new Agent({
       keepAlive,
@@ -41,19 +41,19 @@
     });
   }
 
-  /** Closes all connections; calls under way are lost. */
+  /** Closes all connections; pending calls are lost. */
   close(): void {
     this.agent.destroy();
   }
 
-  /** The result of a call, as a promise that never rejects. */
+  /** Sends a call and returns its result; the promise never rejects. */
   request(call: HttpCall): Promise<CallResult> {
     return new Promise((resolve) => this.send(call, resolve));
   }
 
-  /** The same by a callback, for the state owner's calls, where each turn counts. */
+  /** Like `request`, but passes the result to a callback without the extra turn of a promise. */
   send(call: HttpCall, onResult: (result: CallResult) => void): void {
-    // Addresses of workers come from outside: an impossible one must not throw.
+    // Workers report their own addresses, so one with an invalid port must not throw here.
     if (!(call.port > 0 && call.port <= MAX_PORT)) return onResult({ kind: 'unsent' });
     let isSettled = false;
     const settle = (result: CallResult) => {
@@ -104,7 +104,7 @@
     return { kind: 'answer', status, body };
   } catch (error) {
     if (!(error instanceof WireError)) throw error;
-    // Without a readable body, only the status of an error says that nothing was executed.
+    // Without a readable body, only an error status shows the outcome: nothing was executed.
     return status >= MIN_ERROR_STATUS ? { kind: 'answer', status, body: null } : { kind: 'lost' };
   }
 }
--- a/packages/adapters/src/http-server.ts
+++ b/packages/adapters/src/http-server.ts
@@ -1,4 +1,4 @@
-/** The public HTTP interface. */
+/** The public HTTP server. */
 import {
   createServer,
   type IncomingMessage,
@@ -16,17 +16,17 @@
 const REPLY_TIMEOUT_MS = 6000;
 const BUSY_RETRY_AFTER_MS = 1000;
 
-/** Handles a whole request; its answer goes through `respond`. */
+/** Handles a request whose body is complete, and calls `respond` with the reply. */
 export type RequestHandler = (method: string, path: string, body: Buffer, respond: Respond) => void;
-/** Sends the answer to a request, once. */
+/** Sends the reply to a request; called once. */
 export type Respond = (reply: Reply) => void;
 
 const BUSY: Reply = { status: 503, body: { error: 'busy' }, retryAfter: BUSY_RETRY_AFTER_MS };
 const LEASE_IN_DOUBT: Reply = { status: 503, body: { error: 'lease in doubt' } };
 
 /**
- * The HTTP server for users, workers and health checks, with limits on bodies, connections and
- * the time that a request or its answer may take.
+ * The HTTP server for users, workers and health checks. It limits the size of bodies, the number
+ * of connections and the time that a request and its reply may take.
  */
 export class PublicHttpServer {
   private readonly server: Server;
@@ -37,7 +37,7 @@
     shares: SocketShares,
   ) {
     this.server = createServer({ noDelay: true }, (req, res) => this.accept(req, res));
-    // `Connections` closes idle ones, by kinds of clients.
+    // `Connections` closes idle connections, with a timeout for each kind of client.
     this.server.keepAliveTimeout = 0;
     this.server.headersTimeout = REQUEST_TIMEOUT_MS;
     this.server.requestTimeout = REQUEST_TIMEOUT_MS;
@@ -75,7 +75,7 @@
     });
     req.on('error', () => res.destroy());
     req.on('end', () => {
-      if (bytes <= MAX_BODY_BYTES) this.passOn(req, Buffer.concat(chunks), res);
+      if (bytes <= MAX_BODY_BYTES) this.handleWithTimeout(req, Buffer.concat(chunks), res);
     });
   }
 
@@ -84,7 +84,7 @@
     write(res, { status: 400, body: { error: 'the body is over 64 KiB' } });
   }
 
-  private passOn(req: IncomingMessage, body: Buffer, res: ServerResponse): void {
+  private handleWithTimeout(req: IncomingMessage, body: Buffer, res: ServerResponse): void {
     const timer = setTimeout(() => write(res, BUSY), REPLY_TIMEOUT_MS);
     this.handle(req.method ?? 'GET', pathOf(req), body, (reply) => {
       clearTimeout(timer);
@@ -102,7 +102,7 @@
 
 function write(res: ServerResponse, reply: Reply): void {
   if (res.headersSent || res.destroyed) return;
-  // Checked at the moment of writing: a leader whose lease may be over promises nothing.
+  // Checked just before writing: a leader whose lease may have expired must not renew leases.
   const isLate = reply.validUntil !== undefined && performance.now() >= reply.validUntil;
   const final = isLate ? LEASE_IN_DOUBT : reply;
   const payload = packBody(final.body);
--- a/packages/adapters/src/index.ts
+++ b/packages/adapters/src/index.ts
@@ -1,4 +1,4 @@
-/** Adapters between the state owner and the outside. */
+/** Adapters that connect the state owner to the network, the clock and the log. */
 export * from './http-client.js';
 export * from './log.js';
 export * from './service.js';
--- a/packages/adapters/src/listen.ts
+++ b/packages/adapters/src/listen.ts
@@ -1,4 +1,4 @@
-/** Listening on an address that an earlier process may still hold. */
+/** Listening on an address that another process may still use for a short time. */
 import type { Server } from 'node:net';
 import { splitAddress } from './http-client.js';
 
@@ -6,7 +6,7 @@
 const RETRY_TIMEOUT_MS = 30_000;
 const BACKLOG_COUNT = 511;
 
-/** An address that can't be listened on, or not any more. */
+/** A server can't listen on its address, or has stopped listening because of an error. */
 export class ListenError extends Error {
   override readonly name = 'ListenError';
 
@@ -18,7 +18,7 @@
   }
 }
 
-/** What becomes of a listener. */
+/** Callbacks of `listen`. */
 export interface ListenEvents {
   onListening: () => void;
   /** May also be called after `onListening`. */
@@ -26,8 +26,8 @@
 }
 
 /**
- * Listens, and retries while something else still has the address: a process that
- * restarts at once may find that an outgoing connection of another one has taken the port.
+ * Listens on an address (`host:port`) and retries while the address is in use: an outgoing
+ * connection of another process may have taken the port while this process was restarting.
  */
 export function listen(
   server: Server,
--- a/packages/adapters/src/log.ts
+++ b/packages/adapters/src/log.ts
@@ -6,7 +6,10 @@
 const DEFAULT_LEVEL = 'info';
 const STANDARD_ERROR_FD = 2;
 
-/** JSON lines on standard error; `level` is that of LOG_LEVEL, `info` where it is unknown. */
+/**
+ * Creates a log that writes JSON lines to standard error. `level` is the value of LOG_LEVEL; if it
+ * is undefined or unknown, the level is `info`.
+ */
 export function makeLog(level: string | undefined, member: string): Log {
   const isKnown = level !== undefined && LEVELS.includes(level);
   const options = { level: isKnown ? level : DEFAULT_LEVEL, base: { member } };
--- a/packages/adapters/src/outgoing-calls.ts
+++ b/packages/adapters/src/outgoing-calls.ts
@@ -1,4 +1,4 @@
-/** Calls of the state owner to everything outside its process. */
+/** The state owner's calls to other processes. */
 import type { Settings } from '@tealdock/wire';
 import {
   CLOUD_SOCKET_COUNT,
@@ -13,12 +13,12 @@
 import { HttpClient, splitAddress } from './http-client.js';
 import type { PeerLink } from './peer-link.js';
 
-/** The lowest status of a failure on the server's side. */
+/** The lowest status of a server error. */
 const MIN_SERVER_ERROR_STATUS = 500;
 const TOO_MANY_REQUESTS_STATUS = 429;
 
-/** What the calls are sent with. */
-export interface OutgoingCallsParts {
+/** Dependencies of `OutgoingCalls`. */
+export interface OutgoingCallsDependencies {
   settings: Settings;
   peers: PeerLink;
   log: Log;
@@ -32,38 +32,38 @@
   private readonly workerHttp = new HttpClient(WORKER_SOCKET_COUNT, false);
   private readonly limiter: CallRateLimiter;
 
-  constructor(private readonly parts: OutgoingCallsParts) {
-    this.limiter = new CallRateLimiter(parts.settings, {
+  constructor(private readonly dependencies: OutgoingCallsDependencies) {
+    this.limiter = new CallRateLimiter(dependencies.settings, {
       now: () => performance.now(),
       schedule: (delay, run) => void setTimeout(run, delay),
     });
   }
 
-  /** Which fraction of the state service's changes per second this node may use from now on. */
+  /** Sets the fraction of the state service's writes per second that this node may use. */
   setWriteFraction(fraction: number): void {
     this.limiter.setWriteFraction(fraction);
   }
 
-  /** Sends a call; a callback, since the result goes back to the state owner's queue. */
+  /** Sends a call once the rate limits allow it; `onResult` is called exactly once. */
   send(call: Call, onResult: (result: CallResult) => void): void {
     const drop = () => {
-      this.parts.stats.count(`calls.${call.target}.dropped`);
+      this.dependencies.stats.count(`calls.${call.target}.dropped`);
       onResult({ kind: 'unsent' });
     };
     const submittedAt = performance.now();
     const send = () => {
       if (call.target === 'state')
-        this.parts.stats.record('calls.state.waited_ms', performance.now() - submittedAt);
+        this.dependencies.stats.record('calls.state.waited_ms', performance.now() - submittedAt);
       this.sendNow(call, onResult);
     };
     this.limiter.submit(call, send, drop);
   }
 
   private sendNow(call: Call, onResult: (result: CallResult) => void): void {
-    const { stateAddress, cloudAddress } = this.parts.settings;
+    const { stateAddress, cloudAddress } = this.dependencies.settings;
     switch (call.target) {
       case 'peer':
-        return this.parts.peers.request(call, onResult);
+        return this.dependencies.peers.request(call, onResult);
       case 'worker':
         return this.sendHttp(this.workerHttp, call.to, call, onResult);
       case 'cloud':
@@ -88,10 +88,10 @@
 
   private recordOutcome(call: Call, result: CallResult): void {
     const outcome = result.kind === 'answer' ? result.status : result.kind;
-    this.parts.stats.count(`calls.${call.target}.${outcome}`);
+    this.dependencies.stats.count(`calls.${call.target}.${outcome}`);
     if (!isFailure(result)) return;
     const { target, method, path } = call;
-    this.parts.log('debug', { target, method, path, status: outcome }, 'call failed');
+    this.dependencies.log('debug', { target, method, path, status: outcome }, 'call failed');
   }
 }
 
--- a/packages/adapters/src/peer-link.ts
+++ b/packages/adapters/src/peer-link.ts
@@ -1,4 +1,4 @@
-/** Links between controllers. */
+/** Connections between controllers. */
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import {
   PeerDecoder,
@@ -15,13 +15,13 @@
 
 const RECONNECT_INTERVAL_MS = 1000;
 const CONNECT_TIMEOUT_MS = 2000;
-/** A peer sends a heartbeat every second; a link without anything for this long is cut. */
+/** A silent connection is closed after this long; a peer sends a heartbeat every second. */
 const SILENCE_TIMEOUT_MS = 5000;
-/** A link with more to send than this is cut: its peer does not read. */
+/** A connection with more unsent data than this is closed, since its peer does not read. */
 const MAX_BUFFERED_BYTES = 512 * 1024;
 const MAX_SOCKET_COUNT = 64;
 
-/** What comes from the other controllers. */
+/** Callbacks for messages and events from the other controllers. */
 export interface PeerEvents {
   onHeartbeat(message: PeerHeartbeat): void;
   onBroadcast(message: LeaderBroadcast): void;
@@ -34,14 +34,14 @@
 }
 
 /**
- * Links between controllers: Avro records over TCP. Each node dials every peer
- * and sends on the connection it dialled; answers return on the same one.
+ * Connections between controllers: Avro records over TCP. Each node dials every peer and sends
+ * its messages on the connection that it dialled; answers return on the same connection.
  */
 export class PeerLink {
   private readonly server: Server;
-  /** Connections that were dialled, by member. */
+  /** The established connections that this node dialled, by member. */
   private readonly sockets = new Map<string, Socket>();
-  /** Requests without an answer yet, by id. */
+  /** Callbacks of the requests that have no answer yet, by request id. */
   private readonly pending = new Map<number, (result: CallResult) => void>();
   private lastRequestId = 0;
 
@@ -50,23 +50,23 @@
     private readonly events: PeerEvents,
     private readonly log: Log,
   ) {
-    this.server = createServer((socket) => this.read(socket));
+    this.server = createServer((socket) => this.receiveFrom(socket));
     this.server.maxConnections = MAX_SOCKET_COUNT;
   }
 
-  /** Listens on an address in the form `host:port`, and dials all peers again and again. */
+  /** Listens on an address in the form `host:port`, and stays connected to all peers. */
   listen(address: string, onFailure: (error: ListenError) => void): void {
     listen(this.server, address, { onListening: () => undefined, onFailure });
     for (const peer of this.peers) this.dial(peer);
   }
 
-  /** Sends a message to all peers that are connected. */
+  /** Sends a message to all connected peers. */
   send(message: PeerHeartbeat | LeaderBroadcast): void {
     const frame = packPeer(message);
     for (const socket of this.sockets.values()) this.write(socket, frame);
   }
 
-  /** Sends a call to the peer that it names; `onResult` is called exactly once. */
+  /** Sends a call to the peer `call.to`; `onResult` is called exactly once. */
   request(call: Call, onResult: (result: CallResult) => void): void {
     const socket = this.sockets.get(call.to);
     if (!socket) return onResult({ kind: 'unsent' });
@@ -109,11 +109,11 @@
       if (this.sockets.get(peer.member) === socket) this.sockets.delete(peer.member);
       setTimeout(() => this.dial(peer), RECONNECT_INTERVAL_MS);
     });
-    this.read(socket, peer.member);
+    this.receiveFrom(socket, peer.member);
   }
 
-  /** Only accepted connections receive heartbeats, so only they are cut when silent. */
-  private read(socket: Socket, dialledMember?: string): void {
+  /** Heartbeats arrive only on accepted connections, so only these are closed when silent. */
+  private receiveFrom(socket: Socket, dialledMember?: string): void {
     const decoder = new PeerDecoder();
     if (dialledMember === undefined) socket.setTimeout(SILENCE_TIMEOUT_MS, () => socket.destroy());
     socket.on('error', () => socket.destroy());
@@ -121,7 +121,7 @@
       try {
         for (const message of decoder.push(chunk)) this.receive(socket, message);
       } catch (error) {
-        // Whatever a peer sends costs its link, never the process.
+        // An invalid message closes the peer's connection, but must not end this process.
         this.log('info', { error: String(error) }, 'malformed peer message');
         socket.destroy();
       }
--- a/packages/adapters/src/resource-usage.ts
+++ b/packages/adapters/src/resource-usage.ts
@@ -1,4 +1,4 @@
-/** What the process uses of its host, for the log and the gauges. */
+/** Resource usage of the process, for the log and the gauges. */
 import type { Instant } from '@tealdock/wire';
 import type { Log, Stats } from '@tealdock/controller';
 import type { Connections } from './connections.js';
@@ -6,7 +6,7 @@
 const BYTES_PER_MB = 1024 * 1024;
 const MICROSECONDS_PER_MS = 1000;
 
-/** Processor, memory and connections of this process, as gauges and as a log line. */
+/** Reports the CPU time, memory and connections of this process as gauges and in the log. */
 export class ResourceUsage {
   private measuredCpu = process.cpuUsage();
   private measuredAt: Instant = performance.now();
@@ -17,14 +17,14 @@
     private readonly log: Log,
   ) {}
 
-  /** Measures and reports; the processor's share is that since the report before. */
+  /** Measures and reports the usage; the CPU time is that since the last report. */
   report(): void {
     const usage = { ...this.processor(), ...memory(), ...this.connections.counts() };
     for (const [name, value] of Object.entries(usage)) this.stats.setGauge(`usage.${name}`, value);
     this.log('info', usage, 'resource usage');
   }
 
-  /** Percentage of one core. */
+  /** CPU time as a percentage of one core. */
   private processor(): { cpuPercent: number } {
     const { user, system } = process.cpuUsage(this.measuredCpu);
     const elapsed = performance.now() - this.measuredAt;
--- a/packages/adapters/src/service.ts
+++ b/packages/adapters/src/service.ts
@@ -1,4 +1,4 @@
-/** A running node. */
+/** A running node: the state owner with its adapters. */
 import type { OperatorSettings, Settings } from '@tealdock/wire';
 import {
   Controller,
@@ -17,12 +17,12 @@
 import { ResourceUsage } from './resource-usage.js';
 
 const USAGE_REPORT_INTERVAL_MS = 30_000;
-/** Bounds of the time until the state owner's next turn without commands. */
+/** Bounds of the delay until a batch is processed although no command has arrived. */
 const MIN_TICK_DELAY_MS = 1;
 const MAX_TICK_DELAY_MS = 1000;
 
-/** What a node is made from. */
-export interface ServiceParts {
+/** Settings and dependencies of a node. */
+export interface ServiceDependencies {
   settings: Settings;
   operator: OperatorSettings;
   random: Random;
@@ -31,9 +31,8 @@
 }
 
 /**
- * A running node: adapters around the one state owner. Commands queue up for it and are
- * processed in batches, one turn of the event loop each; its effects are carried out after
- * the batch.
+ * Runs a node. Adapters queue commands for the state owner, which processes them in batches, one
+ * for each turn of the event loop. Its effects are carried out after each batch.
  */
 export class Service {
   private readonly controller: Controller;
@@ -43,13 +42,13 @@
   private readonly calls: OutgoingCalls;
   private readonly responders = new Map<number, Respond>();
   private readonly queue = new CommandQueue();
-  private isTurnScheduled = false;
+  private isBatchScheduled = false;
   private tickTimer: NodeJS.Timeout | null = null;
   private lastRequestId = 0;
 
-  constructor(private readonly parts: ServiceParts) {
-    const { settings, log, stats } = parts;
-    this.controller = new Controller(parts);
+  constructor(private readonly dependencies: ServiceDependencies) {
+    const { settings, log, stats } = dependencies;
+    this.controller = new Controller(dependencies);
     const shares = socketShares(settings);
     this.connections = new Connections(shares, settings.heartbeatInterval, () => performance.now());
     this.server = new PublicHttpServer(
@@ -74,9 +73,9 @@
     this.calls = new OutgoingCalls({ settings, peers: this.peers, log, stats });
   }
 
-  /** Runs until the process ends; rejects with `ListenError` when a listener fails. */
+  /** Runs until the process ends; rejects with `ListenError` if a server can't listen. */
   run(): Promise<never> {
-    const { settings, log, stats } = this.parts;
+    const { settings, log, stats } = this.dependencies;
     const usage = new ResourceUsage(this.connections, stats, log);
     const onListening = () => {
       log('info', { member: settings.member, address: settings.publicAddress }, 'listening');
@@ -100,49 +99,49 @@
 
   private push(command: Command): void {
     this.queue.push(command);
-    this.scheduleTurn();
+    this.scheduleBatch();
   }
 
-  private scheduleTurn(): void {
-    if (this.isTurnScheduled) return;
-    this.isTurnScheduled = true;
-    setImmediate(() => this.takeTurn());
+  private scheduleBatch(): void {
+    if (this.isBatchScheduled) return;
+    this.isBatchScheduled = true;
+    setImmediate(() => this.processBatch());
   }
 
-  /** Processes one batch; other events come before the next one. */
-  private takeTurn(): void {
-    this.isTurnScheduled = false;
+  /** Processes one batch; pending I/O events are handled before the next one. */
+  private processBatch(): void {
+    this.isBatchScheduled = false;
     const batch = this.queue.nextBatch();
     const startedAt = performance.now();
     const effects = this.controller.process(batch, startedAt, new Date());
-    for (const effect of effects) this.carryOut(effect);
-    this.parts.stats.record('batches.commands', batch.length);
-    this.parts.stats.record('batches.took_ms', performance.now() - startedAt);
-    this.parts.stats.setGauge('batches.left', this.queue.length);
-    if (this.queue.length > 0) this.scheduleTurn();
+    for (const effect of effects) this.executeEffect(effect);
+    this.dependencies.stats.record('batches.commands', batch.length);
+    this.dependencies.stats.record('batches.took_ms', performance.now() - startedAt);
+    this.dependencies.stats.setGauge('batches.left', this.queue.length);
+    if (this.queue.length > 0) this.scheduleBatch();
     this.scheduleTick();
   }
 
-  /** The state owner gets a turn when it next has something to do, commands or not. */
+  /** Makes sure that the state owner runs its timers in time even if no command arrives. */
   private scheduleTick(): void {
     if (this.tickTimer) clearTimeout(this.tickTimer);
     const untilDue = Math.max(MIN_TICK_DELAY_MS, this.controller.nextDue() - performance.now());
     const delay = Math.min(untilDue, MAX_TICK_DELAY_MS);
     const dueAt = performance.now() + delay;
     this.tickTimer = setTimeout(() => {
-      this.parts.stats.record('timers.late_ms', performance.now() - dueAt);
+      this.dependencies.stats.record('timers.late_ms', performance.now() - dueAt);
       this.push({ kind: 'tick' });
     }, delay);
   }
 
-  private carryOut(effect: Effect): void {
+  private executeEffect(effect: Effect): void {
     switch (effect.kind) {
       case 'reply':
         this.responders.get(effect.id)?.(effect.reply);
         this.responders.delete(effect.id);
         return;
       case 'heartbeat':
-        return this.peers.send({ ...effect, member: this.parts.settings.member });
+        return this.peers.send({ ...effect, member: this.dependencies.settings.member });
       case 'broadcast':
         return this.peers.send(effect.message);
       case 'set_write_fraction':
--- a/packages/adapters/src/token-bucket.ts
+++ b/packages/adapters/src/token-bucket.ts
@@ -1,19 +1,19 @@
-/** Token buckets with priorities. */
+/** A token bucket with priorities. */
 import { millisecondsOf, secondsOf, type Duration, type Instant } from '@tealdock/wire';
 
-/** Time and timers, so that tests can simulate them. */
+/** A clock and timers, which tests can simulate. */
 export interface Clock {
   now: () => Instant;
   schedule: (delay: Duration, run: () => void) => void;
 }
 
-/** A call that waits for tokens; exactly one of `run` and `drop` is called. */
+/** A request for tokens; exactly one of `run` and `drop` is called. */
 export interface TokenRequest {
-  /** Tokens that it takes; one of 0 runs at once. */
+  /** Number of tokens to take; a request for 0 runs at once. */
   cost: number;
-  /** Lower goes first. */
+  /** Requests with a lower number run first. */
   priority: number;
-  /** It is dropped once it has waited this long. */
+  /** The request is dropped once it has waited this long. */
   timeout: Duration;
   run: () => void;
   drop: () => void;
@@ -23,19 +23,19 @@
   expiresAt: Instant;
 }
 
-/** Calls that may wait at a time; the newest beyond it are dropped. */
+/** Requests that may be queued at the same time; further ones are dropped at once. */
 const MAX_QUEUE_COUNT = 500;
-const MIN_SLEEP_MS = 1;
+const MIN_REFILL_DELAY_MS = 1;
 
 /**
- * Tokens for calls to an outside service. A call that finds none waits in order
- * of priority, and is dropped, never sent, once it would come too late.
+ * Limits the rate of calls to another service. Requests that find too few tokens are queued by
+ * priority and dropped, without having run, when their timeout has passed.
  */
 export class TokenBucket {
   private tokens: number;
   private refilledAt: Instant;
   private readonly queue: QueuedRequest[] = [];
-  private isSleeping = false;
+  private isRefillScheduled = false;
 
   constructor(
     private tokensPerSecond: number,
@@ -46,13 +46,13 @@
     this.refilledAt = clock.now();
   }
 
-  /** Tokens per second from now on; the burst stays as it is. */
+  /** Changes the refill rate; the burst size stays the same. */
   setRate(tokensPerSecond: number): void {
     this.refill();
     this.tokensPerSecond = tokensPerSecond;
   }
 
-  /** Runs the call once there are tokens for it, at once where there are enough. */
+  /** Runs the request as soon as there are enough tokens for it, possibly before returning. */
   take(request: TokenRequest): void {
     if (request.cost === 0) return request.run();
     const expiresAt = this.clock.now() + request.timeout;
@@ -65,10 +65,10 @@
   private serveQueue(): void {
     this.refill();
     for (let first = this.queue[0]; first; first = this.queue[0]) {
-      // A cost beyond the burst is served by a full bucket, which then owes the rest.
+      // A cost above the burst is served from a full bucket, whose balance then becomes negative.
       const missing = Math.min(first.cost, this.burst) - this.tokens;
       if (first.expiresAt < this.clock.now()) first.drop();
-      else if (missing > 0) return this.sleep(missing);
+      else if (missing > 0) return this.serveAfterRefill(missing);
       else {
         this.tokens -= first.cost;
         first.run();
@@ -77,12 +77,12 @@
     }
   }
 
-  private sleep(missingTokens: number): void {
-    if (this.isSleeping) return;
-    this.isSleeping = true;
+  private serveAfterRefill(missingTokens: number): void {
+    if (this.isRefillScheduled) return;
+    this.isRefillScheduled = true;
     const refillTime = millisecondsOf(missingTokens / this.tokensPerSecond);
-    this.clock.schedule(Math.max(MIN_SLEEP_MS, refillTime), () => {
-      this.isSleeping = false;
+    this.clock.schedule(Math.max(MIN_REFILL_DELAY_MS, refillTime), () => {
+      this.isRefillScheduled = false;
       this.serveQueue();
     });
   }
