--- a/packages/controller/src/requests/cancellations.ts
+++ b/packages/controller/src/requests/cancellations.ts
@@ -7,7 +7,7 @@
 import { endedValue, type LiveValue } from '../state/stored-values.js';
 import { errorReply, jobReply, unavailableReply, type Respond } from './replies.js';
 
-/** How often a cancellation is tried; a commit fails if another node changes the job first. */
+/** The most commits tried for one request; a commit fails if another node changes the job first. */
 const MAX_COMMIT_ATTEMPT_COUNT = 5;
 
 /** A live job's stored value, and the key version that the commit requires. */
--- a/packages/controller/src/requests/parked-heartbeats.ts
+++ b/packages/controller/src/requests/parked-heartbeats.ts
@@ -5,7 +5,7 @@
 
 /** How long a heartbeat is parked at most; workers give up after 4 s. */
 const MAX_WAIT_MS: Duration = 2500;
-/** Parked heartbeats as a share of a node's connections; the rest stays free for other requests. */
+/** Limit of parked heartbeats as a share of all connections; the rest serve workers and users. */
 const MAX_PARKED_FRACTION = 1 / 2;
 /** Heartbeats resumed in one batch: a newly started process takes seconds to answer a thousand. */
 const MAX_RESUMED_COUNT = 64;
--- a/packages/wire/src/cloud.ts
+++ b/packages/wire/src/cloud.ts
@@ -20,7 +20,7 @@
 /** The most machines on one page of the list. */
 const MAX_PAGE_MACHINE_COUNT = 500;
 
-/** A request for machines of one kind. */
+/** A request for machines of one type in one zone. */
 export interface RentRequest {
   /** Identifies the request, so that repeating it rents no further machines. */
   request: string;
