--- a/packages/testing/src/checker/free-capacity.ts
+++ b/packages/testing/src/checker/free-capacity.ts
@@ -17,12 +17,12 @@
   workers: Iterable<FakeWorker>,
   jobs: ReadonlyMap<string, JobSpec>,
 ): FreeCapacity[] {
-  const rooms: FreeCapacity[] = [];
+  const capacities: FreeCapacity[] = [];
   for (const worker of workers) {
     if (!worker.isHung && worker.reclaimWarningSeconds === null)
-      rooms.push(freeCapacityOn(worker, jobs));
+      capacities.push(freeCapacityOn(worker, jobs));
   }
-  return rooms;
+  return capacities;
 }
 
 function freeCapacityOn(
@@ -41,10 +41,10 @@
 }
 
 /** Whether a task of the job may run in what is free on the machine. */
-export function fits(spec: JobSpec, room: FreeCapacity): boolean {
+export function fits(spec: JobSpec, free: FreeCapacity): boolean {
   const allowed =
-    (spec.types?.includes(room.type) ?? true) &&
-    (spec.zone ?? room.zone) === room.zone &&
-    (spec.spot || !room.spot);
-  return allowed && room.cpus >= spec.cpus && room.memoryGb >= spec.memoryGb;
+    (spec.types?.includes(free.type) ?? true) &&
+    (spec.zone ?? free.zone) === free.zone &&
+    (spec.spot || !free.spot);
+  return allowed && free.cpus >= spec.cpus && free.memoryGb >= spec.memoryGb;
 }
--- a/packages/testing/src/checker/rule-checker.ts
+++ b/packages/testing/src/checker/rule-checker.ts
@@ -81,18 +81,18 @@
     id: string,
     status: number,
     state: string | undefined,
-    askedAfterAccept: boolean,
-    finalWhenAsked: string | null,
+    acceptedWhenAsked: boolean,
+    finalStatusWhenAsked: string | null,
   ): void {
     const job = this.jobs.get(id);
     if (!job) return this.checkUnknownJob(id, status);
-    if (askedAfterAccept && REFUSING_STATUSES.includes(status))
+    if (acceptedWhenAsked && REFUSING_STATUSES.includes(status))
       this.reportViolation('forgotten', `${id} ${status}`);
     if (!ACCEPTING_STATUSES.includes(status)) return;
     job.accepted = true;
     job.unansweredSince = null;
     if (state === undefined) return;
-    if (finalWhenAsked !== null && finalWhenAsked !== state) {
+    if (finalStatusWhenAsked !== null && finalStatusWhenAsked !== state) {
       this.reportViolation('went_back', `${id} to ${state}`);
     }
     this.noteStatus(id, job, state);
@@ -137,10 +137,10 @@
 
   noteStart(task: string, machine: string): void {
     this.startCount++;
-    const on = this.running.get(task) ?? new Set();
-    if ([...on].some((m) => m !== machine)) this.reportViolation('ran_twice', task);
-    on.add(machine);
-    this.running.set(task, on);
+    const machines = this.running.get(task) ?? new Set();
+    if ([...machines].some((m) => m !== machine)) this.reportViolation('ran_twice', task);
+    machines.add(machine);
+    this.running.set(task, machines);
     const job = this.jobOf(task);
     if (job) job.firstStartedAt ??= this.now();
     if (job && this.waitsForPredecessor(job)) this.reportViolation('too_early', task);
@@ -150,9 +150,9 @@
   }
 
   noteEnd(task: string, machine: string, reason: string): void {
-    const on = this.running.get(task);
-    on?.delete(machine);
-    if (on?.size === 0) this.running.delete(task);
+    const machines = this.running.get(task);
+    machines?.delete(machine);
+    if (machines?.size === 0) this.running.delete(task);
     const job = this.jobOf(task);
     if (reason !== 'done' || !job) return;
     job.doneTasks.add(task);
@@ -189,7 +189,7 @@
   }
 
   check(): void {
-    for (const [task, on] of this.running) if (on.size > 0) this.checkCancelled(task);
+    for (const [task, machines] of this.running) if (machines.size > 0) this.checkCancelled(task);
     if (this.faultFreeSince === null) return;
     for (const [id, job] of this.jobs) {
       const since = Math.max(job.unansweredSince ?? Infinity, this.faultFreeSince);
@@ -200,11 +200,12 @@
   }
 
   /** With all faults over, no job waits where a machine that fits has had room all along. */
-  checkFreeCapacity(rooms: FreeCapacity[]): void {
+  checkFreeCapacity(freeCapacities: FreeCapacity[]): void {
     if (this.faultFreeSince === null) return;
-    const onMachines = this.countRunning();
+    const runningCounts = this.countRunning();
     for (const [id, job] of this.jobs) {
-      if (!this.canRun(job, onMachines.get(id) ?? 0, rooms)) job.leftWaitingSince = null;
+      if (!this.canRun(job, runningCounts.get(id) ?? 0, freeCapacities))
+        job.leftWaitingSince = null;
       else job.leftWaitingSince ??= this.now();
       if (job.leftWaitingSince === null || this.now() - job.leftWaitingSince <= MAX_LEFT_WAITING_MS)
         continue;
@@ -228,7 +229,7 @@
     return counts;
   }
 
-  private canRun(job: ObservedJob, running: number, rooms: FreeCapacity[]): boolean {
+  private canRun(job: ObservedJob, running: number, freeCapacities: FreeCapacity[]): boolean {
     const { spec } = job;
     const waiting = spec.taskCount - job.doneTasks.size - running;
     if (!job.accepted || job.finalStatus !== null || waiting <= 0 || this.waitsForPredecessor(job))
@@ -237,7 +238,7 @@
     if (spec.kind !== 'array' || spec.oneZone || spec.spread) return false;
     const left = (this.cpuLimits.get(spec.team) ?? 0) - (this.cpusByTeam().get(spec.team) ?? 0);
     if (left < spec.cpus) return false;
-    return rooms.some((room) => fits(spec, room));
+    return freeCapacities.some((free) => fits(spec, free));
   }
 
   private jobOf(task: string): ObservedJob | undefined {
@@ -245,16 +246,16 @@
   }
 
   private checkCancelled(task: string): void {
-    const told = this.jobOf(task)?.cancellationConfirmedAt ?? null;
-    if (told !== null && this.now() - told > this.cancellationLimit)
+    const confirmedAt = this.jobOf(task)?.cancellationConfirmedAt ?? null;
+    if (confirmedAt !== null && this.now() - confirmedAt > this.cancellationLimit)
       this.reportViolation('ran_cancelled', task);
   }
 
   private cpusByTeam(): Map<string, number> {
     const used = new Map<string, number>();
-    for (const [task, on] of this.running) {
+    for (const [task, machines] of this.running) {
       const spec = this.jobOf(task)?.spec;
-      if (spec) used.set(spec.team, (used.get(spec.team) ?? 0) + spec.cpus * on.size);
+      if (spec) used.set(spec.team, (used.get(spec.team) ?? 0) + spec.cpus * machines.size);
     }
     return used;
   }
@@ -267,7 +268,7 @@
     }
   }
 
-  private reportViolation(rule: string, what: string): void {
-    this.violations.push(`${rule}: ${what} at ${Math.round(this.now())}`);
+  private reportViolation(rule: string, details: string): void {
+    this.violations.push(`${rule}: ${details} at ${Math.round(this.now())}`);
   }
 }
--- a/packages/testing/src/checker/service-levels.ts
+++ b/packages/testing/src/checker/service-levels.ts
@@ -14,22 +14,22 @@
   jobs: ObservedJob[],
   waitOf: (job: ObservedJob) => Duration,
 ): string[] {
-  const faults: string[] = [];
+  const shortfalls: string[] = [];
   for (const [team, members] of groupBy(jobs, (j) => j.spec.team)) {
-    faults.push(...findShortfall(`team ${team}`, members));
+    shortfalls.push(...findShortfall(`team ${team}`, members));
   }
   for (const [name, members] of groupBy(jobs, (j) => j.spec.jobClass)) {
     const largest = largestOf(members);
-    faults.push(...findShortfall(`class ${name}`, members));
-    faults.push(...findShortfall(`largest of ${name}`, largest));
+    shortfalls.push(...findShortfall(`class ${name}`, members));
+    shortfalls.push(...findShortfall(`largest of ${name}`, largest));
     for (const job of largest) {
       const waited = waitOf(job);
       if (waited > MAX_LARGEST_JOB_WAIT_MS) {
-        faults.push(`${job.spec.id} began after ${waited} ms`);
+        shortfalls.push(`${job.spec.id} began after ${waited} ms`);
       }
     }
   }
-  return faults;
+  return shortfalls;
 }
 
 function largestOf(jobs: ObservedJob[]): ObservedJob[] {
--- a/packages/testing/src/scenarios/combined-faults.test.ts
+++ b/packages/testing/src/scenarios/combined-faults.test.ts
@@ -1,80 +1,88 @@
 import assert from 'node:assert/strict';
 import { job } from '../index.js';
-import { busy, onEachDeployment, start } from './deployments.js';
-import { A, cancelled, endsWell, idOf, others, running, workers } from './steps.js';
+import { busyDeployment, testOnEachDeployment, readyDeployment } from './deployments.js';
+import {
+  JOB1,
+  cancelAndConfirm,
+  assertRecovery,
+  jobId,
+  followers,
+  runningTaskCount,
+  workers,
+} from './steps.js';
 
 // Two faults at the same time, with the times of both deployments.
 
-onEachDeployment(
+testOnEachDeployment(
   'a zone with workers and a controller is cut off for longer than the lease',
   (times) => {
-    for (const leaderToo of [true, false]) {
-      const cluster = busy(times, 2, 4);
-      const far = leaderToo ? cluster.leader()! : others(cluster)[0]!;
+    for (const withLeader of [true, false]) {
+      const cluster = busyDeployment(times, 2, 4);
+      const far = withLeader ? cluster.leader()! : followers(cluster)[0]!;
       const machines = workers(cluster).filter((w) => w.machine.zone === 'b');
       cluster.network.partition([far, ...machines.map((w) => w.machine.id)]);
       cluster.run(15_000);
-      cluster.cancel(A, far);
+      cluster.cancel(JOB1, far);
       cluster.run(times.lease + 20_000);
-      endsWell(cluster, [1, 2]);
+      assertRecovery(cluster, [1, 2]);
     }
   },
 );
 
-onEachDeployment('a kept worker loses only what is called off', (times) => {
-  const cluster = busy(times, 2, 4);
-  const far = others(cluster)[0]!;
+testOnEachDeployment('a kept worker loses only what is called off', (times) => {
+  const cluster = busyDeployment(times, 2, 4);
+  const far = followers(cluster)[0]!;
   const machines = workers(cluster).filter((w) => w.machine.zone === 'b');
   cluster.network.partition([far, ...machines.map((w) => w.machine.id)]);
   cluster.run(15_000);
-  cancelled(cluster, 1, far);
+  cancelAndConfirm(cluster, 1, far);
   cluster.run(times.lease + 10_000);
   for (const w of machines) assert.equal(w.agentEpoch, 1, `${w.machine.id} kept its lease`);
-  assert.equal(running(cluster), 4);
-  endsWell(cluster, [1, 2]);
+  assert.equal(runningTaskCount(cluster), 4);
+  assertRecovery(cluster, [1, 2]);
 });
 
-onEachDeployment(
+testOnEachDeployment(
   'a cancellation, a question and a repeated submission meet the end of the last task',
   (times) => {
     for (let moment = 0; moment <= 2000; moment += 100) {
-      const cluster = start(times, { runTime: 3000 }, 1);
+      const cluster = readyDeployment(times, { runTime: 3000 }, 1);
       cluster.submit(job(1, { batch: 1 }), 'n-0');
       const exited = () => workers(cluster).some((w) => w.tasks.some((t) => t.status === 'exited'));
       assert.ok(cluster.runUntil(exited, 20_000));
       cluster.run(moment);
-      const [b, c] = others(cluster);
-      cluster.cancel(A, b!);
-      cluster.poll(A, c!);
+      const [b, c] = followers(cluster);
+      cluster.cancel(JOB1, b!);
+      cluster.poll(JOB1, c!);
       cluster.submit(job(1, { batch: 1 }), cluster.leader()!);
-      cluster.poll(A, b!);
-      endsWell(cluster, [1]);
+      cluster.poll(JOB1, b!);
+      assertRecovery(cluster, [1]);
     }
   },
 );
 
 for (const outage of [false, true]) {
   const name = outage ? ', inside an outage' : '';
-  onEachDeployment(`leaders change ten times in two minutes${name}`, (times) => {
-    const cluster = busy(times, 3, 4);
+  testOnEachDeployment(`leaders change ten times in two minutes${name}`, (times) => {
+    const cluster = busyDeployment(times, 3, 4);
     for (let i = 0; i < 10; i++) {
       const leader = cluster.leader();
       if (outage && i % 3 === 1) cluster.state.down = true;
       if (outage && i % 3 === 2) cluster.state.restore();
-      if (i === 2 || i === 5) cluster.cancel(idOf(i === 2 ? 1 : 2), others(cluster)[0]!);
+      if (i === 2 || i === 5) cluster.cancel(jobId(i === 2 ? 1 : 2), followers(cluster)[0]!);
       if (leader) cluster.crash(leader);
       cluster.at(6000, () => leader && cluster.boot(leader));
       cluster.run(12_000);
     }
-    endsWell(cluster, [1, 2, 3]);
+    assertRecovery(cluster, [1, 2, 3]);
   });
 }
 
-onEachDeployment(
+testOnEachDeployment(
   'controllers hand over and back, all end, and one returns within a second',
   (times) => {
     for (const pause of [100, 400, 900]) {
-      const cluster = busy(times, 2, 4);
+      const cluster = busyDeployment(times, 2, 4);
       const first = cluster.leader()!;
       cluster.crash(first);
       cluster.run(times.leaderLease + 1500);
@@ -86,15 +94,15 @@
       cluster.run(pause);
       cluster.boot(first);
       cluster.run(3000);
-      cancelled(cluster, 1, first);
-      endsWell(cluster, [1, 2]);
+      cancelAndConfirm(cluster, 1, first);
+      assertRecovery(cluster, [1, 2]);
     }
   },
 );
 
-onEachDeployment('tasks of one job end far apart across a change of leader', (times) => {
-  const apart = (piece: string) => 4000 + Number(piece.split('/')[1]) * 25_000;
-  const cluster = start(times, { runTimeOf: apart });
+testOnEachDeployment('tasks of one job end far apart across a change of leader', (times) => {
+  const runTimeOf = (piece: string) => 4000 + Number(piece.split('/')[1]) * 25_000;
+  const cluster = readyDeployment(times, { runTimeOf });
   for (let n = 1; n <= 6; n++) cluster.submit(job(n, { batch: 2 + (n % 2) }), 'n-0');
   for (let i = 0; i < 3; i++) {
     cluster.run(10_000);
@@ -102,132 +110,136 @@
     cluster.crash(leader);
     cluster.at(6000, () => cluster.boot(leader));
   }
-  endsWell(cluster, [1, 2, 3, 4, 5, 6]);
+  assertRecovery(cluster, [1, 2, 3, 4, 5, 6]);
   assert.equal(cluster.checker.startCount, 15, 'what was done stays done');
 });
 
-onEachDeployment('all controllers are away for longer than the lease', (times) => {
-  const cluster = busy(times, 2, 4);
-  cancelled(cluster, 1, others(cluster)[0]!);
+testOnEachDeployment('all controllers are away for longer than the lease', (times) => {
+  const cluster = busyDeployment(times, 2, 4);
+  cancelAndConfirm(cluster, 1, followers(cluster)[0]!);
   for (const n of cluster.nodeNames) cluster.crash(n);
   cluster.run(times.lease + 8000);
   for (const n of cluster.nodeNames) cluster.boot(n);
-  endsWell(cluster, [1, 2]);
+  assertRecovery(cluster, [1, 2]);
 });
 
-onEachDeployment('machines can not open connections, while direct commands reach them', (times) => {
-  const cluster = busy(times, 2, 6);
-  const unheard = workers(cluster).slice(0, 2);
-  for (const w of unheard) cluster.network.cutHeartbeatsOf(w.machine.id);
-  cluster.run(times.heartbeatInterval * 2 + 1000);
-  cancelled(cluster, 1, others(cluster)[0]!);
-  cluster.run(2000);
-  const left = unheard.flatMap((w) => w.tasks).filter((t) => t.piece.startsWith(A));
-  assert.deepEqual(
-    left.filter((t) => t.status !== 'exited'),
-    [],
-    'told directly',
-  );
-  cluster.run(times.lease + 10_000);
-  assert.ok(unheard.every((w) => w.agentEpoch > 1));
-  endsWell(cluster, [1, 2]);
-});
+testOnEachDeployment(
+  'machines can not open connections, while direct commands reach them',
+  (times) => {
+    const cluster = busyDeployment(times, 2, 6);
+    const unreachable = workers(cluster).slice(0, 2);
+    for (const w of unreachable) cluster.network.cutHeartbeatsOf(w.machine.id);
+    cluster.run(times.heartbeatInterval * 2 + 1000);
+    cancelAndConfirm(cluster, 1, followers(cluster)[0]!);
+    cluster.run(2000);
+    const left = unreachable.flatMap((w) => w.tasks).filter((t) => t.piece.startsWith(JOB1));
+    assert.deepEqual(
+      left.filter((t) => t.status !== 'exited'),
+      [],
+      'told directly',
+    );
+    cluster.run(times.lease + 10_000);
+    assert.ok(unreachable.every((w) => w.agentEpoch > 1));
+    assertRecovery(cluster, [1, 2]);
+  },
+);
 
-onEachDeployment(
+testOnEachDeployment(
   'a leader without state service and peers; jobs are cancelled through the new one',
   (times) => {
-    const cluster = busy(times, 3, 4);
+    const cluster = busyDeployment(times, 3, 4);
     const old = cluster.leader()!;
     cluster.network.isolate(old);
     cluster.run(1000);
-    cluster.cancel(A, others(cluster)[0]!);
+    cluster.cancel(JOB1, followers(cluster)[0]!);
     assert.ok(cluster.runUntil(() => ![old, null].includes(cluster.leader()), 20_000));
-    cluster.cancel(idOf(2), cluster.leader()!);
-    cluster.cancel(idOf(3), old);
+    cluster.cancel(jobId(2), cluster.leader()!);
+    cluster.cancel(jobId(3), old);
     cluster.run(times.cancellationLimit + 5000);
-    assert.equal(cluster.checker.finalStatus(idOf(2)), 'aborted');
-    endsWell(cluster, [1, 2, 3]);
+    assert.equal(cluster.checker.finalStatus(jobId(2)), 'aborted');
+    assertRecovery(cluster, [1, 2, 3]);
   },
 );
 
-onEachDeployment('more work than room, urgent and not, over slow links', (times) => {
-  const cluster = start(times, { runTime: 8000 }, 3);
+testOnEachDeployment('more work than room, urgent and not, over slow links', (times) => {
+  const cluster = readyDeployment(times, { runTime: 8000 }, 3);
   cluster.fleet.extraLatency = 900;
   cluster.stateLink.extraDelay = () => (cluster.random() < 0.3 ? 600 : 0);
   const numbers = Array.from({ length: 24 }, (_, i) => i + 1);
   for (const n of numbers) {
     const urgency = n % 3 === 0 ? 'urgent' : 'idle';
-    const over = { batch: 6, urgency, jobclass: urgency, expected_s: 8 };
-    cluster.at(n * 1500, () => cluster.submit(job(n, over), cluster.nodeNames[n % 3]!));
+    const overrides = { batch: 6, urgency, jobclass: urgency, expected_s: 8 };
+    cluster.at(n * 1500, () => cluster.submit(job(n, overrides), cluster.nodeNames[n % 3]!));
   }
-  cluster.at(30_000, () => cluster.cancel(idOf(4), 'n-1'));
+  cluster.at(30_000, () => cluster.cancel(jobId(4), 'n-1'));
   cluster.run(120_000);
-  endsWell(cluster, numbers);
+  assertRecovery(cluster, numbers);
 });
 
-onEachDeployment(
+testOnEachDeployment(
   'a team at its limit, a change of leader, unreachable machines and a cancellation',
   (times) => {
-    const cluster = busy(times, 2, 4, {}, { cpuLimit: 8 });
+    const cluster = busyDeployment(times, 2, 4, {}, { cpuLimit: 8 });
     cluster.submit(job(3, { batch: 6, expected_s: 20 }), 'n-0');
     cluster.submit(job(4, { batch: 2, expected_s: 20, owner: 'other' }), 'n-0');
-    const silent = workers(cluster).slice(0, 2);
-    for (const w of silent) cluster.network.cuts.add(w.machine.id);
+    const unreachable = workers(cluster).slice(0, 2);
+    for (const w of unreachable) cluster.network.cuts.add(w.machine.id);
     const old = cluster.leader()!;
     cluster.crash(old);
     cluster.run(times.leaderLease + 1500);
-    cluster.cancel(A, [...cluster.processes.running.keys()][0]!);
+    cluster.cancel(JOB1, [...cluster.processes.running.keys()][0]!);
     // Newer than the term, so it need not wait for the machines that can't be asked.
     cluster.submit(job(5, { batch: 6, expected_s: 20 }), [...cluster.processes.running.keys()][0]!);
     cluster.run(12_000);
     cluster.boot(old);
     cluster.run(times.lease + 10_000);
-    endsWell(cluster, [1, 2, 3, 4, 5]);
+    assertRecovery(cluster, [1, 2, 3, 4, 5]);
     assert.ok(cluster.checker.maxCpusUsed('team') >= 8, 'the limit was reached');
   },
 );
 
-onEachDeployment(
+testOnEachDeployment(
   'a slow state service, a refused leader, then an outage, while users cancel and ask',
   (times) => {
-    for (const refuse of [3000, 9000]) {
-      const cluster = busy(times, 4, 3);
+    for (const refusedFor of [3000, 9000]) {
+      const cluster = busyDeployment(times, 4, 3);
       cluster.stateLink.extraDelay = () => 300 + cluster.random() * 800;
       cluster.run(5000);
       const leader = cluster.leader()!;
       cluster.state.refusedNodes.add(leader);
       for (let n = 1; n <= 3; n++) {
-        cluster.at(n * 700, () => cluster.cancel(idOf(n), cluster.nodeNames[n % 3]!));
-        cluster.at(n * 900, () => cluster.poll(idOf(n), cluster.nodeNames[(n + 1) % 3]!));
+        cluster.at(n * 700, () => cluster.cancel(jobId(n), cluster.nodeNames[n % 3]!));
+        cluster.at(n * 900, () => cluster.poll(jobId(n), cluster.nodeNames[(n + 1) % 3]!));
       }
-      cluster.run(refuse);
+      cluster.run(refusedFor);
       cluster.state.down = true;
       cluster.run(times.cancellationLimit + 8000);
-      endsWell(cluster, [1, 2, 3, 4]);
+      assertRecovery(cluster, [1, 2, 3, 4]);
     }
   },
 );
 
-onEachDeployment('jobs bound to one zone lose machines', (times) => {
-  const cluster = start(times, { runTime: 20_000 });
+testOnEachDeployment('jobs bound to one zone lose machines', (times) => {
+  const cluster = readyDeployment(times, { runTime: 20_000 });
   cluster.submit(job(1, { batch: 6, same_place: true, expected_s: 20 }), 'n-0');
   cluster.submit(job(2, { batch: 6, hall: 'b', expected_s: 20 }), 'n-1');
   cluster.submit(job(3, { batch: 5, apart: true, expected_s: 20 }), 'n-2');
-  assert.ok(cluster.runUntil(() => running(cluster) > 10, 40_000));
+  assert.ok(cluster.runUntil(() => runningTaskCount(cluster) > 10, 40_000));
   for (const w of workers(cluster).filter((x) => x.machine.zone === 'b'))
     cluster.cloud.take(w.machine.id);
   cluster.run(times.lease);
   for (let i = 0; i < 2; i++) cluster.cloud.add('b');
-  endsWell(cluster, [1, 2, 3]);
+  assertRecovery(cluster, [1, 2, 3]);
 });
 
-for (const how of ['reached', 'told'] as const) {
-  const name = how === 'reached' ? 'can not be reached' : "don't hear the new leader's answers";
-  onEachDeployment(`a leader ends while machines with long tasks ${name}`, (times) => {
+for (const lostTraffic of ['reached', 'told'] as const) {
+  const name =
+    lostTraffic === 'reached' ? 'can not be reached' : "don't hear the new leader's answers";
+  testOnEachDeployment(`a leader ends while machines with long tasks ${name}`, (times) => {
     for (const length of [10_000, times.lease + 20_000, 100_000]) {
-      const cluster = busy(times, 2, 6);
+      const cluster = busyDeployment(times, 2, 6);
       const victim = workers(cluster)[0]!.machine.id;
-      if (how === 'reached') cluster.network.cuts.add(victim);
+      if (lostTraffic === 'reached') cluster.network.cuts.add(victim);
       else cluster.network.cutResponsesTo(victim);
       cluster.crash(cluster.leader()!);
       cluster.run(3000);
@@ -244,7 +256,7 @@
         assert.ok(ready() > before, 'the others do not wait for as long as it is so');
       }
       assert.ok(cluster.now() - from >= length);
-      endsWell(cluster, [1, 2, 3]);
+      assertRecovery(cluster, [1, 2, 3]);
     }
   });
 }
--- a/packages/testing/src/scenarios/dependencies.test.ts
+++ b/packages/testing/src/scenarios/dependencies.test.ts
@@ -3,66 +3,66 @@
 import { packBody } from '@tealdock/wire';
 import { SimulatedCluster, job } from '../index.js';
 import {
-  A,
-  after,
-  B,
-  begun,
+  JOB1,
+  waitsOn,
+  JOB2,
+  hasStarted,
   crashLeader,
-  finished,
-  idOf,
-  keepsRules,
-  others,
-  settled,
-  submitted,
-  told,
+  runUntilDone,
+  jobId,
+  assertNoViolations,
+  followers,
+  readyCluster,
+  submitAccepted,
+  polledStatus,
 } from './steps.js';
 
 test('a job starts once the last of its predecessors is done, across a change of leader', () => {
   for (const moment of [2000, 6000, 10_000, 14_000]) {
-    const cluster = settled({ runTimeOf: (p) => (p.startsWith(A) ? 4000 : 12_000) });
-    submitted(cluster, 1);
-    submitted(cluster, 2);
-    submitted(cluster, 3, after(1, 2, 1));
-    assert.equal(told(cluster, 3, 'n-1'), 'queued');
+    const cluster = readyCluster({ runTimeOf: (p) => (p.startsWith(JOB1) ? 4000 : 12_000) });
+    submitAccepted(cluster, 1);
+    submitAccepted(cluster, 2);
+    submitAccepted(cluster, 3, waitsOn(1, 2, 1));
+    assert.equal(polledStatus(cluster, 3, 'n-1'), 'queued');
     cluster.at(moment, () => crashLeader(cluster));
-    assert.ok(finished(cluster, idOf(3)));
-    keepsRules(cluster);
+    assert.ok(runUntilDone(cluster, jobId(3)));
+    assertNoViolations(cluster);
   }
 });
 
 test('a predecessor that ends as the job is accepted neither releases early nor keeps it waiting', () => {
   for (let moment = 0; moment <= 1500; moment += 100) {
-    const cluster = settled({ runTime: 2000 });
+    const cluster = readyCluster({ runTime: 2000 });
     cluster.submit(job(1), 'n-0');
-    assert.ok(cluster.runUntil(() => cluster.checker.doneTasks(A).size === 2, 20_000));
+    assert.ok(cluster.runUntil(() => cluster.checker.doneTasks(JOB1).size === 2, 20_000));
     cluster.run(moment);
-    submitted(cluster, 2, after(1));
-    assert.ok(finished(cluster, B, 20_000), `submitted ${moment} ms after the last task`);
-    keepsRules(cluster);
+    submitAccepted(cluster, 2, waitsOn(1));
+    assert.ok(runUntilDone(cluster, JOB2, 20_000), `submitted ${moment} ms after the last task`);
+    assertNoViolations(cluster);
   }
 });
 
 // Nothing but a key releases: what runs at the predecessor's machines may run again.
 test('a predecessor whose last task is done, but not its key, does not release', () => {
-  const cluster = settled({ runTime: 3000 });
+  const cluster = readyCluster({ runTime: 3000 });
   cluster.stateLink.fault = (_node, call) =>
     call.writeCount >= 2 && JSON.stringify(call.body).includes('ended/')
       ? 'lost_before'
       : undefined;
-  submitted(cluster, 1);
-  submitted(cluster, 2, after(1));
-  assert.ok(cluster.runUntil(() => cluster.checker.doneTasks(A).size === 2, 30_000));
+  submitAccepted(cluster, 1);
+  submitAccepted(cluster, 2, waitsOn(1));
+  assert.ok(cluster.runUntil(() => cluster.checker.doneTasks(JOB1).size === 2, 30_000));
   cluster.run(10_000);
-  assert.ok(!begun(cluster, 2));
+  assert.ok(!hasStarted(cluster, 2));
   cluster.stateLink.fault = null;
-  assert.ok(finished(cluster, B));
-  keepsRules(cluster);
+  assert.ok(runUntilDone(cluster, JOB2));
+  assertNoViolations(cluster);
 });
 
 // Few changes a second: ends queue up after a change of leader, and dependents wait for theirs.
 test('ends that other jobs wait for are committed first, those of cancelled dependents last', () => {
-  const [plain, awaited, urgent, cancelled, behind] = [1, 6, 7, 8, 9];
-  const cluster = settled(
+  const [firstPlain, awaited, urgent, cancelled, dependentOfCancelled] = [1, 6, 7, 8, 9];
+  const cluster = readyCluster(
     {
       capacity: 4,
       runTime: 3000,
@@ -75,125 +75,128 @@
       ? 'lost_before'
       : undefined;
   // One after the other, so that they are completed in that order.
-  const submit = (n: number, over: Record<string, unknown>) => {
-    submitted(cluster, n, over);
+  const submit = (n: number, overrides: Record<string, unknown>) => {
+    submitAccepted(cluster, n, overrides);
     cluster.run(4500);
   };
   submit(cancelled, { expected_s: 500 });
-  for (let n = plain; n < awaited; n++) submit(n, { batch: 1 });
+  for (let n = firstPlain; n < awaited; n++) submit(n, { batch: 1 });
   submit(awaited, { batch: 1 });
   submit(urgent, { batch: 1 });
-  submit(20, { batch: 1, ...after(awaited) });
-  submit(21, { batch: 1, urgency: 'urgent', ...after(urgent) });
-  submit(behind, { batch: 1, ...after(cancelled) });
-  const ran = (n: number) => cluster.checker.doneTasks(idOf(n)).size === 1;
+  submit(20, { batch: 1, ...waitsOn(awaited) });
+  submit(21, { batch: 1, urgency: 'urgent', ...waitsOn(urgent) });
+  submit(dependentOfCancelled, { batch: 1, ...waitsOn(cancelled) });
+  const ran = (n: number) => cluster.checker.doneTasks(jobId(n)).size === 1;
   assert.ok(cluster.runUntil(() => [1, 2, 3, 4, 5, awaited, urgent].every(ran), 60_000));
-  cluster.cancel(idOf(cancelled), others(cluster)[0]!);
+  cluster.cancel(jobId(cancelled), followers(cluster)[0]!);
   cluster.run(150);
   cluster.stateLink.fault = null;
   cluster.run(8000);
-  const endedAt = (n: number) => cluster.state.keys.get(`tealdock/ended/${idOf(n)}`)?.stamp ?? NaN;
-  const order = [urgent, awaited, 1, 2, 3, 4, 5, behind].map(endedAt);
+  const endedAt = (n: number) => cluster.state.keys.get(`tealdock/ended/${jobId(n)}`)?.stamp ?? NaN;
+  const order = [urgent, awaited, 1, 2, 3, 4, 5, dependentOfCancelled].map(endedAt);
   assert.ok(order.every(Number.isFinite), 'all have ended');
   assert.deepEqual(
     order,
     [...order].sort((a, b) => a - b),
   );
-  assert.ok(finished(cluster, idOf(20)) && finished(cluster, idOf(21)));
-  keepsRules(cluster);
+  assert.ok(runUntilDone(cluster, jobId(20)) && runUntilDone(cluster, jobId(21)));
+  assertNoViolations(cluster);
 });
 
 test('bad requests about predecessors', () => {
-  const cluster = settled();
+  const cluster = readyCluster();
   const post = (n: number, waits: unknown, node = 'n-0') =>
     cluster.request(node, 'POST', '/api/jobs', packBody(job(n, { waits_on: waits })))?.status;
   assert.equal(post(2, 'run-000001'), 400);
   assert.equal(post(2, [1]), 400);
-  assert.equal(post(2, [A]), 422, 'never accepted');
+  assert.equal(post(2, [JOB1]), 422, 'never accepted');
   assert.equal(post(2, ['job one']), 422);
-  submitted(cluster, 1, { expected_s: 500 });
-  assert.equal(post(2, [B, A]), 422, 'itself');
-  const many = Array.from({ length: 500 }, (_, i) => idOf(1000 + i));
+  submitAccepted(cluster, 1, { expected_s: 500 });
+  assert.equal(post(2, [JOB2, JOB1]), 422, 'itself');
+  const many = Array.from({ length: 500 }, (_, i) => jobId(1000 + i));
   const tooMany = cluster.request('n-0', 'POST', '/api/jobs', packBody(job(2, { waits_on: many })));
   assert.equal(tooMany?.status, 400);
   assert.match((tooMany.body as { error: string }).error, /^waits_on/);
   cluster.stateLink.fault = (node) => (node === 'n-2' ? 'lost_before' : undefined);
   for (const n of ['n-0', 'n-1']) cluster.network.cuts.add(`n-2>${n}`);
-  let unsure: number | undefined;
-  cluster.submit(job(2, after(1)), 'n-2', (r) => (unsure = r?.status));
+  let statusWithoutState: number | undefined;
+  cluster.submit(job(2, waitsOn(1)), 'n-2', (r) => (statusWithoutState = r?.status));
   cluster.run(5000);
-  assert.equal(unsure, 503);
+  assert.equal(statusWithoutState, 503);
   cluster.stateLink.fault = null;
   cluster.network.cuts.clear();
   for (const [n, none] of [null, [], undefined].entries()) {
-    submitted(cluster, 10 + n, { waits_on: none });
+    submitAccepted(cluster, 10 + n, { waits_on: none });
   }
-  submitted(cluster, 2, after(1, 1));
+  submitAccepted(cluster, 2, waitsOn(1, 1));
   assert.equal(post(2, 'anything'), 200, 'a known job is known whatever the body says now');
-  assert.equal(post(2, [idOf(99)]), 200);
-  keepsRules(cluster);
+  assert.equal(post(2, [jobId(99)]), 200);
+  assertNoViolations(cluster);
 });
 
 test('a waiting job rents nothing, counts for no guarantee, and its aims start at its release', () => {
   const cluster = new SimulatedCluster({
     capacity: 6,
     guarantee: 4,
-    runTimeOf: (p) => (p.startsWith(A) ? 150_000 : 4000),
+    runTimeOf: (p) => (p.startsWith(JOB1) ? 150_000 : 4000),
   });
   cluster.run(5000);
-  submitted(cluster, 1, { batch: 1 });
-  submitted(cluster, 2, { batch: 16, ...after(1) });
+  submitAccepted(cluster, 1, { batch: 1 });
+  submitAccepted(cluster, 2, { batch: 16, ...waitsOn(1) });
   cluster.run(140_000);
   assert.ok(cluster.cloud.rentedIds.length <= 2, `${cluster.cloud.rentedIds.length} machines`);
-  assert.ok(!begun(cluster, 2));
+  assert.ok(!hasStarted(cluster, 2));
   crashLeader(cluster);
   // It waited for more than two minutes, but is no older than its release.
-  assert.ok(finished(cluster, B, 200_000));
-  keepsRules(cluster);
+  assert.ok(runUntilDone(cluster, JOB2, 200_000));
+  assertNoViolations(cluster);
 });
 
 // Its predecessor's end is newer than the term, so no older leader can have started it.
 test('a job released within a term is placed before the whole registry is known, others are not', () => {
-  const cluster = settled({
+  const cluster = readyCluster({
     capacity: 4,
-    runTimeOf: (p) => (p.startsWith(A) ? 20_000 : p.startsWith(idOf(3)) ? 1000 : 40_000),
+    runTimeOf: (p) => (p.startsWith(JOB1) ? 20_000 : p.startsWith(jobId(3)) ? 1000 : 40_000),
   });
-  submitted(cluster, 1, { batch: 1 });
-  submitted(cluster, 2, { batch: 1, urgency: 'urgent', ...after(1) });
-  submitted(cluster, 3, { batch: 1 });
-  submitted(cluster, 4, { batch: 30, ...after(3) });
-  assert.ok(cluster.runUntil(() => begun(cluster, 4), 20_000));
+  submitAccepted(cluster, 1, { batch: 1 });
+  submitAccepted(cluster, 2, { batch: 1, urgency: 'urgent', ...waitsOn(1) });
+  submitAccepted(cluster, 3, { batch: 1 });
+  submitAccepted(cluster, 4, { batch: 30, ...waitsOn(3) });
+  assert.ok(cluster.runUntil(() => hasStarted(cluster, 4), 20_000));
   const lost = [...cluster.workers.values()].find(
-    (w) => !w.tasks.some((t) => t.piece.startsWith(A)),
+    (w) => !w.tasks.some((t) => t.piece.startsWith(JOB1)),
   );
   cluster.network.cuts.add(lost!.machine.id);
   const from = cluster.logLines.length;
   crashLeader(cluster);
-  assert.ok(cluster.runUntil(() => begun(cluster, 2), 40_000));
+  assert.ok(cluster.runUntil(() => hasStarted(cluster, 2), 40_000));
   const term = cluster.logLines.slice(from);
   assert.ok(
     !term.some((l) => l.message === 'machine registry reconciled'),
     'one machine is still open',
   );
-  const earlier = term.filter(
-    (l) => l.message === 'start dispatched' && String(l.fields['task']).startsWith(idOf(4)),
+  const startsOfEarlierRelease = term.filter(
+    (l) => l.message === 'start dispatched' && String(l.fields['task']).startsWith(jobId(4)),
   );
   const since = term.findIndex((l) => l.message === 'leadership acquired');
   assert.deepEqual(
-    earlier.filter((l) => term.indexOf(l) > since),
+    startsOfEarlierRelease.filter((l) => term.indexOf(l) > since),
     [],
     'a job released before the term waits for the registry',
   );
   cluster.endFaults();
-  assert.ok(finished(cluster, idOf(4), 300_000));
-  keepsRules(cluster);
+  assert.ok(runUntilDone(cluster, jobId(4), 300_000));
+  assertNoViolations(cluster);
 });
 
 test('the moment of release is the same for a later leader', () => {
-  const cluster = settled({ capacity: 1, runTimeOf: (p) => (p.startsWith(A) ? 3000 : 60_000) }, 1);
-  submitted(cluster, 1, { batch: 1 });
-  submitted(cluster, 2, { batch: 8, ...after(1) });
-  assert.ok(cluster.runUntil(() => begun(cluster, 2), 20_000));
+  const cluster = readyCluster(
+    { capacity: 1, runTimeOf: (p) => (p.startsWith(JOB1) ? 3000 : 60_000) },
+    1,
+  );
+  submitAccepted(cluster, 1, { batch: 1 });
+  submitAccepted(cluster, 2, { batch: 8, ...waitsOn(1) });
+  assert.ok(cluster.runUntil(() => hasStarted(cluster, 2), 20_000));
   cluster.run(20_000);
   const from = cluster.logLines.length;
   crashLeader(cluster);
@@ -201,5 +204,5 @@
   const released = cluster.logLines.slice(from).find((l) => l.message === 'job released');
   const ago = Number(released?.fields['ageMs']);
   assert.ok(ago > 20_000 && ago < 40_000, `${ago} ms ago`);
-  keepsRules(cluster);
+  assertNoViolations(cluster);
 });
--- a/packages/testing/src/scenarios/deployments.ts
+++ b/packages/testing/src/scenarios/deployments.ts
@@ -1,7 +1,7 @@
 /** Tests that run with the times of each deployment. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { running, settled } from './steps.js';
+import { runningTaskCount, readyCluster } from './steps.js';
 import type { ClusterOptions, DeploymentTimes } from '../simulation/cluster-options.js';
 import type { SimulatedCluster } from '../simulation/simulated-cluster.js';
 import { job } from '../simulation/small-job.js';
@@ -18,33 +18,36 @@
 };
 
 /** One test for each deployment's times. */
-export function onEachDeployment(name: string, play: (times: DeploymentTimes) => void): void {
+export function testOnEachDeployment(title: string, run: (times: DeploymentTimes) => void): void {
   for (const [site, times] of Object.entries(DEPLOYMENTS)) {
-    test(`${name} (${site})`, () => play(times));
+    test(`${title} (${site})`, () => run(times));
   }
 }
 
 /** A cluster on a deployment's times, with machines up and a leader that knows them. */
-export function start(
+export function readyDeployment(
   times: DeploymentTimes,
   options: ClusterOptions = {},
-  machines = 4,
+  machineCount = 4,
 ): SimulatedCluster {
-  return settled({ times, capacity: machines, ...options }, machines);
+  return readyCluster({ times, capacity: machineCount, ...options }, machineCount);
 }
 
 /** A cluster with `jobs` jobs of `tasks` long tasks each, all of which run. */
-export function busy(
+export function busyDeployment(
   times: DeploymentTimes,
-  jobs: number,
-  tasks: number,
-  over: Record<string, unknown> = {},
+  jobCount: number,
+  tasksPerJob: number,
+  overrides: Record<string, unknown> = {},
   options: ClusterOptions = {},
 ): SimulatedCluster {
-  const cluster = start(times, options);
-  for (let n = 1; n <= jobs; n++) {
-    cluster.submit(job(n, { batch: tasks, expected_s: 150, ...over }), cluster.nodeNames[n % 3]!);
+  const cluster = readyDeployment(times, options);
+  for (let n = 1; n <= jobCount; n++) {
+    cluster.submit(
+      job(n, { batch: tasksPerJob, expected_s: 150, ...overrides }),
+      cluster.nodeNames[n % 3]!,
+    );
   }
-  assert.ok(cluster.runUntil(() => running(cluster) === jobs * tasks, 40_000));
+  assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === jobCount * tasksPerJob, 40_000));
   return cluster;
 }
--- a/packages/testing/src/scenarios/fleet.test.ts
+++ b/packages/testing/src/scenarios/fleet.test.ts
@@ -3,41 +3,41 @@
 import { CommandQueue, Connections, type Closable } from '@tealdock/adapters';
 import { socketShares } from '@tealdock/controller';
 import { SimulatedCluster, job } from '../index.js';
-import { idOf, keepsRules, running, settled } from './steps.js';
+import { jobId, assertNoViolations, runningTaskCount, readyCluster } from './steps.js';
 
 /** Half as many machines again as the largest fleet that operations.md speaks of. */
-const MACHINES = 1300;
+const MACHINE_COUNT = 1300;
 const LIMITS = { sockets: 1650, requestsPerSecond: 250, writesPerSecond: 18 };
 
 function submitMany(
   cluster: SimulatedCluster,
-  jobs: number,
-  over: Record<string, unknown>,
+  jobCount: number,
+  overrides: Record<string, unknown>,
 ): number[] {
-  const numbers = Array.from({ length: jobs }, (_, i) => i + 1);
+  const numbers = Array.from({ length: jobCount }, (_, i) => i + 1);
   for (const n of numbers) {
-    cluster.at(n * 300, () => cluster.submit(job(n, over), cluster.nodeNames[n % 3]!));
+    cluster.at(n * 300, () => cluster.submit(job(n, overrides), cluster.nodeNames[n % 3]!));
   }
   return numbers;
 }
 
 const allDone = (cluster: SimulatedCluster, numbers: number[], tasks: number): boolean =>
-  numbers.every((n) => cluster.checker.doneTasks(idOf(n)).size === tasks);
+  numbers.every((n) => cluster.checker.doneTasks(jobId(n)).size === tasks);
 
 test('a whole fleet restarts, and all controllers with it: nothing runs twice, no lease is lost', () => {
-  const cluster = settled({ cpuLimit: 20_000, limits: LIMITS }, MACHINES);
+  const cluster = readyCluster({ cpuLimit: 20_000, limits: LIMITS }, MACHINE_COUNT);
   const numbers = submitMany(cluster, 40, { batch: 100, expected_s: 30 });
-  assert.ok(cluster.runUntil(() => running(cluster) === 4000, 40_000));
+  assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 4000, 40_000));
   const before = cluster.checker.startCount;
   for (const w of cluster.workers.values()) w.reboot();
   for (const n of cluster.nodeNames) cluster.crash(n);
   for (const n of cluster.nodeNames) cluster.at(300, () => cluster.boot(n));
   const from = cluster.now();
-  const ready = () =>
+  const reconciledCount = () =>
     cluster.logLines.filter((l) => l.message === 'machine registry reconciled').length;
-  const [known, lost] = [ready(), 4000 - running(cluster)];
+  const [reconciledBefore, lost] = [reconciledCount(), 4000 - runningTaskCount(cluster)];
   assert.ok(
-    cluster.runUntil(() => ready() > known, 15_000),
+    cluster.runUntil(() => reconciledCount() > reconciledBefore, 15_000),
     'all machines are accounted for',
   );
   assert.ok(cluster.now() - from < cluster.times.lease, 'well within the workers lease');
@@ -45,11 +45,11 @@
     cluster.runUntil(() => allDone(cluster, numbers, 100), 150_000),
     'all is done',
   );
-  keepsRules(cluster);
+  assertNoViolations(cluster);
   const again = cluster.checker.startCount - before;
   assert.ok(again <= lost + 100, `${again} starts for ${lost} tasks that were lost or waited`);
-  const leases = [...cluster.workers.values()].filter((w) => w.agentEpoch > 2).length;
-  assert.equal(leases, 0, 'no lease ran out while the reports queued up');
+  const expiredLeases = [...cluster.workers.values()].filter((w) => w.agentEpoch > 2).length;
+  assert.equal(expiredLeases, 0, 'no lease ran out while the reports queued up');
   assert.ok(cluster.processes.maxSocketCount() <= LIMITS.sockets);
   assert.equal(cluster.processes.turnedAwayCount(), 0);
 });
@@ -57,68 +57,71 @@
 const SHARES = socketShares({ maxConnections: 200, peers: [] });
 
 /** A table of connections whose clock is moved by hand. */
-class Table {
+class ConnectionsHarness {
   time = 0;
-  readonly gone: string[] = [];
-  private readonly table = new Connections(SHARES, 5000, () => this.time);
+  readonly closedSockets: string[] = [];
+  private readonly connections = new Connections(SHARES, 5000, () => this.time);
   private readonly sockets = new Map<string, Closable>();
 
   /** A client connects and asks; false if it is turned away. */
-  ask(name: string, holder: 'worker' | 'user' | 'probe', answered = true): boolean {
-    const socket = this.sockets.get(name) ?? { destroy: () => this.gone.push(name) };
-    if (!this.sockets.has(name)) this.table.connectionOpened(socket);
+  request(name: string, client: 'worker' | 'user' | 'probe', answered = true): boolean {
+    const socket = this.sockets.get(name) ?? { destroy: () => this.closedSockets.push(name) };
+    if (!this.sockets.has(name)) this.connections.connectionOpened(socket);
     this.sockets.set(name, socket);
-    const welcome = this.table.admitRequest(socket, holder);
-    if (answered) this.table.requestAnswered(socket);
-    if (this.table.mustCloseAfterAnswer(socket)) this.table.connectionClosed(socket);
-    return welcome;
+    const admitted = this.connections.admitRequest(socket, client);
+    if (answered) this.connections.requestAnswered(socket);
+    if (this.connections.mustCloseAfterAnswer(socket)) this.connections.connectionClosed(socket);
+    return admitted;
   }
 
-  wait(duration: number): void {
+  advance(duration: number): void {
     this.time += duration;
-    this.table.closeIdleConnections();
+    this.connections.closeIdleConnections();
   }
 
-  get workers(): number {
-    return this.table.counts().worker;
+  get workerCount(): number {
+    return this.connections.counts().worker;
   }
 }
 
 // Machines that die close nothing: each left a connection for two minutes.
 test('connections of machines that died make way for those that came instead', () => {
-  const table = new Table();
-  for (let turn = 0; turn < 20; turn++) {
+  const table = new ConnectionsHarness();
+  for (let generation = 0; generation < 20; generation++) {
     for (let i = 0; i < SHARES.workers / 2; i++) {
-      assert.ok(table.ask(`m-${turn}-${i}`, 'worker'), `machine ${i} of turn ${turn}`);
+      assert.ok(
+        table.request(`m-${generation}-${i}`, 'worker'),
+        `machine ${i} of turn ${generation}`,
+      );
     }
-    table.wait(21_000);
+    table.advance(21_000);
   }
-  assert.equal(table.workers, 0);
+  assert.equal(table.workerCount, 0);
 });
 
 test('a worker whose heartbeats come in time keeps its connection', () => {
-  const table = new Table();
+  const table = new ConnectionsHarness();
   for (let i = 0; i < 20; i++) {
-    table.ask('m-1', 'worker');
-    table.wait(6250);
+    table.request('m-1', 'worker');
+    table.advance(6250);
   }
-  assert.deepEqual(table.gone, []);
+  assert.deepEqual(table.closedSockets, []);
 });
 
 test('when sockets run out, idle users make way, workers stay and probes are answered', () => {
-  const table = new Table();
-  for (let i = 0; i < SHARES.clients; i++) assert.ok(table.ask(`user-${i}`, 'user'));
-  for (let i = 0; i < SHARES.workers; i++) assert.ok(table.ask(`m-${i}`, 'worker'));
+  const table = new ConnectionsHarness();
+  for (let i = 0; i < SHARES.clients; i++) assert.ok(table.request(`user-${i}`, 'user'));
+  for (let i = 0; i < SHARES.workers; i++) assert.ok(table.request(`m-${i}`, 'worker'));
   assert.deepEqual(
-    table.gone,
+    table.closedSockets,
     Array.from({ length: SHARES.workers }, (_, i) => `user-${i}`),
     'those that were idle for the longest',
   );
-  assert.equal(table.ask('m-late', 'worker'), false, 'users keep a part');
-  for (let i = 0; i < SHARES.clients; i++) table.ask(`busy-${i}`, 'user', false);
-  assert.equal(table.ask('user-late', 'user'), false);
-  assert.ok(table.ask('probe', 'probe'));
-  assert.equal(table.workers, SHARES.workers);
+  assert.equal(table.request('m-late', 'worker'), false, 'users keep a part');
+  for (let i = 0; i < SHARES.clients; i++) table.request(`busy-${i}`, 'user', false);
+  assert.equal(table.request('user-late', 'user'), false);
+  assert.ok(table.request('probe', 'probe'));
+  assert.equal(table.workerCount, SHARES.workers);
 });
 
 test('own calls and links keep their sockets whatever the host allows', () => {
@@ -134,7 +137,7 @@
   const cluster = new SimulatedCluster({ capacity: 400, cpuLimit: 5000, limits });
   cluster.run(5000);
   cluster.submit(job(1, { batch: 1200, spare: true, expected_s: 30 }), 'n-0');
-  const done = () => cluster.checker.doneTasks(idOf(1)).size === 1200;
+  const done = () => cluster.checker.doneTasks(jobId(1)).size === 1200;
   assert.ok(cluster.runUntil(done, 240_000));
   const { workers } = socketShares({
     maxConnections: limits.sockets,
@@ -146,7 +149,7 @@
   );
   assert.ok(cluster.cloud.rentedIds.length > workers / 2);
   assert.equal(cluster.processes.turnedAwayCount(), 0);
-  keepsRules(cluster);
+  assertNoViolations(cluster);
 });
 
 // A renamed field made every price acceptable: the cost limit did not reach the rental plan.
@@ -157,10 +160,10 @@
   cluster.submit(job(1, { batch: 1 }), 'n-0');
   cluster.run(30_000);
   assert.deepEqual(cluster.cloud.rentedIds, [], 'no dear machine while there is time');
-  const done = () => cluster.checker.doneTasks(idOf(1)).size === 1;
+  const done = () => cluster.checker.doneTasks(jobId(1)).size === 1;
   assert.ok(cluster.runUntil(done, 90_000), 'it is done nevertheless');
   assert.equal(cluster.cloud.rentedIds.length, 1);
-  keepsRules(cluster);
+  assertNoViolations(cluster);
 });
 
 // Behind a thousand heartbeats the answer to a renewal came after the lease was over.
--- a/packages/testing/src/scenarios/guards.test.ts
+++ b/packages/testing/src/scenarios/guards.test.ts
@@ -2,7 +2,17 @@
 import { test } from 'node:test';
 import type { Call } from '@tealdock/controller';
 import { SimulatedCluster, job } from '../index.js';
-import { A, ask, finished, idOf, keepsRules, others, running, settled, status } from './steps.js';
+import {
+  JOB1,
+  replyTo,
+  runUntilDone,
+  jobId,
+  assertNoViolations,
+  followers,
+  runningTaskCount,
+  readyCluster,
+  statusOf,
+} from './steps.js';
 
 /** Keys that a transaction writes. */
 function writtenKeys(call: Call): string[] {
@@ -13,7 +23,7 @@
 
 test('progress takes at most its share of the changes per second', () => {
   const [writesPerSecond, seconds] = [16, 30];
-  const cluster = settled(
+  const cluster = readyCluster(
     {
       capacity: 40,
       cpuLimit: 10_000,
@@ -37,16 +47,19 @@
   cluster.run(seconds * 1000);
   assert.ok(changes > seconds / 2, `${changes} changes: progress is written`);
   // An eighth of the changes, and one transaction that was due as the count began.
-  const most = (seconds * writesPerSecond) / 8 + 4;
-  assert.ok(changes <= most, `${changes} changes of progress in ${seconds} s, ${most} allowed`);
+  const maxChanges = (seconds * writesPerSecond) / 8 + 4;
+  assert.ok(
+    changes <= maxChanges,
+    `${changes} changes of progress in ${seconds} s, ${maxChanges} allowed`,
+  );
   cluster.stateLink.fault = null;
-  for (const n of jobs) assert.ok(finished(cluster, idOf(n), 300_000), idOf(n));
-  keepsRules(cluster);
+  for (const n of jobs) assert.ok(runUntilDone(cluster, jobId(n), 300_000), jobId(n));
+  assertNoViolations(cluster);
 });
 
 /** Many jobs of one task each that are over at about the same time, under few changes a second. */
-function manyEnds(): { cluster: SimulatedCluster; ids: string[] } {
-  const cluster = settled(
+function clusterWithManyEndingJobs(): { cluster: SimulatedCluster; ids: string[] } {
+  const cluster = readyCluster(
     {
       capacity: 12,
       cpuLimit: 10_000,
@@ -56,7 +69,7 @@
     },
     12,
   );
-  const ids = Array.from({ length: 90 }, (_, i) => idOf(i + 1));
+  const ids = Array.from({ length: 90 }, (_, i) => jobId(i + 1));
   for (const n of ids.keys()) {
     cluster.submit(job(n + 1, { batch: 1, cpus: 0.1, mem_gb: 0.1 }), cluster.nodeNames[n % 3]!);
     cluster.run(450);
@@ -64,74 +77,74 @@
   return { cluster, ids };
 }
 
-const allRan = (cluster: SimulatedCluster, ids: string[]) => () =>
+const allTasksDone = (cluster: SimulatedCluster, ids: string[]) => () =>
   ids.every((id) => cluster.checker.doneTasks(id).size === 1);
 
-const allEnded = (cluster: SimulatedCluster, ids: string[]) => () =>
+const allEndsCommitted = (cluster: SimulatedCluster, ids: string[]) => () =>
   ids.every((id) => cluster.state.keys.has(`tealdock/ended/${id}`));
 
 test('the leader uses the changes that the other nodes leave for ends of jobs', () => {
-  const { cluster, ids } = manyEnds();
-  assert.ok(cluster.runUntil(allRan(cluster, ids), 90_000));
+  const { cluster, ids } = clusterWithManyEndingJobs();
+  assert.ok(cluster.runUntil(allTasksDone(cluster, ids), 90_000));
   const from = cluster.now();
-  assert.ok(cluster.runUntil(allEnded(cluster, ids), 60_000));
+  assert.ok(cluster.runUntil(allEndsCommitted(cluster, ids), 60_000));
   // 90 ends are 180 changes, 24 s of half of 15 a second and 15 s of four fifths.
   assert.ok(cluster.now() - from < 17_000, `${cluster.now() - from} ms`);
-  keepsRules(cluster);
+  assertNoViolations(cluster);
 });
 
 test('a leader with many ends leaves room for the submissions of the other nodes', () => {
-  const { cluster, ids } = manyEnds();
+  const { cluster, ids } = clusterWithManyEndingJobs();
   assert.ok(
     cluster.runUntil(() => ids.some((id) => cluster.checker.doneTasks(id).size > 0), 90_000),
   );
-  const others = cluster.nodeNames.filter((n) => n !== cluster.leader());
+  const followers = cluster.nodeNames.filter((n) => n !== cluster.leader());
   let refused = 0;
   for (let i = 0; i < 120; i++) {
-    const over = { batch: 1, cpus: 0.1, mem_gb: 0.1, expected_s: 500 };
+    const overrides = { batch: 1, cpus: 0.1, mem_gb: 0.1, expected_s: 500 };
     cluster.at(i * 180, () =>
-      cluster.submit(job(1000 + i, over), others[i % 2]!, (r) => {
+      cluster.submit(job(1000 + i, overrides), followers[i % 2]!, (r) => {
         if (r?.status !== 201) refused++;
       }),
     );
   }
   cluster.run(40_000);
-  assert.ok(allEnded(cluster, ids)());
+  assert.ok(allEndsCommitted(cluster, ids)());
   assert.equal(refused, 0, 'five submissions a second are all taken at once');
-  keepsRules(cluster);
+  assertNoViolations(cluster);
 });
 
 // Its conditions are all that is left between a cancellation under way and a job that ends.
 test('a cancellation carried out after the end of its job changes nothing', () => {
   for (const delay of [1500, 4000, 9000]) {
-    const cluster = settled({ runTime: 3000 });
+    const cluster = readyCluster({ runTime: 3000 });
     cluster.submit(job(1, { batch: 1 }), 'n-0');
-    const exited = () => cluster.checker.doneTasks(A).size === 1;
-    const [b, c] = others(cluster);
+    const exited = () => cluster.checker.doneTasks(JOB1).size === 1;
+    const [b, c] = followers(cluster);
     cluster.stateLink.fault = (node, call) =>
       node === b && writtenKeys(call).some((key) => key.includes('/ended/')) ? delay : undefined;
-    cluster.runUntil(() => running(cluster) === 1, 20_000);
+    cluster.runUntil(() => runningTaskCount(cluster) === 1, 20_000);
     cluster.run(2000);
-    cluster.cancel(A, b!);
+    cluster.cancel(JOB1, b!);
     assert.ok(cluster.runUntil(exited, 20_000));
-    assert.ok(finished(cluster, A), 'it ended as done');
-    const ended = cluster.state.keys.get(`tealdock/ended/${A}`);
+    assert.ok(runUntilDone(cluster, JOB1), 'it ended as done');
+    const ended = cluster.state.keys.get(`tealdock/ended/${JOB1}`);
     cluster.run(delay + 2000);
     cluster.stateLink.fault = null;
-    assert.deepEqual(cluster.state.keys.get(`tealdock/ended/${A}`), ended);
+    assert.deepEqual(cluster.state.keys.get(`tealdock/ended/${JOB1}`), ended);
     for (const n of [b!, c!, cluster.leader()!]) {
-      assert.equal(status(ask(cluster, (d) => cluster.poll(A, n, d))), 'done');
+      assert.equal(statusOf(replyTo(cluster, (d) => cluster.poll(JOB1, n, d))), 'done');
     }
-    keepsRules(cluster);
+    assertNoViolations(cluster);
   }
 });
 
 /** A zone whose workers are kept by a follower, which can't tell how their jobs stand. */
-function delegatedWithoutProofs(): { cluster: SimulatedCluster; follower: string; near: string } {
-  const cluster = settled({ capacity: 4, runTime: 120_000 }, 4);
+function delegationWithoutProofs(): { cluster: SimulatedCluster; follower: string; near: string } {
+  const cluster = readyCluster({ capacity: 4, runTime: 120_000 }, 4);
   cluster.submit(job(1, { batch: 10, expected_s: 120 }), 'n-0');
-  assert.ok(cluster.runUntil(() => running(cluster) === 10, 20_000));
-  const [follower, near] = others(cluster) as [string, string];
+  assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 10, 20_000));
+  const [follower, near] = followers(cluster) as [string, string];
   const machines = [...cluster.workers.values()].filter((w) => w.machine.zone === 'b');
   cluster.network.partition([follower, ...machines.map((w) => w.machine.id)]);
   cluster.run(15_000);
@@ -143,47 +156,47 @@
 }
 
 test('a proof that fails under a grant renews no lease of a cancelled task', () => {
-  const { cluster, near } = delegatedWithoutProofs();
-  assert.equal(status(ask(cluster, (d) => cluster.cancel(A, near, d))), 'aborted');
+  const { cluster, near } = delegationWithoutProofs();
+  assert.equal(statusOf(replyTo(cluster, (d) => cluster.cancel(JOB1, near, d))), 'aborted');
   cluster.run(cluster.times.cancellationLimit + 10_000);
-  assert.equal(running(cluster), 0);
-  keepsRules(cluster);
+  assert.equal(runningTaskCount(cluster), 0);
+  assertNoViolations(cluster);
 });
 
 test('a proof that fails under a grant stops no task of a live job', () => {
-  const { cluster } = delegatedWithoutProofs();
+  const { cluster } = delegationWithoutProofs();
   cluster.run(cluster.times.lease / 2);
   cluster.stateLink.fault = null;
   cluster.run(15_000);
-  assert.equal(running(cluster), 10, 'all tasks run on');
+  assert.equal(runningTaskCount(cluster), 10, 'all tasks run on');
   assert.equal(cluster.checker.startCount, 10);
   cluster.network.cuts.clear();
-  assert.ok(finished(cluster, A, 200_000));
-  keepsRules(cluster);
+  assert.ok(runUntilDone(cluster, JOB1, 200_000));
+  assertNoViolations(cluster);
 });
 
 test('a stored value that can not be read is named in the log and never taken for a missing one', () => {
-  const cluster = settled({ runTime: 3000 });
+  const cluster = readyCluster({ runTime: 3000 });
   const garbage = { v: 'garbage', stamp: cluster.state.epoch, lease: null };
-  const keys = [`tealdock/ended/${A}`, 'tealdock/keeper/n-9', 'tealdock/roster/777'];
+  const keys = [`tealdock/ended/${JOB1}`, 'tealdock/keeper/n-9', 'tealdock/roster/777'];
   for (const key of keys) cluster.state.keys.set(key, { ...garbage });
   for (const node of cluster.nodeNames) {
-    const told = ask(cluster, (d) => cluster.poll(A, node, d));
-    assert.equal(told?.status, 503, 'neither known nor unknown');
-    const taken = ask(cluster, (d) => cluster.submit(job(1), node, d));
-    assert.equal(taken?.status, 503);
+    const pollReply = replyTo(cluster, (d) => cluster.poll(JOB1, node, d));
+    assert.equal(pollReply?.status, 503, 'neither known nor unknown');
+    const submitReply = replyTo(cluster, (d) => cluster.submit(job(1), node, d));
+    assert.equal(submitReply?.status, 503);
   }
   for (const node of cluster.nodeNames) cluster.crash(node);
   cluster.run(1000);
   for (const node of cluster.nodeNames) cluster.boot(node);
   cluster.run(cluster.times.lease + 20_000);
-  const named = cluster.logLines.filter((l) => l.message === 'stored value unreadable');
+  const unreadable = cluster.logLines.filter((l) => l.message === 'stored value unreadable');
   for (const key of keys)
     assert.ok(
-      named.some((l) => l.fields['key'] === key),
+      unreadable.some((l) => l.fields['key'] === key),
       key,
     );
   cluster.submit(job(2), 'n-0');
-  assert.ok(finished(cluster, idOf(2)), 'everything else goes on');
-  keepsRules(cluster);
+  assert.ok(runUntilDone(cluster, jobId(2)), 'everything else goes on');
+  assertNoViolations(cluster);
 });
--- a/packages/testing/src/scenarios/late-messages.test.ts
+++ b/packages/testing/src/scenarios/late-messages.test.ts
@@ -1,122 +1,130 @@
 import assert from 'node:assert/strict';
 import { job } from '../index.js';
-import { busy, onEachDeployment, start } from './deployments.js';
-import { A, cancelled, endsWell, idOf, others, running, workers } from './steps.js';
+import { busyDeployment, testOnEachDeployment, readyDeployment } from './deployments.js';
+import {
+  JOB1,
+  cancelAndConfirm,
+  assertRecovery,
+  jobId,
+  followers,
+  runningTaskCount,
+  workers,
+} from './steps.js';
 
-onEachDeployment(
+testOnEachDeployment(
   'a command or its answer is held up for seconds, and the machine goes on',
   (times) => {
     for (const hang of [1500, 5000, 9000]) {
-      const cluster = start(times);
+      const cluster = readyDeployment(times);
       cluster.submit(job(1, { batch: 8, expected_s: 20 }), 'n-0');
       cluster.submit(job(2, { batch: 4, expected_s: 150 }), 'n-1');
       const sent = () => cluster.logLines.some((l) => l.message === 'start dispatched');
       assert.ok(cluster.runUntil(sent, 10_000));
       for (const w of workers(cluster)) w.isHung = true;
-      cluster.cancel(idOf(2), 'n-2');
+      cluster.cancel(jobId(2), 'n-2');
       cluster.run(hang);
       for (const w of workers(cluster)) w.isHung = false;
-      endsWell(cluster, [1, 2]);
+      assertRecovery(cluster, [1, 2]);
     }
   },
 );
 
 // Its heartbeats do not come, so it is told directly; it hangs and hears that only as it goes on.
-onEachDeployment('a direct command waits in a machine that hangs', (times) => {
-  const cluster = busy(times, 2, 6);
+testOnEachDeployment('a direct command waits in a machine that hangs', (times) => {
+  const cluster = busyDeployment(times, 2, 6);
   const victim = workers(cluster)[0]!;
   cluster.network.cutHeartbeatsOf(victim.machine.id);
   cluster.run(times.heartbeatInterval * 2 + 2000);
   victim.isHung = true;
-  cancelled(cluster, 1, others(cluster)[0]!);
+  cancelAndConfirm(cluster, 1, followers(cluster)[0]!);
   assert.ok(cluster.fleet.directCommandCount > 0);
   const cancelledTask = () =>
-    victim.tasks.some((t) => t.piece.startsWith(A) && t.status !== 'exited');
+    victim.tasks.some((t) => t.piece.startsWith(JOB1) && t.status !== 'exited');
   assert.ok(cancelledTask(), 'it has not heard it yet');
   victim.isHung = false;
   cluster.run(1000);
   assert.ok(!cancelledTask());
-  endsWell(cluster, [1, 2]);
+  assertRecovery(cluster, [1, 2]);
 });
 
-onEachDeployment(
+testOnEachDeployment(
   'old heartbeats arrive after newer ones, also of an earlier agent epoch or attempt',
   (times) => {
     for (const delay of [2500, times.lease * 0.8, times.lease * 1.7]) {
-      const cluster = start(times, { runTime: 9000 });
+      const cluster = readyDeployment(times, { runTime: 9000 });
       cluster.fleet.duplicateDelay = () => delay;
       for (let n = 1; n <= 4; n++) cluster.submit(job(n, { batch: 6 }), 'n-0');
       cluster.run(8000);
       workers(cluster)[0]!.reboot();
-      cluster.cancel(A, 'n-1');
+      cluster.cancel(JOB1, 'n-1');
       cluster.run(delay + 5000);
       workers(cluster)[1]!.reboot();
       cluster.run(delay + 5000);
       cluster.fleet.duplicateDelay = null;
-      endsWell(cluster, [1, 2, 3, 4]);
+      assertRecovery(cluster, [1, 2, 3, 4]);
     }
   },
 );
 
-onEachDeployment(
+testOnEachDeployment(
   'a heartbeat is held back until a new leader has acted, and then arrives there',
   (times) => {
     for (const delay of [times.leaderLease + 1500, times.leaderLease + 6000, times.lease]) {
-      const cluster = start(times, { runTime: 12_000 });
+      const cluster = readyDeployment(times, { runTime: 12_000 });
       for (let n = 1; n <= 4; n++) cluster.submit(job(n, { batch: 5 }), 'n-0');
       cluster.run(4000);
       cluster.fleet.duplicateTarget = () => cluster.leader();
       cluster.fleet.duplicateDelay = () => delay;
       cluster.run(3000);
       cluster.crash(cluster.leader()!);
-      cluster.at(2000, () => cluster.cancel(A, [...cluster.processes.running.keys()][0]!));
+      cluster.at(2000, () => cluster.cancel(JOB1, [...cluster.processes.running.keys()][0]!));
       cluster.run(3000);
       cluster.fleet.duplicateDelay = null;
       cluster.run(delay + 5000);
-      endsWell(cluster, [1, 2, 3, 4]);
+      assertRecovery(cluster, [1, 2, 3, 4]);
     }
   },
 );
 
 // Made before the last leader's start came, it shows a machine without tasks.
-onEachDeployment(
+testOnEachDeployment(
   'a heartbeat of before a start arrives at the next leader as the first one',
   (times) => {
-    const cluster = start(times);
+    const cluster = readyDeployment(times);
     cluster.fleet.duplicateDelay = () => 13_000;
     cluster.run(times.heartbeatInterval + 500);
     cluster.fleet.duplicateDelay = null;
     cluster.submit(job(1, { batch: 16, expected_s: 60 }), 'n-0');
-    assert.ok(cluster.runUntil(() => running(cluster) === 16, 4000));
+    assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 16, 4000));
     for (const w of workers(cluster)) cluster.network.cutHeartbeatsOf(w.machine.id);
     cluster.fleet.duplicateTarget = () => cluster.leader();
     cluster.crash(cluster.leader()!);
     for (let i = 0; i < 4; i++) cluster.cloud.add('a');
     cluster.run(18_000);
     for (const w of workers(cluster)) cluster.network.restoreHeartbeatsOf(w.machine.id);
-    endsWell(cluster, [1]);
+    assertRecovery(cluster, [1]);
   },
 );
 
-onEachDeployment(
+testOnEachDeployment(
   'transactions without an answer are carried out late, after newer ones',
   (times) => {
-    const cluster = start(times, { runTime: 6000, capacity: 8 });
+    const cluster = readyDeployment(times, { runTime: 6000, capacity: 8 });
     const commits = (path: string) => path === '/commit';
     cluster.stateLink.fault = (_node, call) =>
       commits(call.path) && cluster.random() < 0.4 ? 2000 + cluster.random() * 10_000 : undefined;
     const numbers = Array.from({ length: 10 }, (_, i) => i + 1);
-    const insist = (n: number) => {
-      if (cluster.checker.isAccepted(idOf(n))) return;
+    const submitWithRetries = (n: number) => {
+      if (cluster.checker.isAccepted(jobId(n))) return;
       cluster.submit(job(n, { batch: 3 }), cluster.nodeNames[n % 3]!);
-      cluster.at(4000, () => insist(n));
+      cluster.at(4000, () => submitWithRetries(n));
     };
-    for (const n of numbers) cluster.at(n * 2000, () => insist(n));
-    for (const n of [2, 5]) cluster.at(n * 2000 + 9000, () => cluster.cancel(idOf(n), 'n-1'));
+    for (const n of numbers) cluster.at(n * 2000, () => submitWithRetries(n));
+    for (const n of [2, 5]) cluster.at(n * 2000 + 9000, () => cluster.cancel(jobId(n), 'n-1'));
     cluster.at(15_000, () => cluster.cloud.add('b'));
     cluster.run(30_000);
     cluster.crash(cluster.leader()!);
     cluster.run(40_000);
-    endsWell(cluster, numbers);
+    assertRecovery(cluster, numbers);
   },
 );
--- a/packages/testing/src/scenarios/lowered-limits.test.ts
+++ b/packages/testing/src/scenarios/lowered-limits.test.ts
@@ -3,15 +3,15 @@
 import { parseSettings } from '@tealdock/wire';
 import { SimulatedCluster, job } from '../index.js';
 import {
-  A,
-  after,
+  JOB1,
+  waitsOn,
   crashLeader,
-  finished,
-  idOf,
-  keepsRules,
-  running,
-  settled,
-  submitted,
+  runUntilDone,
+  jobId,
+  assertNoViolations,
+  runningTaskCount,
+  readyCluster,
+  submitAccepted,
 } from './steps.js';
 
 /** Entries of all shards below a prefix, and whether any shard is too large. */
@@ -20,7 +20,7 @@
   return new Set(shards.flatMap(([, e]) => Object.keys((e.v as { entries: object }).entries)));
 }
 
-function largestShard(cluster: SimulatedCluster): number {
+function largestShardSize(cluster: SimulatedCluster): number {
   const shards = [...cluster.state.keys].filter(([k]) => /roster|progress/.test(k));
   return Math.max(...shards.map(([, e]) => JSON.stringify(e.v).length));
 }
@@ -60,42 +60,42 @@
       maxTransactionWrites: 12,
       runTime: 40_000,
     };
-    const cluster = settled(options, 300);
-    submitted(cluster, 1, { batch: 1000, expected_s: 40 });
+    const cluster = readyCluster(options, 300);
+    submitAccepted(cluster, 1, { batch: 1000, expected_s: 40 });
     cluster.run(8000);
     const machines = entriesOf(cluster, '/roster/');
     assert.equal(machines.size, 300);
-    assert.ok(largestShard(cluster) > 8000);
+    assert.ok(largestShardSize(cluster) > 8000);
     cluster.options.announcedLimits = { maxValueBytes: 2048, maxTransactionWrites: 4 };
     for (const n of cluster.nodeNames) {
       cluster.crash(n);
       cluster.boot(n);
     }
-    const whole = () => [...machines].every((m) => entriesOf(cluster, '/roster/').has(m));
+    const allRegistered = () => [...machines].every((m) => entriesOf(cluster, '/roster/').has(m));
     for (let i = 0; i < 200; i++) {
       if (i === 3) cluster.lowerStateLimits();
       if (crashes && i % 8 === 7 && i < 60) crashLeader(cluster, 400);
       cluster.run(100);
-      assert.ok(whole(), `after ${i * 100} ms`);
+      assert.ok(allRegistered(), `after ${i * 100} ms`);
     }
-    assert.ok(largestShard(cluster) <= 2048);
+    assert.ok(largestShardSize(cluster) <= 2048);
     assert.equal(cluster.state.oversizedCount, 0, 'nothing was written that is too large');
-    assert.ok(finished(cluster, A, 300_000));
-    keepsRules(cluster);
+    assert.ok(runUntilDone(cluster, JOB1, 300_000));
+    assertNoViolations(cluster);
   }
 });
 
 test('many jobs under low limits: nothing is too large, all run', () => {
-  const next = { maxValueBytes: 2048, maxTransactionWrites: 2 };
-  const cluster = settled({ capacity: 6, runTime: 3000, announcedLimits: next }, 6);
+  const announcedLimits = { maxValueBytes: 2048, maxTransactionWrites: 2 };
+  const cluster = readyCluster({ capacity: 6, runTime: 3000, announcedLimits }, 6);
   cluster.lowerStateLimits();
   for (let n = 1; n <= 30; n++) {
-    const over = n > 3 ? after(n - 1, n - 3) : {};
-    cluster.submit(job(n, { ...over, batch: 4 }), cluster.nodeNames[n % 3]!);
+    const overrides = n > 3 ? waitsOn(n - 1, n - 3) : {};
+    cluster.submit(job(n, { ...overrides, batch: 4 }), cluster.nodeNames[n % 3]!);
     cluster.run(200);
   }
-  assert.ok(finished(cluster, idOf(30), 300_000));
+  assert.ok(runUntilDone(cluster, jobId(30), 300_000));
   assert.equal(cluster.state.oversizedCount, 0);
-  assert.equal(running(cluster), 0);
-  keepsRules(cluster);
+  assert.equal(runningTaskCount(cluster), 0);
+  assertNoViolations(cluster);
 });
--- a/packages/testing/src/scenarios/older-versions.test.ts
+++ b/packages/testing/src/scenarios/older-versions.test.ts
@@ -9,18 +9,26 @@
   type PeerMessage,
 } from '@tealdock/wire';
 import { SimulatedCluster, job, type ClusterOptions } from '../index.js';
-import { A, ask, finished, idOf, keepsRules, settled, status } from './steps.js';
+import {
+  JOB1,
+  replyTo,
+  runUntilDone,
+  jobId,
+  assertNoViolations,
+  readyCluster,
+  statusOf,
+} from './steps.js';
 
 /** What an older version stored and sent, made by running it. */
-interface Recorded {
+interface Recording {
   epoch: number;
   keys: { key: string; v: unknown; stamp: number }[];
   frames: { message: Record<string, unknown>; frame: string }[];
 }
 
-function readFixture(name: string): Recorded {
+function readFixture(name: string): Recording {
   const file = new URL(`../../fixtures/${name}.json`, import.meta.url);
-  return JSON.parse(readFileSync(file, 'utf8')) as Recorded;
+  return JSON.parse(readFileSync(file, 'utf8')) as Recording;
 }
 
 /** The versions that may be replaced: the last one before job chains, and the first with them. */
@@ -29,14 +37,14 @@
   'first with chains': readFixture('first-with-chains'),
 };
 
-function fromEach(name: string, play: (recorded: Recorded) => void): void {
+function testWithEachVersion(title: string, run: (recorded: Recording) => void): void {
   for (const [version, recorded] of Object.entries(OLDER_VERSIONS)) {
-    test(`${name} (${version})`, () => play(recorded));
+    test(`${title} (${version})`, () => run(recorded));
   }
 }
 
 /** A state service that holds what the older version left, its leader's lease over. */
-function inherited(recorded: Recorded, options: ClusterOptions = {}): SimulatedCluster {
+function clusterOnStoredState(recorded: Recording, options: ClusterOptions = {}): SimulatedCluster {
   const cluster = new SimulatedCluster({ capacity: 4, cpuLimit: 100, ...options });
   for (const { key, v, stamp } of recorded.keys) {
     if (!key.endsWith('/leader')) cluster.state.keys.set(key, { v, stamp, lease: null });
@@ -52,26 +60,29 @@
 }
 
 /** True if a reader of the recorded value finds all of it in the new one. */
-function readableAs(old: unknown, now: unknown): boolean {
+function hasAllFieldsOf(old: unknown, now: unknown): boolean {
   if (old === null || now === null) return old === now || typeof now !== 'undefined';
   if (Array.isArray(old) || typeof old !== 'object') return typeof old === typeof now;
   const fields = now as Record<string, unknown>;
-  return Object.entries(old).every(([name, value]) => readableAs(value, fields[name]));
+  return Object.entries(old).every(([name, value]) => hasAllFieldsOf(value, fields[name]));
 }
 
 /** Names of a recorded heartbeat's fields in memory, which its frame does not carry. */
-const RENAMED: Record<string, string> = { token: 'fencingToken', stateOk: 'stateAvailable' };
+const CURRENT_FIELD_NAMES: Record<string, string> = {
+  token: 'fencingToken',
+  stateOk: 'stateAvailable',
+};
 
 /** A recorded message in the names that it has in memory today. */
 function inCurrentNames(message: Record<string, unknown>): Record<string, unknown> {
   if (message['kind'] !== 'beat') return { ...message };
   const renamed = Object.entries(message).map(
-    ([name, value]) => [RENAMED[name] ?? name, value] as const,
+    ([name, value]) => [CURRENT_FIELD_NAMES[name] ?? name, value] as const,
   );
   return { ...Object.fromEntries<unknown>(renamed), kind: 'heartbeat' };
 }
 
-fromEach('messages between controllers are the same, byte for byte', (recorded) => {
+testWithEachVersion('messages between controllers are the same, byte for byte', (recorded) => {
   for (const { message, frame } of recorded.frames) {
     const bytes = Buffer.from(frame, 'base64');
     const [decoded, ...rest] = new PeerDecoder().push(bytes);
@@ -79,17 +90,17 @@
     const sent = inCurrentNames(message);
     if (typeof sent['body'] === 'string') sent['body'] = Buffer.from(sent['body'], 'base64');
     for (const [name, value] of Object.entries(sent)) {
-      const heard = (decoded as unknown as Record<string, unknown>)[name];
-      assert.equal(JSON.stringify(heard), JSON.stringify(value), name);
+      const decodedValue = (decoded as unknown as Record<string, unknown>)[name];
+      assert.equal(JSON.stringify(decodedValue), JSON.stringify(value), name);
     }
     assert.deepEqual(packPeer(sent as PeerMessage), bytes);
   }
 });
 
-fromEach(
+testWithEachVersion(
   'what the older version stored is read whole: jobs, ends, progress and registry',
   (recorded) => {
-    const cluster = inherited(recorded, { runTime: 3000 });
+    const cluster = clusterOnStoredState(recorded, { runTime: 3000 });
     const live = recorded.keys.filter((k) => k.key.includes('/live/'));
     for (const { v } of live) {
       const { spec } = v as { spec: { id: string; taskCount: number } };
@@ -101,13 +112,13 @@
     for (const { key, v } of recorded.keys.filter((k) => k.key.includes('/ended/'))) {
       const id = key.split('/').at(-1)!;
       const { state } = v as { state: string };
-      const told = status(ask(cluster, (d) => cluster.poll(id, 'n-1', d)));
-      assert.equal(told, state === 'cancelled' ? 'aborted' : state);
+      const reportedStatus = statusOf(replyTo(cluster, (d) => cluster.poll(id, 'n-1', d)));
+      assert.equal(reportedStatus, state === 'cancelled' ? 'aborted' : state);
     }
     // Its machines are gone, which their leases prove; then what was not done runs.
     const starts = new Set<unknown>();
-    const over = () => [...cluster.state.keys.keys()].every((k) => !k.includes('/live/'));
-    assert.ok(cluster.runUntil(over, 300_000));
+    const allJobsEnded = () => [...cluster.state.keys.keys()].every((k) => !k.includes('/live/'));
+    assert.ok(cluster.runUntil(allJobsEnded, 300_000));
     for (const l of cluster.logLines)
       if (l.message === 'start dispatched') starts.add(l.fields['task']);
     const doneBefore = ['run-000003/0', 'run-000004/0'];
@@ -131,51 +142,56 @@
   assert.ok(started > ended, `${id} started after ${predecessor} had ended`);
 }
 
-fromEach('a job waits for what ended, or runs on, under the older version', (recorded) => {
-  const cluster = inherited(recorded);
-  for (let i = 0; i < 2; i++) cluster.cloud.add('a');
-  cluster.run(40_000);
-  const ended = recorded.keys.filter((k) => k.key.includes('/ended/'));
-  const done = ended
-    .find((k) => (k.v as { state: string }).state === 'done')
-    ?.key.split('/')
-    .at(-1);
-  const cut = ended
-    .find((k) => (k.v as { state: string }).state !== 'done')
-    ?.key.split('/')
-    .at(-1);
-  if (done !== undefined) {
-    cluster.submit(job(101, { waits_on: [done] }), 'n-0');
-    assert.ok(finished(cluster, idOf(101)));
-  }
-  assert.ok(cut !== undefined);
-  const reply = ask(cluster, (d) => cluster.submit(job(102, { waits_on: [cut] }), 'n-1', d));
-  assert.deepEqual([reply?.status, status(reply)], [201, 'aborted']);
-  assert.ok(done !== undefined);
-});
+testWithEachVersion(
+  'a job waits for what ended, or runs on, under the older version',
+  (recorded) => {
+    const cluster = clusterOnStoredState(recorded);
+    for (let i = 0; i < 2; i++) cluster.cloud.add('a');
+    cluster.run(40_000);
+    const ended = recorded.keys.filter((k) => k.key.includes('/ended/'));
+    const doneJob = ended
+      .find((k) => (k.v as { state: string }).state === 'done')
+      ?.key.split('/')
+      .at(-1);
+    const cancelledJob = ended
+      .find((k) => (k.v as { state: string }).state !== 'done')
+      ?.key.split('/')
+      .at(-1);
+    if (doneJob !== undefined) {
+      cluster.submit(job(101, { waits_on: [doneJob] }), 'n-0');
+      assert.ok(runUntilDone(cluster, jobId(101)));
+    }
+    assert.ok(cancelledJob !== undefined);
+    const reply = replyTo(cluster, (d) =>
+      cluster.submit(job(102, { waits_on: [cancelledJob] }), 'n-1', d),
+    );
+    assert.deepEqual([reply?.status, statusOf(reply)], [201, 'aborted']);
+    assert.ok(doneJob !== undefined);
+  },
+);
 
-fromEach('what this version stores can be read by the older one', (recorded) => {
-  const cluster = settled({ runTimeOf: (p) => 2000 + Number(p.split('/')[1]) * 30_000 });
+testWithEachVersion('what this version stores can be read by the older one', (recorded) => {
+  const cluster = readyCluster({ runTimeOf: (p) => 2000 + Number(p.split('/')[1]) * 30_000 });
   for (let n = 1; n <= 4; n++) cluster.submit(job(n, { batch: n }), 'n-0');
   cluster.run(6000);
-  cluster.submit(job(5, { waits_on: [A] }), 'n-0');
-  cluster.cancel(idOf(4), 'n-1');
+  cluster.submit(job(5, { waits_on: [JOB1] }), 'n-0');
+  cluster.cancel(jobId(4), 'n-1');
   cluster.run(6000);
-  const kinds = /tealdock\/(leader|owned|roster|progress|live|ended)/;
+  const keyKind = /tealdock\/(leader|owned|roster|progress|live|ended)/;
   // The first of a kind: a job that needs no other one.
-  const older = new Map(recorded.keys.map((k) => [kinds.exec(k.key)?.[1], k.v]).reverse() as []);
+  const older = new Map(recorded.keys.map((k) => [keyKind.exec(k.key)?.[1], k.v]).reverse() as []);
   const seen = new Set<string>();
   for (const [key, entry] of cluster.state.keys) {
-    const kind = kinds.exec(key)?.[1];
+    const kind = keyKind.exec(key)?.[1];
     if (kind === undefined) continue;
     seen.add(kind);
     // Entries of packed tables have names of their own; one stands for all.
     if (kind === 'roster' || kind === 'progress') {
       const first = (v: unknown) => Object.values((v as { entries: object }).entries)[0] as unknown;
       if (first(entry.v) !== undefined) {
-        assert.ok(readableAs(first(older.get(kind)), first(entry.v)), key);
+        assert.ok(hasAllFieldsOf(first(older.get(kind)), first(entry.v)), key);
       }
-    } else assert.ok(readableAs(older.get(kind), entry.v), key);
+    } else assert.ok(hasAllFieldsOf(older.get(kind), entry.v), key);
   }
   assert.deepEqual([...seen].sort(), ['ended', 'leader', 'live', 'owned', 'progress', 'roster']);
 });
@@ -184,23 +200,23 @@
 // large as it may, and carries along what it does not know.
 test('leadership goes back to the older version and comes again', () => {
   for (const pause of [300, 3000]) {
-    const cluster = settled({ runTimeOf: (p) => (p.startsWith(A) ? 6000 : 4000) });
+    const cluster = readyCluster({ runTimeOf: (p) => (p.startsWith(JOB1) ? 6000 : 4000) });
     cluster.submit(job(1), 'n-0');
     cluster.run(1500);
-    cluster.submit(job(2, { waits_on: [A] }), 'n-1');
+    cluster.submit(job(2, { waits_on: [JOB1] }), 'n-1');
     cluster.run(1500);
-    assert.ok(cluster.runUntil(() => cluster.checker.doneTasks(A).size === 2, 20_000));
+    assert.ok(cluster.runUntil(() => cluster.checker.doneTasks(JOB1).size === 2, 20_000));
     for (const n of cluster.nodeNames) cluster.crash(n);
-    olderTermEnds(cluster, A);
+    commitEndAsOlderVersion(cluster, JOB1);
     cluster.run(pause);
     for (const n of cluster.nodeNames) cluster.boot(n);
-    assert.ok(finished(cluster, idOf(2)));
-    keepsRules(cluster);
+    assert.ok(runUntilDone(cluster, jobId(2)));
+    assertNoViolations(cluster);
   }
 });
 
 /** What the older version's commit of a job's end would leave in the state service. */
-function olderTermEnds(cluster: SimulatedCluster, id: string): void {
+function commitEndAsOlderVersion(cluster: SimulatedCluster, id: string): void {
   const key = `tealdock/live/${id}/spec`;
   const live = cluster.state.keys.get(key);
   if (!live) return;
@@ -212,25 +228,25 @@
   });
 }
 
-fromEach(
+testWithEachVersion(
   'nodes are replaced one after the other under load, with crashes in between',
   (recorded) => {
     for (const seed of [1, 2, 3]) {
-      const cluster = inherited(recorded, { seed, capacity: 8, runTime: 5000 });
+      const cluster = clusterOnStoredState(recorded, { seed, capacity: 8, runTime: 5000 });
       for (let i = 0; i < 4; i++) cluster.cloud.add(i % 2 ? 'a' : 'b');
       cluster.run(5000);
       for (let n = 101; n <= 112; n++) {
-        const waits = n > 104 ? [idOf(n - 1), idOf(n - 3)] : [];
+        const waits = n > 104 ? [jobId(n - 1), jobId(n - 3)] : [];
         cluster.at((n - 100) * 2500, () => {
-          const missing = () => !cluster.checker.isAccepted(idOf(n));
-          const insist = () => {
+          const missing = () => !cluster.checker.isAccepted(jobId(n));
+          const submitWithRetries = () => {
             const node = [...cluster.processes.running.keys()][
               n % Math.max(1, cluster.processes.running.size)
             ];
             if (node && missing()) cluster.submit(job(n, { batch: 3, waits_on: waits }), node);
-            if (missing()) cluster.at(3000, insist);
+            if (missing()) cluster.at(3000, submitWithRetries);
           };
-          insist();
+          submitWithRetries();
         });
       }
       for (const [i, n] of cluster.nodeNames.entries()) {
@@ -247,8 +263,9 @@
       }
       cluster.run(60_000);
       cluster.endFaults();
-      for (let n = 101; n <= 112; n++) assert.ok(finished(cluster, idOf(n), 300_000), idOf(n));
-      keepsRules(cluster);
+      for (let n = 101; n <= 112; n++)
+        assert.ok(runUntilDone(cluster, jobId(n), 300_000), jobId(n));
+      assertNoViolations(cluster);
     }
   },
 );
--- a/packages/testing/src/scenarios/placement.test.ts
+++ b/packages/testing/src/scenarios/placement.test.ts
@@ -1,10 +1,17 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { job, SimulatedCluster } from '../index.js';
-import { A, ask, finished, keepsRules, running, settled } from './steps.js';
+import {
+  JOB1,
+  replyTo,
+  runUntilDone,
+  assertNoViolations,
+  runningTaskCount,
+  readyCluster,
+} from './steps.js';
 
 /** Tasks that a shard of the progress table calls done. */
-function doneIn(value: unknown): number {
+function doneTaskCount(value: unknown): number {
   const bits = Object.values((value as { entries: Record<string, string> }).entries).join('');
   return [...Buffer.from(bits, 'base64')].reduce((n, byte) => n + popCount(byte), 0);
 }
@@ -15,10 +22,10 @@
   const cluster = new SimulatedCluster({ capacity: 4 });
   cluster.run(5000);
   cluster.submit(job(1, { batch: 8, expected_s: 20 }), 'n-0');
-  assert.ok(finished(cluster, A));
+  assert.ok(runUntilDone(cluster, JOB1));
   assert.ok(cluster.cloud.rentedIds.length >= 2);
   assert.ok(cluster.runUntil(() => cluster.cloud.machines.size === 0, 150_000));
-  keepsRules(cluster);
+  assertNoViolations(cluster);
 });
 
 // A machine for one task costs more than a slot's share of it: it was never rented.
@@ -26,69 +33,72 @@
   const cluster = new SimulatedCluster({ capacity: 4 });
   cluster.run(5000);
   cluster.submit(job(1, { batch: 1 }), 'n-0');
-  assert.ok(finished(cluster, A, 150_000));
-  keepsRules(cluster);
+  assert.ok(runUntilDone(cluster, JOB1, 150_000));
+  assertNoViolations(cluster);
 });
 
 test('owned machines are never given back', () => {
-  const cluster = settled({}, 2);
+  const cluster = readyCluster({}, 2);
   cluster.run(200_000);
   assert.equal(cluster.cloud.machines.size, 2);
 });
 
 test('a wave of taken machines, some without notice: their tasks run again', () => {
-  const cluster = settled({ capacity: 6 }, 4);
+  const cluster = readyCluster({ capacity: 6 }, 4);
   cluster.submit(job(1, { batch: 16, expected_s: 30 }), 'n-0');
   cluster.run(12_000);
   const ids = [...cluster.workers.keys()].slice(0, 3);
   cluster.workers.get(ids[0]!)!.reclaimWarningSeconds = 6;
   cluster.at(6000, () => cluster.cloud.take(ids[0]!));
   for (const id of ids.slice(1)) cluster.cloud.take(id);
-  assert.ok(finished(cluster, A, 300_000));
-  keepsRules(cluster);
+  assert.ok(runUntilDone(cluster, JOB1, 300_000));
+  assertNoViolations(cluster);
 });
 
 test('a faulty machine is quarantined and its tasks run elsewhere', () => {
-  const cluster = settled({ fails: (_piece, machine) => machine === 'm-000001', runTime: 2000 }, 2);
+  const cluster = readyCluster(
+    { fails: (_piece, machine) => machine === 'm-000001', runTime: 2000 },
+    2,
+  );
   for (let i = 1; i <= 4; i++) cluster.submit(job(i), 'n-0');
-  for (let i = 1; i <= 4; i++) assert.ok(finished(cluster, `run-00000${i}`, 200_000));
-  keepsRules(cluster);
+  for (let i = 1; i <= 4; i++) assert.ok(runUntilDone(cluster, `run-00000${i}`, 200_000));
+  assertNoViolations(cluster);
 });
 
 // A day stood still with thousands of stops: borrowed work of higher priority
 // took the room of work inside a guarantee, which was reclaimed, without end.
 test('work inside a guarantee and higher borrowed work do not stop each other in turn', () => {
-  const cluster = settled({ capacity: 2, guarantee: 4 }, 2);
+  const cluster = readyCluster({ capacity: 2, guarantee: 4 }, 2);
   const low = { owner: 'other', urgency: 'idle', batch: 4, expected_s: 40 };
   cluster.submit(job(1, low), 'n-0');
   cluster.submit(job(2, { batch: 8, expected_s: 40 }), 'n-0');
   cluster.run(60_000);
   const stops = cluster.logLines.filter((l) => l.message === 'task preempted').length;
   assert.ok(stops <= 4, `${stops} stops`);
-  assert.ok(finished(cluster, A));
-  assert.ok(finished(cluster, 'run-000002'));
-  keepsRules(cluster);
+  assert.ok(runUntilDone(cluster, JOB1));
+  assert.ok(runUntilDone(cluster, 'run-000002'));
+  assertNoViolations(cluster);
 });
 
 // Another form of it: small tasks of the borrower took what larger ones reclaimed.
 test('a team gets its guarantee back from a team that borrows', () => {
-  const cluster = settled({ capacity: 2, guarantee: 4 }, 2);
+  const cluster = readyCluster({ capacity: 2, guarantee: 4 }, 2);
   cluster.submit(job(1, { batch: 30, expected_s: 300 }), 'n-0');
-  assert.ok(cluster.runUntil(() => running(cluster) === 8, 20_000));
+  assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 8, 20_000));
   cluster.submit(
     job(2, { owner: 'other', urgency: 'idle', batch: 2, cpus: 2, expected_s: 10 }),
     'n-0',
   );
-  assert.ok(finished(cluster, 'run-000002', 120_000));
-  keepsRules(cluster);
+  assert.ok(runUntilDone(cluster, 'run-000002', 120_000));
+  assertNoViolations(cluster);
 });
 
 // A third form: large tasks stopped two small ones of a team that was one beyond
 // its guarantee; it was then below it, and reclaimed what had just come free.
 test('a team is not pushed below its guarantee', () => {
-  const cluster = settled({ capacity: 2, guarantee: 3 }, 2);
+  const cluster = readyCluster({ capacity: 2, guarantee: 3 }, 2);
   cluster.submit(job(1, { batch: 40, expected_s: 200 }), 'n-0');
-  assert.ok(cluster.runUntil(() => running(cluster) === 8, 20_000));
+  assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 8, 20_000));
   cluster.submit(
     job(2, { owner: 'other', urgency: 'idle', batch: 6, cpus: 2, expected_s: 300 }),
     'n-0',
@@ -96,67 +106,69 @@
   cluster.run(200_000);
   const stops = cluster.logLines.filter((l) => l.message === 'task preempted').length;
   assert.ok(stops > 0 && stops <= 8, `${stops} stops`);
-  keepsRules(cluster);
+  assertNoViolations(cluster);
 });
 
 test('a gang waits until all its tasks fit at once, and a service runs until cancelled', () => {
-  const cluster = settled({ capacity: 2 }, 2);
+  const cluster = readyCluster({ capacity: 2 }, 2);
   cluster.submit(job(1, { batch: 2, cpus: 3, shape: 'service', expected_s: 1e6 }), 'n-0');
-  assert.ok(cluster.runUntil(() => running(cluster) === 2, 20_000));
+  assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 2, 20_000));
   cluster.submit(job(2, { batch: 3, cpus: 1, shape: 'group' }), 'n-0');
   cluster.run(15_000);
-  assert.equal(running(cluster), 2, 'two of three would fit, so none is started');
-  cluster.cancel(A, 'n-1');
-  assert.ok(cluster.runUntil(() => running(cluster) === 3, 20_000));
-  assert.ok(finished(cluster, 'run-000002'));
-  keepsRules(cluster);
+  assert.equal(runningTaskCount(cluster), 2, 'two of three would fit, so none is started');
+  cluster.cancel(JOB1, 'n-1');
+  assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 3, 20_000));
+  assert.ok(runUntilDone(cluster, 'run-000002'));
+  assertNoViolations(cluster);
 });
 
 test('a job that fails everywhere backs off and starves nobody', () => {
-  const cluster = settled({ fails: (piece) => piece.startsWith(A), runTime: 1000 }, 2);
+  const cluster = readyCluster({ fails: (piece) => piece.startsWith(JOB1), runTime: 1000 }, 2);
   cluster.submit(job(1), 'n-0');
   cluster.run(60_000);
-  const tries = cluster.logLines.filter((l) => l.message === 'task failed').length;
-  assert.ok(tries < 40, `${tries} tries`);
+  const attemptCount = cluster.logLines.filter((l) => l.message === 'task failed').length;
+  assert.ok(attemptCount < 40, `${attemptCount} tries`);
   cluster.submit(job(2), 'n-1');
-  assert.ok(finished(cluster, 'run-000002'));
+  assert.ok(runUntilDone(cluster, 'run-000002'));
 });
 
 test('higher priority gets room from lower, which runs again', () => {
-  const cluster = settled({ capacity: 1 }, 1);
+  const cluster = readyCluster({ capacity: 1 }, 1);
   cluster.submit(job(1, { batch: 4, urgency: 'idle', expected_s: 60 }), 'n-0');
-  assert.ok(cluster.runUntil(() => running(cluster) === 4, 20_000));
+  assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 4, 20_000));
   cluster.submit(job(2, { batch: 1, urgency: 'urgent', expected_s: 5 }), 'n-0');
-  assert.ok(finished(cluster, 'run-000002', 30_000));
-  assert.ok(finished(cluster, A, 300_000));
-  keepsRules(cluster);
+  assert.ok(runUntilDone(cluster, 'run-000002', 30_000));
+  assert.ok(runUntilDone(cluster, JOB1, 300_000));
+  assertNoViolations(cluster);
 });
 
 test('a big job keeps its progress in chunks through a take-over', () => {
-  const cluster = settled({ runTime: 200, capacity: 2 }, 2);
+  const cluster = readyCluster({ runTime: 200, capacity: 2 }, 2);
   cluster.submit(job(1, { batch: 9000, cpus: 0.01, mem_gb: 0.01 }), 'n-0');
-  const stored = () =>
+  const storedTaskCount = () =>
     [...cluster.state.keys].reduce(
-      (n, [k, e]) => n + (k.includes('/progress/') ? doneIn(e.v) : 0),
+      (n, [k, e]) => n + (k.includes('/progress/') ? doneTaskCount(e.v) : 0),
       0,
     );
-  assert.ok(cluster.runUntil(() => stored() > 100, 60_000));
-  const before = stored();
+  assert.ok(cluster.runUntil(() => storedTaskCount() > 100, 60_000));
+  const before = storedTaskCount();
   cluster.crash(cluster.leader()!);
   cluster.run(30_000);
-  const reply = ask(cluster, (d) => cluster.poll(A, [...cluster.processes.running.keys()][0]!, d));
+  const reply = replyTo(cluster, (d) =>
+    cluster.poll(JOB1, [...cluster.processes.running.keys()][0]!, d),
+  );
   assert.ok((reply!.body as { done: number }).done >= before);
-  keepsRules(cluster);
+  assertNoViolations(cluster);
 });
 
 test('what a big job leaves behind in the state service is removed', () => {
-  const cluster = settled({ runTime: 200, capacity: 2, maxTransactionWrites: 2 }, 2);
+  const cluster = readyCluster({ runTime: 200, capacity: 2, maxTransactionWrites: 2 }, 2);
   cluster.submit(job(1, { batch: 8200, cpus: 0.005, mem_gb: 0.005 }), 'n-0');
-  assert.ok(finished(cluster, A, 300_000));
-  const left = () => [...cluster.state.keys.keys()].filter((k) => k.includes('/live/'));
+  assert.ok(runUntilDone(cluster, JOB1, 300_000));
+  const remainingKeys = () => [...cluster.state.keys.keys()].filter((k) => k.includes('/live/'));
   assert.ok(
-    cluster.runUntil(() => left().length === 0, 10_000),
-    left().join(),
+    cluster.runUntil(() => remainingKeys().length === 0, 10_000),
+    remainingKeys().join(),
   );
-  keepsRules(cluster);
+  assertNoViolations(cluster);
 });
--- a/packages/testing/src/scenarios/rolling-upgrade.test.ts
+++ b/packages/testing/src/scenarios/rolling-upgrade.test.ts
@@ -1,18 +1,18 @@
 import assert from 'node:assert/strict';
 import { SimulatedCluster, job, type DeploymentTimes } from '../index.js';
-import { onEachDeployment } from './deployments.js';
-import { endsWell, idOf, insist, running } from './steps.js';
+import { testOnEachDeployment } from './deployments.js';
+import { assertRecovery, jobId, submitWithRetries, runningTaskCount } from './steps.js';
 
 // Rolling upgrades, older and current versions side by side, that meet other faults. The
 // times are those of both deployments.
 const SEEDS = [1, 2, 3];
 /** How long a replaced process is away. */
-const AWAY = 6000;
-const BETWEEN = 10_000;
-const FIRST_CHAIN = 101;
-const LAST_CHAIN = 112;
+const DOWNTIME_MS = 6000;
+const REPLACEMENT_INTERVAL_MS = 10_000;
+const FIRST_CHAIN_JOB = 101;
+const LAST_CHAIN_JOB = 112;
 
-interface Roll {
+interface RollingUpgrade {
   cluster: SimulatedCluster;
   /** Nodes in the order in which they are replaced; the one that led first is named. */
   order: string[];
@@ -20,7 +20,7 @@
 }
 
 /** A cluster of the older version under load, with room for more. */
-function olderCluster(times: DeploymentTimes, seed: number): SimulatedCluster {
+function olderVersionCluster(times: DeploymentTimes, seed: number): SimulatedCluster {
   const cluster = new SimulatedCluster({
     seed,
     times,
@@ -40,51 +40,56 @@
     cluster.submit(job(n, { batch: 4, expected_s: n % 2 ? 60 : 15 }), cluster.nodeNames[n % 3]!);
   }
   cluster.run(6000);
-  assert.ok(running(cluster) > 0);
+  assert.ok(runningTaskCount(cluster) > 0);
   return cluster;
 }
 
 /** Ends each process in turn; it comes back as the current version. */
-function replaceAll({ cluster, order }: Roll, away = AWAY, between = BETWEEN): void {
+function replaceProcesses(
+  { cluster, order }: RollingUpgrade,
+  downtime = DOWNTIME_MS,
+  interval = REPLACEMENT_INTERVAL_MS,
+): void {
   for (const [i, name] of order.entries()) {
-    cluster.at(i * between, () => cluster.crash(name));
-    cluster.at(i * between + away, () => cluster.boot(name));
+    cluster.at(i * interval, () => cluster.crash(name));
+    cluster.at(i * interval + downtime, () => cluster.boot(name));
   }
 }
 
 /** Chains come once all nodes have the current version; some are cancelled at their head. */
 function submitChains(cluster: SimulatedCluster): void {
-  for (let n = FIRST_CHAIN; n <= LAST_CHAIN; n++) {
-    const waits = n % 4 === 1 ? [] : [idOf(n - 1)];
-    const over = { batch: 2, expected_s: 5, waits_on: waits };
-    const ready = () => {
-      if (waits.every((id) => cluster.checker.isAccepted(id))) insist(cluster, n, over);
-      else cluster.at(1000, ready);
+  for (let n = FIRST_CHAIN_JOB; n <= LAST_CHAIN_JOB; n++) {
+    const waits = n % 4 === 1 ? [] : [jobId(n - 1)];
+    const overrides = { batch: 2, expected_s: 5, waits_on: waits };
+    const submitWhenReady = () => {
+      if (waits.every((id) => cluster.checker.isAccepted(id)))
+        submitWithRetries(cluster, n, overrides);
+      else cluster.at(1000, submitWhenReady);
     };
-    cluster.at((n - FIRST_CHAIN) * 700, ready);
+    cluster.at((n - FIRST_CHAIN_JOB) * 700, submitWhenReady);
   }
 }
 
 /** Jobs of before and after the upgrade. */
 function allJobs(): number[] {
   const jobs = [1, 2, 3, 4, 5, 6];
-  for (let n = FIRST_CHAIN; n <= LAST_CHAIN; n++) jobs.push(n);
+  for (let n = FIRST_CHAIN_JOB; n <= LAST_CHAIN_JOB; n++) jobs.push(n);
   return jobs;
 }
 
 interface UpgradeFault {
   name: string;
   /** Sets the faults off as the roll begins. */
-  faults: (roll: Roll) => void;
+  faults: (roll: RollingUpgrade) => void;
   order?: (leader: string, others: string[]) => string[];
   away?: number;
 }
 
-const usualOrder = (leader: string, [b, c]: string[]): string[] => [b!, leader, c!];
+const defaultOrder = (leader: string, [b, c]: string[]): string[] => [b!, leader, c!];
 
-const cancelElsewhere = (cluster: SimulatedCluster, n: number): void => {
+const cancelOnFollower = (cluster: SimulatedCluster, n: number): void => {
   const node = [...cluster.processes.running.keys()].find((name) => name !== cluster.leader());
-  if (node !== undefined) cluster.cancel(idOf(n), node);
+  if (node !== undefined) cluster.cancel(jobId(n), node);
 };
 
 const UPGRADE_FAULTS: UpgradeFault[] = [
@@ -92,7 +97,7 @@
     name: 'the state service refuses the leader alone, then is out for longer than cancel_s',
     faults: ({ cluster, leader }) => {
       cluster.state.refusedNodes.add(leader);
-      cluster.at(1000, () => cancelElsewhere(cluster, 1));
+      cluster.at(1000, () => cancelOnFollower(cluster, 1));
       cluster.at(2000, () => (cluster.state.down = true));
       cluster.at(14_000, () => cluster.state.refusedNodes.clear());
       cluster.at(cluster.times.cancellationLimit + 12_000, () => cluster.state.restore());
@@ -106,7 +111,7 @@
           cluster.state.refusedNodes.clear();
           const leader = cluster.leader();
           if (leader) cluster.state.refusedNodes.add(leader);
-          cancelElsewhere(cluster, i + 1);
+          cancelOnFollower(cluster, i + 1);
         });
       }
       cluster.at(35_000, () => cluster.state.refusedNodes.clear());
@@ -119,7 +124,7 @@
         call.path === '/commit' && cluster.random() < 0.4
           ? 2000 + cluster.random() * 10_000
           : undefined;
-      cluster.at(9000, () => cancelElsewhere(cluster, 1));
+      cluster.at(9000, () => cancelOnFollower(cluster, 1));
       cluster.at(35_000, () => (cluster.stateLink.fault = null));
     },
   },
@@ -128,28 +133,29 @@
     faults: ({ cluster }) => {
       cluster.stateLink.fault = (_node, call) =>
         call.path === '/commit' && cluster.random() < 0.4 ? 'lost_after' : undefined;
-      cluster.at(9000, () => cancelElsewhere(cluster, 1));
+      cluster.at(9000, () => cancelOnFollower(cluster, 1));
       cluster.at(35_000, () => (cluster.stateLink.fault = null));
     },
   },
   {
     name: 'the limits are lowered in the moment in which a process comes back',
-    faults: ({ cluster }) => cluster.at(AWAY, () => cluster.lowerStateLimits()),
+    faults: ({ cluster }) => cluster.at(DOWNTIME_MS, () => cluster.lowerStateLimits()),
   },
   {
     name: 'the leader is replaced last',
     order: (leader, others) => [...others, leader],
-    faults: ({ cluster }) => cluster.at(3 * BETWEEN, () => cluster.lowerStateLimits()),
+    faults: ({ cluster }) =>
+      cluster.at(3 * REPLACEMENT_INTERVAL_MS, () => cluster.lowerStateLimits()),
   },
   {
     name: 'the leader is replaced first',
     order: (leader, others) => [leader, ...others],
-    faults: ({ cluster }) => cluster.at(AWAY + 400, () => cancelElsewhere(cluster, 1)),
+    faults: ({ cluster }) => cluster.at(DOWNTIME_MS + 400, () => cancelOnFollower(cluster, 1)),
   },
   {
     name: 'a leader that was replaced is replaced once more',
     order: (leader, others) => [leader, ...others, leader],
-    faults: ({ cluster }) => cluster.at(AWAY + 400, () => cluster.lowerStateLimits()),
+    faults: ({ cluster }) => cluster.at(DOWNTIME_MS + 400, () => cluster.lowerStateLimits()),
   },
   {
     name: 'a process dies before its turn and is back as the older version within a second',
@@ -170,19 +176,19 @@
   {
     name: 'processes are back within a fraction of a second',
     away: 300,
-    faults: ({ cluster }) => cluster.at(400, () => cancelElsewhere(cluster, 1)),
+    faults: ({ cluster }) => cluster.at(400, () => cancelOnFollower(cluster, 1)),
   },
   {
     name: 'one process goes back to the older version at each moment of the roll',
     faults: ({ cluster, order }) => {
       for (let i = 0; i < 3; i++) {
         const name = order[i]!;
-        cluster.at(i * BETWEEN + AWAY + 1500, () => {
+        cluster.at(i * REPLACEMENT_INTERVAL_MS + DOWNTIME_MS + 1500, () => {
           cluster.crash(name);
           cluster.at(400, () => cluster.processes.bootOlderVersion(name));
         });
         // It gets the current version for good later.
-        cluster.at(3 * BETWEEN + i * 2000, () => {
+        cluster.at(3 * REPLACEMENT_INTERVAL_MS + i * 2000, () => {
           cluster.crash(name);
           cluster.at(400, () => cluster.boot(name));
         });
@@ -191,21 +197,21 @@
   },
 ];
 
-for (const { name, faults, order = usualOrder, away } of UPGRADE_FAULTS) {
-  onEachDeployment(`rolling upgrade: ${name}`, (times) => {
+for (const { name, faults, order = defaultOrder, away } of UPGRADE_FAULTS) {
+  testOnEachDeployment(`rolling upgrade: ${name}`, (times) => {
     for (const seed of SEEDS) {
-      const cluster = olderCluster(times, seed);
+      const cluster = olderVersionCluster(times, seed);
       const leader = cluster.leader()!;
-      const others = cluster.nodeNames.filter((n) => n !== leader);
-      const roll = { cluster, leader, order: order(leader, others) };
-      replaceAll(roll, away);
-      faults(roll);
-      cluster.run(4 * BETWEEN + AWAY);
+      const followers = cluster.nodeNames.filter((n) => n !== leader);
+      const upgrade = { cluster, leader, order: order(leader, followers) };
+      replaceProcesses(upgrade, away);
+      faults(upgrade);
+      cluster.run(4 * REPLACEMENT_INTERVAL_MS + DOWNTIME_MS);
       cluster.lowerStateLimits();
       submitChains(cluster);
-      cluster.at(4000, () => cancelElsewhere(cluster, FIRST_CHAIN + 4));
+      cluster.at(4000, () => cancelOnFollower(cluster, FIRST_CHAIN_JOB + 4));
       cluster.run(20_000);
-      endsWell(cluster, allJobs());
+      assertRecovery(cluster, allJobs());
       assert.equal(
         cluster.stateLink.oversizedCount,
         0,
--- a/packages/testing/src/scenarios/scale.test.ts
+++ b/packages/testing/src/scenarios/scale.test.ts
@@ -5,7 +5,7 @@
 import type { Call } from '@tealdock/controller';
 import { chooseVolunteer, dominates, firstNonDominated, type Volunteer } from '@tealdock/scheduler';
 import { SimulatedCluster, job } from '../index.js';
-import { A, keepsRules, running, settled } from './steps.js';
+import { JOB1, assertNoViolations, runningTaskCount, readyCluster } from './steps.js';
 
 /** Notes every call to the state service. */
 function recordCalls(cluster: SimulatedCluster): Call[] {
@@ -18,7 +18,7 @@
 
 // One change for each machine took most of a minute of the state service's changes.
 test('a thousand machines join with few changes of the state service', () => {
-  const cluster = settled({}, 1);
+  const cluster = readyCluster({}, 1);
   const calls = recordCalls(cluster);
   for (let i = 0; i < 1000; i++) cluster.cloud.add(i % 2 ? 'a' : 'b');
   cluster.run(15_000);
@@ -30,19 +30,19 @@
 });
 
 test('the registry of a thousand machines outlives its leader, and none is written twice', () => {
-  const cluster = settled({ cpuLimit: 10_000 }, 300);
+  const cluster = readyCluster({ cpuLimit: 10_000 }, 300);
   cluster.submit(job(1, { batch: 900, expected_s: 40 }), 'n-0');
-  assert.ok(cluster.runUntil(() => running(cluster) === 900, 30_000));
+  assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 900, 30_000));
   cluster.crash(cluster.leader()!);
   cluster.run(60_000);
-  keepsRules(cluster);
+  assertNoViolations(cluster);
   assert.ok(cluster.checker.startCount >= 900);
   assert.ok(cluster.checker.startCount < 930, `${cluster.checker.startCount} starts of 900 tasks`);
 });
 
 // A poll each needed a read or two of the few hundred a second.
 test('a hundred polls share a few requests to the state service', () => {
-  const cluster = settled({ capacity: 2 }, 2);
+  const cluster = readyCluster({ capacity: 2 }, 2);
   const ids = Array.from({ length: 100 }, (_, i) => `run-${String(i + 1).padStart(6, '0')}`);
   for (let i = 1; i <= 100; i++) cluster.submit(job(i, { expected_s: 500 }), 'n-0');
   cluster.run(5000);
@@ -51,9 +51,9 @@
   for (const id of ids) cluster.poll(id, 'n-0', (r) => (answered += r?.status === 200 ? 1 : 0));
   cluster.run(500);
   assert.equal(answered, 100);
-  const asked = calls.filter((c) => c.priority === 1).length;
-  assert.ok(asked <= 10, `${asked} requests`);
-  keepsRules(cluster);
+  const userRequestCount = calls.filter((c) => c.priority === 1).length;
+  assert.ok(userRequestCount <= 10, `${userRequestCount} requests`);
+  assertNoViolations(cluster);
 });
 
 test('hundreds of machines are rented with few calls', () => {
@@ -62,17 +62,17 @@
   cluster.submit(job(1, { batch: 1200, spare: true, expected_s: 60 }), 'n-0');
   assert.ok(cluster.runUntil(() => cluster.cloud.rentedIds.length >= 300, 10_000));
   assert.ok(cluster.cloud.rentalRequestCount <= 16, `${cluster.cloud.rentalRequestCount} calls`);
-  assert.ok(cluster.runUntil(() => running(cluster) === 1200, 40_000));
-  keepsRules(cluster);
+  assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 1200, 40_000));
+  assertNoViolations(cluster);
 });
 
-function plainChoice(volunteers: Volunteer[]): Volunteer | undefined {
+function exhaustiveChoice(volunteers: Volunteer[]): Volunteer | undefined {
   const best = Math.min(...volunteers.map((v) => v.imageRank));
   const able = volunteers.filter((v) => v.imageRank === best);
   return able.find((v) => !able.some((other) => dominates(other, v)));
 }
 
-function drawVolunteers(seed: number, count: number): Volunteer[] {
+function randomVolunteers(seed: number, count: number): Volunteer[] {
   const generator = xoroshiro128plus(seed);
   const draw = (steps: number) => Math.floor(uniformFloat64(generator) * steps);
   return Array.from({ length: count }, () => ({
@@ -85,14 +85,14 @@
 
 test('the quick way to the first point of the front comes to the same as the plain one', () => {
   for (let seed = 1; seed <= 300; seed++) {
-    const volunteers = drawVolunteers(seed, 1 + (seed % 60));
-    assert.equal(chooseVolunteer(volunteers), plainChoice(volunteers), `seed ${seed}`);
+    const volunteers = randomVolunteers(seed, 1 + (seed % 60));
+    assert.equal(chooseVolunteer(volunteers), exhaustiveChoice(volunteers), `seed ${seed}`);
   }
 });
 
 test('choosing among a thousand volunteers compares few of them with each other', () => {
   let reads = 0;
-  const volunteers = drawVolunteers(7, 1000).map((v) => ({
+  const volunteers = randomVolunteers(7, 1000).map((v) => ({
     ...v,
     get allocatedFraction() {
       reads++;
@@ -105,7 +105,7 @@
 });
 
 test('sums kept as bindings change agree with bindings added up', () => {
-  const cluster = settled({ capacity: 6, cpuLimit: 12, guarantee: 4, runTime: 6000 }, 4);
+  const cluster = readyCluster({ capacity: 6, cpuLimit: 12, guarantee: 4, runTime: 6000 }, 4);
   for (let i = 1; i <= 12; i++) {
     const owner = i % 2 ? 'team' : 'other';
     const urgency = ['urgent', 'normal', 'idle'][i % 3];
@@ -114,8 +114,8 @@
   cluster.at(15_000, () => cluster.crash(cluster.leader()!));
   cluster.run(120_000);
   // The checker adds up what runs at every start and compares it with the limit.
-  keepsRules(cluster);
+  assertNoViolations(cluster);
   assert.ok(cluster.checker.startCount > 60);
   assert.ok(cluster.checker.maxCpusUsed('team') > 11, 'the limit is used, so nothing leaks');
-  assert.equal(cluster.jobs.has(A), true);
+  assert.equal(cluster.jobs.has(JOB1), true);
 });
--- a/packages/testing/src/scenarios/scenarios.test.ts
+++ b/packages/testing/src/scenarios/scenarios.test.ts
@@ -3,38 +3,47 @@
 import type { StatsSnapshot } from '@tealdock/controller';
 import { packBody } from '@tealdock/wire';
 import { job, SimulatedCluster } from '../index.js';
-import { A, ask, finished, keepsRules, others, running, settled, status } from './steps.js';
+import {
+  JOB1,
+  replyTo,
+  runUntilDone,
+  assertNoViolations,
+  followers,
+  runningTaskCount,
+  readyCluster,
+  statusOf,
+} from './steps.js';
 
 test('a job is accepted, runs, is done and stays known', () => {
-  const cluster = settled();
-  assert.equal(ask(cluster, (d) => cluster.submit(job(1), 'n-0', d))?.status, 201);
-  assert.ok(finished(cluster, A));
-  const again = ask(cluster, (d) => cluster.submit(job(1), 'n-1', d));
+  const cluster = readyCluster();
+  assert.equal(replyTo(cluster, (d) => cluster.submit(job(1), 'n-0', d))?.status, 201);
+  assert.ok(runUntilDone(cluster, JOB1));
+  const again = replyTo(cluster, (d) => cluster.submit(job(1), 'n-1', d));
   assert.equal(again?.status, 200);
-  assert.equal(status(again), 'done');
-  keepsRules(cluster);
+  assert.equal(statusOf(again), 'done');
+  assertNoViolations(cluster);
 });
 
 test('a retried submission after the end is answered even when it is malformed by now', () => {
-  const cluster = settled();
+  const cluster = readyCluster();
   cluster.submit(job(1), 'n-0');
-  assert.ok(finished(cluster, A));
-  const unknownTeam = ask(cluster, (d) => cluster.submit(job(1, { owner: 'gone' }), 'n-1', d));
+  assert.ok(runUntilDone(cluster, JOB1));
+  const unknownTeam = replyTo(cluster, (d) => cluster.submit(job(1, { owner: 'gone' }), 'n-1', d));
   assert.equal(unknownTeam?.status, 200);
-  keepsRules(cluster);
+  assertNoViolations(cluster);
 });
 
 test('bad requests get what the protocol says and change nothing', () => {
-  const cluster = settled();
+  const cluster = readyCluster();
   const post = (body: unknown) => cluster.request('n-0', 'POST', '/api/jobs', packBody(body));
   assert.equal(post('text')?.status, 400);
   assert.equal(post(job(1, { batch: 0 }))?.status, 400);
   assert.equal(post(job(1, { ref: 'job-1' }))?.status, 400);
   assert.equal(post(job(1, { owner: 'nobody' }))?.status, 422);
   assert.equal(post(job(1, { cpus: 64 }))?.status, 422);
-  assert.equal(cluster.request('n-0', 'GET', `/api/jobs/${A}`, Buffer.alloc(0))?.status, 404);
+  assert.equal(cluster.request('n-0', 'GET', `/api/jobs/${JOB1}`, Buffer.alloc(0))?.status, 404);
   assert.equal(cluster.request('n-0', 'GET', '/api/jobs/..%2f', Buffer.alloc(0))?.status, 404);
-  assert.equal(cluster.request('n-0', 'DELETE', `/api/jobs/${A}`, Buffer.alloc(0))?.status, 405);
+  assert.equal(cluster.request('n-0', 'DELETE', `/api/jobs/${JOB1}`, Buffer.alloc(0))?.status, 405);
   assert.equal(cluster.request('n-0', 'GET', '/nowhere', Buffer.alloc(0))?.status, 404);
   assert.equal(cluster.request('n-0', 'POST', '/hello', packBody({ host: 1 }))?.status, 400);
   assert.equal([...cluster.state.keys.keys()].filter((k) => k.includes('run-')).length, 0);
@@ -44,34 +53,34 @@
   const cluster = new SimulatedCluster();
   cluster.cloud.down = true;
   cluster.run(8000);
-  assert.equal(ask(cluster, (d) => cluster.submit(job(1), 'n-0', d))?.status, 503);
+  assert.equal(replyTo(cluster, (d) => cluster.submit(job(1), 'n-0', d))?.status, 503);
 });
 
 test('the catalog is kept, so a cloud outage at start does not stop acceptance', () => {
-  const cluster = settled();
+  const cluster = readyCluster();
   cluster.run(40_000);
   cluster.cloud.down = true;
   for (const n of cluster.nodeNames) cluster.crash(n);
   for (const n of cluster.nodeNames) cluster.boot(n);
   cluster.run(15_000);
-  assert.equal(ask(cluster, (d) => cluster.submit(job(1), 'n-0', d))?.status, 201);
+  assert.equal(replyTo(cluster, (d) => cluster.submit(job(1), 'n-0', d))?.status, 201);
 });
 
 test('take-over while a start is in flight: the task runs once', () => {
-  const cluster = settled();
-  cluster.submit(job(1, { batch: 4, expected_s: 40 }), others(cluster)[0]!);
+  const cluster = readyCluster();
+  cluster.submit(job(1, { batch: 4, expected_s: 40 }), followers(cluster)[0]!);
   const sent = () => cluster.logLines.some((l) => l.message === 'start dispatched');
   assert.ok(cluster.runUntil(sent, 10_000));
   const old = cluster.leader()!;
   cluster.crash(old);
-  assert.ok(finished(cluster, A, 200_000));
+  assert.ok(runUntilDone(cluster, JOB1, 200_000));
   assert.notEqual(cluster.leader(), old);
-  keepsRules(cluster);
+  assertNoViolations(cluster);
 });
 
 // Its answer would renew a lease if a worker heard it, so a task of no live job is stopped.
 test('a late heartbeat after a take-over changes nothing and starts nothing', () => {
-  const cluster = settled({}, 1);
+  const cluster = readyCluster({}, 1);
   const worker = [...cluster.workers.values()][0]!;
   const token = worker.fencingToken;
   cluster.crash(cluster.leader()!);
@@ -87,12 +96,12 @@
     { verb: 'kill', piece: piece.piece, try_no: 1, wind_down_s: 0 },
   ]);
   cluster.submit(job(1, { batch: 4 }), cluster.leader()!);
-  assert.ok(finished(cluster, A), 'the whole machine is still free for work');
-  keepsRules(cluster);
+  assert.ok(runUntilDone(cluster, JOB1), 'the whole machine is still free for work');
+  assertNoViolations(cluster);
 });
 
 test('a restarted controller takes its own leadership over with a new token', () => {
-  const cluster = settled();
+  const cluster = readyCluster();
   const old = cluster.leader()!;
   const tokens = () =>
     cluster.logLines
@@ -108,89 +117,92 @@
 });
 
 test('the old leader hangs, is replaced and wakes: nobody takes orders from it', () => {
-  const cluster = settled();
-  cluster.submit(job(1, { batch: 8, expected_s: 30 }), others(cluster)[0]!);
+  const cluster = readyCluster();
+  cluster.submit(job(1, { batch: 8, expected_s: 30 }), followers(cluster)[0]!);
   cluster.run(6000);
   const old = cluster.leader()!;
   cluster.hang(old, true);
   cluster.run(25_000);
   assert.notEqual(cluster.leader(), old);
   cluster.hang(old, false);
-  assert.ok(finished(cluster, A, 200_000));
-  keepsRules(cluster);
+  assert.ok(runUntilDone(cluster, JOB1, 200_000));
+  assertNoViolations(cluster);
 });
 
 test('a worker cut through its lease: its tasks run elsewhere only once it is over', () => {
-  const cluster = settled({}, 2);
+  const cluster = readyCluster({}, 2);
   cluster.submit(job(1, { batch: 6, expected_s: 15 }), 'n-0');
-  cluster.runUntil(() => running(cluster) >= 6, 20_000);
+  cluster.runUntil(() => runningTaskCount(cluster) >= 6, 20_000);
   const victim = [...cluster.workers.keys()][0]!;
   cluster.network.cuts.add(victim);
   cluster.run(5000);
-  assert.ok(running(cluster) >= 6, 'nothing was moved yet');
+  assert.ok(runningTaskCount(cluster) >= 6, 'nothing was moved yet');
   cluster.run(30_000);
   cluster.network.cuts.delete(victim);
-  assert.ok(finished(cluster, A, 200_000));
-  keepsRules(cluster);
+  assert.ok(runUntilDone(cluster, JOB1, 200_000));
+  assertNoViolations(cluster);
 });
 
 test('a hanging machine that wakes within its lease goes on with its tasks', () => {
-  const cluster = settled({}, 2);
+  const cluster = readyCluster({}, 2);
   cluster.submit(job(1, { batch: 6, expected_s: 20 }), 'n-0');
-  cluster.runUntil(() => running(cluster) >= 6, 20_000);
+  cluster.runUntil(() => runningTaskCount(cluster) >= 6, 20_000);
   const victim = [...cluster.workers.values()][0]!;
   victim.isHung = true;
   cluster.run(12_000);
   victim.isHung = false;
-  assert.ok(finished(cluster, A));
-  keepsRules(cluster);
+  assert.ok(runUntilDone(cluster, JOB1));
+  assertNoViolations(cluster);
 });
 
 test('a lost answer with a start: the task is given to another attempt', () => {
-  const cluster = settled({}, 1);
+  const cluster = readyCluster({}, 1);
   const worker = [...cluster.workers.values()][0]!;
   for (const n of cluster.nodeNames) cluster.network.cuts.add(`${n}>${worker.machine.id}`);
   cluster.submit(job(1, { batch: 1 }), 'n-0');
   cluster.run(6000);
   cluster.network.cuts.clear();
-  assert.ok(finished(cluster, A));
-  keepsRules(cluster);
+  assert.ok(runUntilDone(cluster, JOB1));
+  assertNoViolations(cluster);
 });
 
 test('cancel against done on two nodes: one of them wins for good', () => {
   for (const moment of [0, 100, 200, 300, 400]) {
-    const cluster = settled({ runTime: 3000 }, 1);
+    const cluster = readyCluster({ runTime: 3000 }, 1);
     cluster.submit(job(1, { batch: 1 }), 'n-0');
     const exited = () =>
       [...cluster.workers.values()].some((w) => w.tasks.some((t) => t.status === 'exited'));
     assert.ok(cluster.runUntil(exited, 20_000));
     cluster.run(moment);
-    cluster.cancel(A, others(cluster)[0]!);
-    cluster.poll(A, others(cluster)[1]!);
+    cluster.cancel(JOB1, followers(cluster)[0]!);
+    cluster.poll(JOB1, followers(cluster)[1]!);
     cluster.run(5000);
-    assert.equal(ask(cluster, (d) => cluster.poll(A, 'n-2', d))?.status, 200);
-    keepsRules(cluster);
+    assert.equal(replyTo(cluster, (d) => cluster.poll(JOB1, 'n-2', d))?.status, 200);
+    assertNoViolations(cluster);
   }
 });
 
 test('a cancelled job is gone from its machines within the limit', () => {
-  const cluster = settled();
+  const cluster = readyCluster();
   cluster.submit(job(1, { batch: 4, expected_s: 500 }), 'n-0');
-  assert.ok(cluster.runUntil(() => running(cluster) === 4, 20_000));
-  assert.equal(status(ask(cluster, (d) => cluster.cancel(A, 'n-1', d))), 'aborted');
+  assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 4, 20_000));
+  assert.equal(statusOf(replyTo(cluster, (d) => cluster.cancel(JOB1, 'n-1', d))), 'aborted');
   cluster.run(10_000);
-  assert.equal(running(cluster), 0);
-  keepsRules(cluster);
+  assert.equal(runningTaskCount(cluster), 0);
+  assertNoViolations(cluster);
 });
 
 test('a commit without an answer is 503, and the retry finds the job', () => {
-  const cluster = settled();
+  const cluster = readyCluster();
   cluster.stateLink.fault = (_node, call) => (call.path === '/commit' ? 'lost_after' : undefined);
-  assert.equal(ask(cluster, (d) => cluster.submit(job(1), others(cluster)[0]!, d))?.status, 503);
+  assert.equal(
+    replyTo(cluster, (d) => cluster.submit(job(1), followers(cluster)[0]!, d))?.status,
+    503,
+  );
   cluster.stateLink.fault = null;
-  assert.equal(ask(cluster, (d) => cluster.submit(job(1), 'n-1', d))?.status, 200);
-  assert.ok(finished(cluster, A, 200_000));
-  keepsRules(cluster);
+  assert.equal(replyTo(cluster, (d) => cluster.submit(job(1), 'n-1', d))?.status, 200);
+  assert.ok(runUntilDone(cluster, JOB1, 200_000));
+  assertNoViolations(cluster);
 });
 
 test('an election commit without an answer is recognised by its nonce', () => {
@@ -212,36 +224,36 @@
   ['longer', 25_000],
 ] as const) {
   test(`a state outage ${name} than the leader's lease`, () => {
-    const cluster = settled();
+    const cluster = readyCluster();
     cluster.submit(job(1, { batch: 8, expected_s: 30 }), 'n-0');
     cluster.run(8000);
     cluster.state.down = true;
     cluster.run(length);
-    assert.equal(ask(cluster, (d) => cluster.poll(A, 'n-1', d))?.status, 503);
+    assert.equal(replyTo(cluster, (d) => cluster.poll(JOB1, 'n-1', d))?.status, 503);
     cluster.state.restore();
-    assert.ok(finished(cluster, A, 200_000));
-    keepsRules(cluster);
+    assert.ok(runUntilDone(cluster, JOB1, 200_000));
+    assertNoViolations(cluster);
   });
 }
 
 test('an outage common to all leaves the nodes healthy', () => {
-  const cluster = settled();
+  const cluster = readyCluster();
   cluster.state.down = true;
   cluster.run(10_000);
   assert.equal(cluster.request('n-0', 'GET', '/healthz', Buffer.alloc(0))?.status, 200);
 });
 
 test('a node refused alone by the state service has a peer answer', () => {
-  const cluster = settled();
-  const alone = others(cluster)[0]!;
+  const cluster = readyCluster();
+  const alone = followers(cluster)[0]!;
   cluster.stateLink.fault = (node) => (node === alone ? 'lost_before' : undefined);
   cluster.run(6000);
-  assert.equal(ask(cluster, (d) => cluster.submit(job(1), alone, d))?.status, 201);
-  keepsRules(cluster);
+  assert.equal(replyTo(cluster, (d) => cluster.submit(job(1), alone, d))?.status, 201);
+  assertNoViolations(cluster);
 });
 
 test('a leader that hears no worker makes way', () => {
-  const cluster = settled({}, 3);
+  const cluster = readyCluster({}, 3);
   const old = cluster.leader()!;
   cluster.run(15_000);
   for (const id of cluster.workers.keys()) {
@@ -252,32 +264,32 @@
 });
 
 test('all controllers down: work goes on within leases and is done afterwards', () => {
-  const cluster = settled();
+  const cluster = readyCluster();
   cluster.submit(job(1, { batch: 6, expected_s: 20 }), 'n-0');
   cluster.run(8000);
   for (const n of cluster.nodeNames) cluster.crash(n);
   cluster.run(8000);
   for (const n of cluster.nodeNames) cluster.boot(n);
-  assert.ok(finished(cluster, A));
-  keepsRules(cluster);
+  assert.ok(runUntilDone(cluster, JOB1));
+  assertNoViolations(cluster);
 });
 
 test("the team's limit holds through a rebuild with an unreachable machine", () => {
-  const cluster = settled({ cpuLimit: 4 }, 2);
+  const cluster = readyCluster({ cpuLimit: 4 }, 2);
   cluster.submit(job(1, { batch: 12, expected_s: 30 }), 'n-0');
-  assert.ok(cluster.runUntil(() => running(cluster) === 4, 20_000));
+  assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 4, 20_000));
   cluster.network.cuts.add([...cluster.workers.keys()][0]!);
   cluster.crash(cluster.leader()!);
   cluster.run(40_000);
   cluster.network.cuts.clear();
-  assert.ok(finished(cluster, A, 300_000));
-  keepsRules(cluster);
+  assert.ok(runUntilDone(cluster, JOB1, 300_000));
+  assertNoViolations(cluster);
 });
 
 test('a controller shows what it has counted and how long things took', () => {
-  const cluster = settled();
+  const cluster = readyCluster();
   cluster.submit(job(1, { batch: 4 }), 'n-0');
-  assert.ok(finished(cluster, A));
+  assert.ok(runUntilDone(cluster, JOB1));
   const reply = cluster.request(cluster.leader()!, 'GET', '/metrics', Buffer.alloc(0));
   const { counters, histograms } = reply?.body as StatsSnapshot;
   assert.ok(counters['reports.counted']! > 4);
--- a/packages/testing/src/scenarios/single-faults.test.ts
+++ b/packages/testing/src/scenarios/single-faults.test.ts
@@ -2,44 +2,53 @@
 import { test } from 'node:test';
 import { cancellationLimitProblem } from '@tealdock/controller';
 import { job } from '../index.js';
-import { A, ask, finished, keepsRules, others, running, settled, status } from './steps.js';
+import {
+  JOB1,
+  replyTo,
+  runUntilDone,
+  assertNoViolations,
+  followers,
+  runningTaskCount,
+  readyCluster,
+  statusOf,
+} from './steps.js';
 
 // Its heartbeats arrive while no answer does: it looks idle, the best of volunteers.
 test('a machine that hears nothing does not eat start after start', () => {
-  const cluster = settled({}, 2);
+  const cluster = readyCluster({}, 2);
   const unanswered = [...cluster.workers.keys()][0]!;
   cluster.network.cutResponsesTo(unanswered);
   cluster.submit(job(1, { batch: 4, expected_s: 10 }), 'n-0');
   cluster.submit(job(2, { batch: 8, expected_s: 10 }), 'n-0');
-  assert.ok(finished(cluster, A, 90_000));
-  assert.ok(finished(cluster, 'run-000002', 90_000));
+  assert.ok(runUntilDone(cluster, JOB1, 90_000));
+  assert.ok(runUntilDone(cluster, 'run-000002', 90_000));
   cluster.run(120_000);
   const lost = cluster.logLines.filter((l) => l.message === 'start lost').length;
   assert.ok(lost >= 1 && lost <= 4, `${lost} times a start was lost`);
-  keepsRules(cluster);
+  assertNoViolations(cluster);
 });
 
 test('a machine that hears again is used again', () => {
-  const cluster = settled({ capacity: 1 }, 1);
+  const cluster = readyCluster({ capacity: 1 }, 1);
   const unanswered = [...cluster.workers.keys()][0]!;
   cluster.network.cutResponsesTo(unanswered);
   cluster.submit(job(1), 'n-0');
   cluster.run(40_000);
-  assert.equal(cluster.checker.finalStatus(A), null);
+  assert.equal(cluster.checker.finalStatus(JOB1), null);
   cluster.network.restoreResponsesTo(unanswered);
-  assert.ok(finished(cluster, A, 180_000));
-  keepsRules(cluster);
+  assert.ok(runUntilDone(cluster, JOB1, 180_000));
+  assertNoViolations(cluster);
 });
 
 test('a cancelled task on a machine that hears nothing is gone in time', () => {
-  const cluster = settled({}, 2);
+  const cluster = readyCluster({}, 2);
   cluster.submit(job(1, { batch: 8, expected_s: 500 }), 'n-0');
-  assert.ok(cluster.runUntil(() => running(cluster) === 8, 20_000));
+  assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 8, 20_000));
   cluster.network.cutResponsesTo([...cluster.workers.keys()][0]!);
-  assert.equal(status(ask(cluster, (d) => cluster.cancel(A, 'n-1', d))), 'aborted');
+  assert.equal(statusOf(replyTo(cluster, (d) => cluster.cancel(JOB1, 'n-1', d))), 'aborted');
   cluster.run(60_000);
-  assert.equal(running(cluster), 0);
-  keepsRules(cluster);
+  assert.equal(runningTaskCount(cluster), 0);
+  assertNoViolations(cluster);
 });
 
 // Copies repeat what a machine once had: tasks long over, room long given away.
@@ -49,34 +58,34 @@
   ['well over a lease', 50_000],
 ] as const) {
   test(`copies of heartbeats come late by ${name}, through a take-over and returns`, () => {
-    const cluster = settled({ capacity: 4, runTime: 8000 }, 2);
+    const cluster = readyCluster({ capacity: 4, runTime: 8000 }, 2);
     cluster.fleet.duplicateDelay = () => delay;
     for (let i = 1; i <= 4; i++) cluster.submit(job(i, { batch: 6 }), 'n-0');
     cluster.run(12_000);
     cluster.crash(cluster.leader()!);
     cluster.run(4000);
     [...cluster.workers.values()][0]!.reboot();
-    for (let i = 1; i <= 4; i++) assert.ok(finished(cluster, `run-00000${i}`, 200_000));
+    for (let i = 1; i <= 4; i++) assert.ok(runUntilDone(cluster, `run-00000${i}`, 200_000));
     cluster.run(150_000);
-    keepsRules(cluster);
-    const ghosts = cluster.logLines.filter((l) => l.message === 'start lost').length;
-    assert.ok(ghosts <= 2, `${ghosts} starts went to machines known from copies only`);
+    assertNoViolations(cluster);
+    const lostStarts = cluster.logLines.filter((l) => l.message === 'start lost').length;
+    assert.ok(lostStarts <= 2, `${lostStarts} starts went to machines known from copies only`);
   });
 }
 
 test('a late copy does not end the long poll of a newer heartbeat', () => {
-  const cluster = settled({ capacity: 1 }, 1);
+  const cluster = readyCluster({ capacity: 1 }, 1);
   const worker = [...cluster.workers.values()][0]!;
-  const errors = () => cluster.logLines.filter((l) => l.message === 'start lost').length;
+  const lostStartCount = () => cluster.logLines.filter((l) => l.message === 'start lost').length;
   cluster.fleet.duplicateDelay = () => 700;
   const before = worker.sequenceNumber;
   cluster.run(30_000);
   assert.ok(worker.sequenceNumber - before < 14, 'the worker was never sent away');
-  assert.equal(errors(), 0);
+  assert.equal(lostStartCount(), 0);
 });
 
 test('a leader without state service and peers: its workers move, users are told', () => {
-  const cluster = settled({}, 3);
+  const cluster = readyCluster({}, 3);
   cluster.submit(job(1, { batch: 6, expected_s: 60 }), 'n-0');
   cluster.run(8000);
   const old = cluster.leader()!;
@@ -86,17 +95,17 @@
   assert.ok(cluster.runUntil(moved, 25_000), 'all workers follow a new leader');
   assert.notEqual(cluster.leader(), old);
   assert.equal(cluster.request(old, 'GET', '/healthz', Buffer.alloc(0))?.status, 503);
-  const reply = ask(cluster, (d) => cluster.poll(A, old, d));
+  const reply = replyTo(cluster, (d) => cluster.poll(JOB1, old, d));
   assert.equal(reply?.status, 503);
   assert.ok((reply.retryAfter ?? 0) > 0, 'users are told when to come back');
   cluster.network.cuts.clear();
-  assert.ok(finished(cluster, A, 120_000));
-  keepsRules(cluster);
+  assert.ok(runUntilDone(cluster, JOB1, 120_000));
+  assertNoViolations(cluster);
 });
 
 test('controllers back in a fraction of a second, in the middle of an election', () => {
   for (const pause of [50, 150, 300, 600]) {
-    const cluster = settled({}, 2);
+    const cluster = readyCluster({}, 2);
     cluster.submit(job(1, { batch: 6, expected_s: 20 }), 'n-0');
     cluster.run(6000);
     cluster.crash(cluster.leader()!);
@@ -105,80 +114,84 @@
       cluster.crash(n);
       cluster.at(pause, () => cluster.boot(n));
     }
-    assert.ok(finished(cluster, A, 200_000), `after ${pause} ms`);
-    keepsRules(cluster);
+    assert.ok(runUntilDone(cluster, JOB1, 200_000), `after ${pause} ms`);
+    assertNoViolations(cluster);
   }
 });
 
 test('machines back in a fraction of a second: their tasks run again, once', () => {
-  const cluster = settled({}, 2);
+  const cluster = readyCluster({}, 2);
   cluster.submit(job(1, { batch: 8, expected_s: 20 }), 'n-0');
-  assert.ok(cluster.runUntil(() => running(cluster) === 8, 20_000));
+  assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 8, 20_000));
   for (const w of cluster.workers.values()) w.reboot();
-  assert.ok(finished(cluster, A, 120_000));
-  keepsRules(cluster);
+  assert.ok(runUntilDone(cluster, JOB1, 120_000));
+  assertNoViolations(cluster);
 });
 
 // Nothing but steady higher work: without a turn of its own a low job never begins.
 test('the largest job of the lowest priority begins within four minutes', () => {
-  const cluster = settled({ capacity: 2, runTime: 15_000 }, 2);
-  const feed = (n: number) => {
+  const cluster = readyCluster({ capacity: 2, runTime: 15_000 }, 2);
+  const keepSubmitting = (n: number) => {
     cluster.submit(job(n, { batch: 8, urgency: 'urgent' }), 'n-0');
-    cluster.at(12_000, () => feed(n + 1));
+    cluster.at(12_000, () => keepSubmitting(n + 1));
   };
-  feed(100);
+  keepSubmitting(100);
   cluster.run(20_000);
   cluster.submit(job(1, { batch: 40, urgency: 'idle' }), 'n-1');
-  const done = () => [...cluster.checker.doneTasks(A)].length;
+  const done = () => [...cluster.checker.doneTasks(JOB1)].length;
   assert.ok(
     cluster.runUntil(() => done() > 0, 240_000),
     'some of it is even done',
   );
   cluster.run(60_000);
   assert.ok(done() > 1, 'and it goes on');
-  keepsRules(cluster);
+  assertNoViolations(cluster);
 });
 
 test('after an outage polls about every job are answered within seconds', () => {
-  const cluster = settled({ capacity: 2 }, 2);
+  const cluster = readyCluster({ capacity: 2 }, 2);
   const ids = Array.from({ length: 100 }, (_, i) => i + 1);
-  const name = (i: number) => `run-${String(i).padStart(6, '0')}`;
+  const idAt = (i: number) => `run-${String(i).padStart(6, '0')}`;
   for (const i of ids) cluster.submit(job(i, { expected_s: 500 }), 'n-0');
   cluster.run(5000);
-  for (const i of ids) assert.ok(cluster.checker.isAccepted(name(i)));
+  for (const i of ids) assert.ok(cluster.checker.isAccepted(idAt(i)));
   cluster.state.down = true;
   cluster.run(20_000);
   cluster.state.restore();
   cluster.run(3000);
   const answered = new Set<number>();
   for (const i of ids) {
-    cluster.poll(name(i), others(cluster)[0] ?? 'n-1', (r) => r?.status === 200 && answered.add(i));
+    cluster.poll(
+      idAt(i),
+      followers(cluster)[0] ?? 'n-1',
+      (r) => r?.status === 200 && answered.add(i),
+    );
   }
   cluster.run(2000);
   assert.equal(answered.size, ids.length);
-  keepsRules(cluster);
+  assertNoViolations(cluster);
 });
 
 // The job was forgotten between a poll and its proof, and the key that was gone looked equal.
 test('a poll beside a retried submission of a job that has ended is told its end', () => {
   for (let pause = 0; pause <= 500; pause += 50) {
-    const cluster = settled();
+    const cluster = readyCluster();
     cluster.submit(job(1, { batch: 1, expected_s: 6 }), 'n-0');
     cluster.run(4000);
-    cluster.poll(A, 'n-1');
-    assert.ok(cluster.runUntil(() => cluster.checker.doneTasks(A).size === 1, 30_000));
+    cluster.poll(JOB1, 'n-1');
+    assert.ok(cluster.runUntil(() => cluster.checker.doneTasks(JOB1).size === 1, 30_000));
     cluster.run(3000);
-    assert.equal(status(ask(cluster, (d) => cluster.poll(A, 'n-2', d))), 'done');
+    assert.equal(statusOf(replyTo(cluster, (d) => cluster.poll(JOB1, 'n-2', d))), 'done');
     cluster.submit(job(1), 'n-1');
-    cluster.at(pause, () => cluster.poll(A, 'n-1'));
+    cluster.at(pause, () => cluster.poll(JOB1, 'n-1'));
     cluster.run(2000);
-    keepsRules(cluster);
+    assertNoViolations(cluster);
   }
 });
 
 // Shards hold many entries: a late write of an old one would undo all that came since.
 test('a commit that is carried out late does not take later machines off the registry', () => {
-  const cluster = settled({ capacity: 6, runTime: 4000 }, 2);
+  const cluster = readyCluster({ capacity: 6, runTime: 4000 }, 2);
   let late = 0;
   cluster.stateLink.fault = (_node, call) =>
     call.writeCount > 0 && JSON.stringify(call.body).includes('tealdock/roster') && late++ === 0
@@ -192,11 +205,11 @@
     .filter(([key]) => key.includes('/roster/'))
     .flatMap(([, e]) => Object.keys((e.v as { entries: object }).entries));
   assert.deepEqual(registry.sort(), [...cluster.workers.keys()].sort());
-  keepsRules(cluster);
+  assertNoViolations(cluster);
 });
 
 test('while nobody leads, workers wait for the election instead of asking around', () => {
-  const cluster = settled({}, 20);
+  const cluster = readyCluster({}, 20);
   cluster.crash(cluster.leader()!);
   cluster.run(4000);
   const before = [...cluster.workers.values()].reduce((n, w) => n + w.sequenceNumber, 0);
@@ -212,10 +225,10 @@
 });
 
 test('a successor knows which machines hold an image', () => {
-  const cluster = settled({ runTime: 3000 }, 6);
+  const cluster = readyCluster({ runTime: 3000 }, 6);
   // Without hints the first machine, in the other zone, would be taken.
   cluster.submit(job(1, { batch: 2, hall: 'b' }), 'n-0');
-  assert.ok(finished(cluster, A));
+  assert.ok(runUntilDone(cluster, JOB1));
   const holders = new Set(
     cluster.logLines
       .filter((l) => l.message === 'start dispatched')
@@ -226,25 +239,25 @@
   cluster.run(20_000);
   const from = cluster.logLines.length;
   cluster.submit(job(2, { batch: 2 }), [...cluster.processes.running.keys()][0]!);
-  assert.ok(finished(cluster, 'run-000002'));
+  assert.ok(runUntilDone(cluster, 'run-000002'));
   const used = cluster.logLines.slice(from).filter((l) => l.message === 'start dispatched');
   for (const l of used) assert.ok(holders.has(l.fields['machine']), 'work goes to a holder');
   assert.ok(used.length > 0);
 });
 
 test('work waits a moment for a busy holder of its image, but not for long', () => {
-  const cluster = settled({ capacity: 2, runTime: 4000 }, 2);
+  const cluster = readyCluster({ capacity: 2, runTime: 4000 }, 2);
   const large = { batch: 4, image_gb: 16, hall: 'b' };
   cluster.submit(job(1, large), 'n-0');
-  assert.ok(finished(cluster, A));
+  assert.ok(runUntilDone(cluster, JOB1));
   cluster.submit(job(2, { ...large, expected_s: 4 }), 'n-0');
-  assert.ok(cluster.runUntil(() => running(cluster) === 4, 10_000));
+  assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 4, 10_000));
   // Nobody has room for this one, so room is scarce.
   cluster.submit(job(4, { hall: 'b', batch: 1 }), 'n-0');
   cluster.run(500);
   const from = cluster.logLines.length;
   cluster.submit(job(3, { ...large, hall: null, batch: 3 }), 'n-0');
-  assert.ok(finished(cluster, 'run-000003'));
+  assert.ok(runUntilDone(cluster, 'run-000003'));
   const starts = cluster.logLines.slice(from).filter((l) => l.message === 'start dispatched');
   const used = starts.filter((l) => String(l.fields['task']).startsWith('run-000003'));
   const holder = [...cluster.workers.values()].find((w) => w.machine.zone === 'b')!.machine.id;
--- a/packages/testing/src/scenarios/zones.test.ts
+++ b/packages/testing/src/scenarios/zones.test.ts
@@ -2,11 +2,20 @@
 import { test } from 'node:test';
 import type { SimulatedCluster } from '../index.js';
 import { job } from '../index.js';
-import { A, ask, finished, keepsRules, others, running, settled, status } from './steps.js';
+import {
+  JOB1,
+  replyTo,
+  runUntilDone,
+  assertNoViolations,
+  followers,
+  runningTaskCount,
+  readyCluster,
+  statusOf,
+} from './steps.js';
 
 /** Parts zone `b`, with one controller that does not lead, from the leader's side. */
-function partZones(cluster: SimulatedCluster): { far: string; machines: string[] } {
-  const far = others(cluster)[0]!;
+function partitionZones(cluster: SimulatedCluster): { far: string; machines: string[] } {
+  const far = followers(cluster)[0]!;
   const machines = [...cluster.workers.values()]
     .filter((w) => w.machine.zone === 'b')
     .map((w) => w.machine.id);
@@ -15,45 +24,45 @@
 }
 
 function busyCluster(): SimulatedCluster {
-  const cluster = settled({ capacity: 4, runTime: 70_000 }, 4);
+  const cluster = readyCluster({ capacity: 4, runTime: 70_000 }, 4);
   // Room is left on the leader's side for whatever it takes for lost.
   cluster.submit(job(1, { batch: 10, expected_s: 70 }), 'n-0');
-  assert.ok(cluster.runUntil(() => running(cluster) === 10, 20_000));
+  assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 10, 20_000));
   return cluster;
 }
 
 test("zones apart for longer than the workers' lease: the far zone keeps its tasks", () => {
   const cluster = busyCluster();
-  const { machines } = partZones(cluster);
+  const { machines } = partitionZones(cluster);
   cluster.run(40_000);
   for (const id of machines)
     assert.equal(cluster.workers.get(id)!.agentEpoch, 1, `${id} kept its lease`);
   cluster.network.cuts.clear();
-  assert.ok(finished(cluster, A));
+  assert.ok(runUntilDone(cluster, JOB1));
   assert.equal(cluster.checker.startCount, 10, 'nothing ran again');
-  keepsRules(cluster);
+  assertNoViolations(cluster);
 });
 
 test('zones apart: a cancelled job is gone from the far zone in time', () => {
   const cluster = busyCluster();
-  const { far } = partZones(cluster);
+  const { far } = partitionZones(cluster);
   cluster.run(12_000);
-  assert.equal(status(ask(cluster, (d) => cluster.cancel(A, far, d))), 'aborted');
+  assert.equal(statusOf(replyTo(cluster, (d) => cluster.cancel(JOB1, far, d))), 'aborted');
   cluster.run(50_000);
-  assert.equal(running(cluster), 0);
-  keepsRules(cluster);
+  assert.equal(runningTaskCount(cluster), 0);
+  assertNoViolations(cluster);
 });
 
 test('zones apart and the leader dies: its successor waits for what is kept', () => {
   for (const wait of [9000, 14_000, 19_000]) {
     const cluster = busyCluster();
-    partZones(cluster);
+    partitionZones(cluster);
     cluster.run(wait);
     cluster.crash(cluster.leader()!);
     cluster.run(30_000);
     cluster.network.cuts.clear();
-    assert.ok(finished(cluster, A, 300_000), `died after ${wait} ms`);
-    keepsRules(cluster);
+    assert.ok(runUntilDone(cluster, JOB1, 300_000), `died after ${wait} ms`);
+    assertNoViolations(cluster);
   }
 });
 
@@ -61,7 +70,7 @@
 // would stay open for a grant and a lease more, with all older work waiting.
 test('grants that were over long ago do not put off the end of leases', () => {
   const cluster = busyCluster();
-  const { machines } = partZones(cluster);
+  const { machines } = partitionZones(cluster);
   cluster.run(12_000);
   assert.ok(cluster.logLines.some((l) => l.message === 'lease renewal delegated'));
   // The zone, its controller included, is gone for good, and the leader ends.
@@ -76,28 +85,28 @@
       'tookMs'
     ],
   );
-  const grant = 6000;
-  assert.ok(took < cluster.times.lease + grant + 5000, `${took} ms`);
+  const grantDuration = 6000;
+  assert.ok(took < cluster.times.lease + grantDuration + 5000, `${took} ms`);
   cluster.network.cuts.clear();
-  assert.ok(finished(cluster, A, 300_000));
-  keepsRules(cluster);
+  assert.ok(runUntilDone(cluster, JOB1, 300_000));
+  assertNoViolations(cluster);
 });
 
 test('a machine of the far zone that dies while it is kept gives its tasks back', () => {
   const cluster = busyCluster();
-  const { machines } = partZones(cluster);
+  const { machines } = partitionZones(cluster);
   cluster.run(15_000);
   cluster.cloud.take(machines[0]!);
   cluster.run(20_000);
   cluster.network.cuts.clear();
-  assert.ok(finished(cluster, A, 300_000));
-  keepsRules(cluster);
+  assert.ok(runUntilDone(cluster, JOB1, 300_000));
+  assertNoViolations(cluster);
 });
 
 test('workers go to a leader that peers only refuse to connect to', () => {
-  const cluster = settled({}, 3);
+  const cluster = readyCluster({}, 3);
   const leader = cluster.leader()!;
-  const peers = others(cluster);
+  const peers = followers(cluster);
   for (const p of peers) cluster.network.cuts.add(`${leader}>${p}`);
   for (const p of peers) cluster.network.cuts.add(`${p}>${leader}`);
   const refuse = () => {
@@ -108,11 +117,11 @@
   cluster.run(10_000);
   for (let i = 0; i < 3; i++) cluster.cloud.add('a');
   cluster.run(10_000);
-  const kept = cluster.logLines.some((l) => l.message === 'lease renewal delegated');
-  assert.ok(!kept, 'no grant is asked for');
+  const delegated = cluster.logLines.some((l) => l.message === 'lease renewal delegated');
+  assert.ok(!delegated, 'no grant is asked for');
   for (const w of cluster.workers.values())
     assert.ok(w.fencingToken > 0, 'each has found the leader');
   cluster.submit(job(1), peers[0]!);
-  assert.ok(finished(cluster, A));
-  keepsRules(cluster);
+  assert.ok(runUntilDone(cluster, JOB1));
+  assertNoViolations(cluster);
 });
--- a/packages/testing/src/unit/authority.test.ts
+++ b/packages/testing/src/unit/authority.test.ts
@@ -11,18 +11,18 @@
 } from '@tealdock/controller';
 import { job } from '../index.js';
 import { settingsFor } from '../simulation/cluster-options.js';
-import { A, cancelled, settled, violations } from '../scenarios/steps.js';
+import { JOB1, cancelAndConfirm, readyCluster, invariantViolations } from '../scenarios/steps.js';
 
-const NOW = 100_000;
+const NOW_MS = 100_000;
 const READY: StartTarget = { isRegistered: true, isReconciled: true, isReturning: false };
 
-interface Given {
+interface Conditions {
   knowledge?: Partial<TermKnowledge>;
   /** How long the leader's lease still holds; null where it is in doubt. */
   lease?: number | null;
 }
 
-function authority({ knowledge = {}, lease = 3000 }: Given = {}): Authority {
+function authorityWith({ knowledge = {}, lease = 3000 }: Conditions = {}): Authority {
   const runtime = new Runtime({
     settings: settingsFor('n-0', 100),
     operator: parseOperatorSettings(''),
@@ -30,12 +30,12 @@
     log: () => undefined,
     stats: new Stats(),
   });
-  runtime.now = NOW;
-  const held = lease === null ? null : { fencingToken: 7, validUntil: NOW + lease };
+  runtime.now = NOW_MS;
+  const held = lease === null ? null : { fencingToken: 7, validUntil: NOW_MS + lease };
   const all = {
     stateLoaded: true,
     closed: false,
-    cancellationsKnownUntil: NOW,
+    cancellationsKnownUntil: NOW_MS,
     observedJobsLoaded: true,
     isLive: () => true,
   };
@@ -45,34 +45,37 @@
 const reasonOf = (decision: Decision): string => (decision.granted ? 'granted' : decision.reason);
 
 test('an answer that renews a lease needs a lease, the live jobs and fresh knowledge', () => {
-  const renewal = (given: Given) => reasonOf(authority(given).renewal());
+  const renewal = (given: Conditions) => reasonOf(authorityWith(given).renewal());
   assert.equal(renewal({}), 'granted');
   assert.equal(renewal({ lease: null }), 'no_lease');
   assert.equal(renewal({ knowledge: { closed: true } }), 'term_over');
   assert.equal(renewal({ knowledge: { stateLoaded: false } }), 'jobs_not_read');
-  assert.equal(renewal({ knowledge: { cancellationsKnownUntil: NOW - 6000 } }), 'granted');
-  assert.equal(renewal({ knowledge: { cancellationsKnownUntil: NOW - 6001 } }), 'knowledge_stale');
+  assert.equal(renewal({ knowledge: { cancellationsKnownUntil: NOW_MS - 6000 } }), 'granted');
+  assert.equal(
+    renewal({ knowledge: { cancellationsKnownUntil: NOW_MS - 6001 } }),
+    'knowledge_stale',
+  );
   assert.equal(renewal({ knowledge: { cancellationsKnownUntil: -Infinity } }), 'knowledge_stale');
 });
 
 test('a right to answer ends with the lease or with the knowledge, whichever is first', () => {
-  const until = (given: Given) => {
-    const decision = authority(given).renewal();
+  const until = (given: Conditions) => {
+    const decision = authorityWith(given).renewal();
     return decision.granted ? decision.validUntil : null;
   };
-  assert.equal(until({ lease: 1000 }), NOW + 1000);
+  assert.equal(until({ lease: 1000 }), NOW_MS + 1000);
   assert.equal(
-    until({ lease: 9000, knowledge: { cancellationsKnownUntil: NOW - 2000 } }),
-    NOW + 4000,
+    until({ lease: 9000, knowledge: { cancellationsKnownUntil: NOW_MS - 2000 } }),
+    NOW_MS + 4000,
   );
 });
 
 test('a start needs fresher knowledge, and a machine that is accounted for', () => {
   const start = (knowledge: Partial<TermKnowledge>, machine: Partial<StartTarget> = {}) =>
-    reasonOf(authority({ knowledge }).start({ ...READY, ...machine }));
+    reasonOf(authorityWith({ knowledge }).start({ ...READY, ...machine }));
   assert.equal(start({}), 'granted');
-  assert.equal(start({ cancellationsKnownUntil: NOW - 2000 }), 'granted');
-  assert.equal(start({ cancellationsKnownUntil: NOW - 2001 }), 'knowledge_stale');
+  assert.equal(start({ cancellationsKnownUntil: NOW_MS - 2000 }), 'granted');
+  assert.equal(start({ cancellationsKnownUntil: NOW_MS - 2001 }), 'knowledge_stale');
   assert.equal(start({ observedJobsLoaded: false }), 'sizes_unknown');
   assert.equal(start({}, { isRegistered: false }), 'machine_not_registered');
   assert.equal(start({}, { isReconciled: false }), 'machine_unaccounted');
@@ -80,40 +83,42 @@
 });
 
 test('a refusal for stale knowledge names its age and limit', () => {
-  const decision = authority({ knowledge: { cancellationsKnownUntil: NOW - 7000 } }).renewal();
+  const decision = authorityWith({
+    knowledge: { cancellationsKnownUntil: NOW_MS - 7000 },
+  }).renewal();
   assert.deepEqual(decision.evidence, { source: 'job watch', age: 7000, limit: 6000 });
 });
 
 test('only a term that has read the live jobs may stop what is not among them', () => {
-  const isLive = (id: string) => id === A;
-  assert.equal(authority({ knowledge: { isLive } }).mayStop(A), false);
-  assert.equal(authority({ knowledge: { isLive } }).mayStop('run-000002'), true);
+  const isLive = (id: string) => id === JOB1;
+  assert.equal(authorityWith({ knowledge: { isLive } }).mayStop(JOB1), false);
+  assert.equal(authorityWith({ knowledge: { isLive } }).mayStop('run-000002'), true);
   assert.equal(
-    authority({ knowledge: { isLive, stateLoaded: false } }).mayStop('run-000002'),
+    authorityWith({ knowledge: { isLive, stateLoaded: false } }).mayStop('run-000002'),
     false,
   );
 });
 
 // A worker that goes on with a task which it was told to stop must show in the log and counters.
 test('a task that outlasts the limit of its cancellation is a violation, reported once', () => {
-  const cluster = settled({}, 1);
+  const cluster = readyCluster({}, 1);
   cluster.submit(job(1, { batch: 1, cpus: 4, expected_s: 300 }), 'n-0');
   cluster.run(2000);
-  cancelled(cluster, 1, 'n-0');
+  cancelAndConfirm(cluster, 1, 'n-0');
   const leader = cluster.leader()!;
   const { machine, fencingToken: fence } = [...cluster.workers.values()][0]!;
   const place = { host: 'm-000099', addr: 'x:1', flavour: machine.type, hall: 'a', spare: false };
-  const task = { piece: `${A}/0`, try_no: 9, status: 'running' };
+  const task = { piece: `${JOB1}/0`, try_no: 9, status: 'running' };
   const report = (tally: number) =>
     packBody({ ...place, shift: 1, tally, fence, warning_s: null, batch: [task] });
   const limit = cluster.now() + cluster.times.cancellationLimit;
   for (let tally = 1; cluster.now() < limit + 10_000; tally++) {
     cluster.request(leader, 'POST', '/hello', report(tally));
-    if (cluster.now() < limit - 5000) assert.deepEqual(violations(cluster), []);
+    if (cluster.now() < limit - 5000) assert.deepEqual(invariantViolations(cluster), []);
     cluster.run(2000);
   }
-  const [violation, ...more] = violations(cluster) as { invariant: string; job: string }[];
+  const [violation, ...more] = invariantViolations(cluster) as { invariant: string; job: string }[];
   assert.equal(violation?.invariant, 'ran_past_cancel_limit');
-  assert.equal(violation.job, A);
+  assert.equal(violation.job, JOB1);
   assert.deepEqual(more, []);
 });
--- a/packages/testing/src/unit/listen.test.ts
+++ b/packages/testing/src/unit/listen.test.ts
@@ -5,43 +5,43 @@
 import { listen } from '@tealdock/adapters';
 
 /** A server whose address is taken for the first tries. */
-class TakenServer extends EventEmitter {
-  tries = 0;
+class BusyAddressServer extends EventEmitter {
+  attemptCount = 0;
 
   constructor(
-    private readonly taken: number,
+    private readonly failureCount: number,
     private readonly code = 'EADDRINUSE',
   ) {
     super();
   }
 
   listen(): void {
-    if (this.tries++ < this.taken)
+    if (this.attemptCount++ < this.failureCount)
       this.emit('error', Object.assign(new Error(), { code: this.code }));
     else this.emit('listening');
   }
 }
 
-function start(server: TakenServer): { ready: boolean; failed: boolean } {
-  const seen = { ready: false, failed: false };
+function startListening(server: BusyAddressServer): { ready: boolean; failed: boolean } {
+  const outcome = { ready: false, failed: false };
   mock.timers.enable({ apis: ['setTimeout'] });
   listen(server as unknown as Server, '127.0.0.1:1', {
-    onListening: () => (seen.ready = true),
-    onFailure: () => (seen.failed = true),
+    onListening: () => (outcome.ready = true),
+    onFailure: () => (outcome.failed = true),
   });
   for (let i = 0; i < 5; i++) mock.timers.tick(500);
   mock.timers.reset();
-  return seen;
+  return outcome;
 }
 
 // A controller that was back at once ended by itself: its port was taken for a moment.
 test('a process that is back at once waits for its address', () => {
-  const server = new TakenServer(3);
-  assert.deepEqual(start(server), { ready: true, failed: false });
-  assert.equal(server.tries, 4);
+  const server = new BusyAddressServer(3);
+  assert.deepEqual(startListening(server), { ready: true, failed: false });
+  assert.equal(server.attemptCount, 4);
 });
 
 test('an address that can not be listened on at all ends the process', () => {
-  const server = new TakenServer(1, 'EACCES');
-  assert.deepEqual(start(server), { ready: false, failed: true });
+  const server = new BusyAddressServer(1, 'EACCES');
+  assert.deepEqual(startListening(server), { ready: false, failed: true });
 });
