--- a/packages/testing/src/checker/rule-checker.test.ts
+++ b/packages/testing/src/checker/rule-checker.test.ts
@@ -112,14 +112,14 @@
   const small = [1, 2, 3].map((n) => watch.acceptJob(n, { batch: 1, jobclass: 'calm' }));
   const [large, rest] = [watch.acceptJob(4, { batch: 3, jobclass: 'calm' }), watch.acceptJob(5)];
   for (const id of small) watch.finishTask(`${id}/0`);
-  const unserved = () => watch.checker.unserved().map((f) => f.split(':')[0]);
-  assert.deepEqual(unserved(), ['largest of calm', 'class plain', 'largest of plain']);
+  const shortfalls = () => watch.checker.unserved().map((f) => f.split(':')[0]);
+  assert.deepEqual(shortfalls(), ['largest of calm', 'class plain', 'largest of plain']);
   for (let i = 0; i < 3; i++) watch.finishTask(`${large}/${i}`);
-  assert.deepEqual(unserved(), ['class plain', 'largest of plain']);
+  assert.deepEqual(shortfalls(), ['class plain', 'largest of plain']);
   watch.checker.noteResponse(rest, 200, 'aborted', true, null);
-  assert.deepEqual(unserved(), []);
+  assert.deepEqual(shortfalls(), []);
   for (const n of [6, 7, 8, 9, 10]) watch.acceptJob(n, { jobclass: 'calm' });
-  assert.deepEqual(unserved()[0], 'team team');
+  assert.deepEqual(shortfalls()[0], 'team team');
 });
 
 test('a task that starts before all that its job needs is done', () => {
--- a/packages/testing/src/scenarios/dependency-faults.test.ts
+++ b/packages/testing/src/scenarios/dependency-faults.test.ts
@@ -18,7 +18,7 @@
   submitAccepted,
 } from './steps.js';
 
-// Dependent jobs that meet other faults.
+// Jobs with predecessors, combined with other faults.
 
 const LONG_RUN_TIME_MS = 400_000;
 
@@ -26,7 +26,7 @@
   [...cluster.workers.values()].filter((w) => w.tasks.some((t) => t.piece.startsWith(jobId(n))));
 
 testOnEachDeployment(
-  'a predecessor is cancelled by two nodes as its last task ends, and a third takes dependents',
+  'all dependents get the final status of a job that two nodes cancel as its last task ends',
   (times) => {
     for (const crashes of [false, true]) {
       for (let moment = 0; moment <= 2000; moment += 200) {
@@ -63,7 +63,7 @@
 
 const MACHINE_FAULTS: MachineFault[] = [
   {
-    name: 'get no answers',
+    name: 'receive no responses',
     begin: (cluster, workers) =>
       workers.forEach((w) => cluster.network.cutResponsesTo(w.machine.id)),
     end: (cluster, workers) =>
@@ -82,7 +82,7 @@
     end: (_cluster, workers) => workers.forEach((w) => (w.isHung = false)),
   },
   {
-    name: 'have copies of their heartbeats come late',
+    name: 'have their heartbeats delivered again late',
     begin: (cluster) => (cluster.fleet.duplicateDelay = () => 2000 + cluster.random() * 40_000),
     end: (cluster) => (cluster.fleet.duplicateDelay = null),
   },
@@ -90,7 +90,7 @@
 
 for (const { name, begin, end } of MACHINE_FAULTS) {
   testOnEachDeployment(
-    `machines that run a predecessor ${name}: its dependents wait for its end`,
+    `dependents wait for the end of a predecessor whose machines ${name}`,
     (times) => {
       for (const length of [6000, times.lease + 8000, 2 * times.lease + 20_000]) {
         for (const crashes of [false, true]) {
@@ -118,9 +118,9 @@
 }
 
 for (const hasLeader of [true, false]) {
-  const name = hasLeader ? 'an outage' : 'an outage, with no leader to end the rest';
+  const name = hasLeader ? 'an outage' : 'an outage without a leader';
   testOnEachDeployment(
-    `the head of a chain of hundreds is cancelled under low limits and ${name}`,
+    `hundreds of dependents of a cancelled job end in time under low limits and ${name}`,
     (times) => {
       const limits = { sockets: 1500, requestsPerSecond: 100, writesPerSecond: 15 };
       const announcedLimits = { maxValueBytes: 2048, maxTransactionWrites: 4 };
@@ -140,18 +140,17 @@
       all.push(...[...Array(deep).keys()].map((i) => 500 + i));
       const [b, c] = followers(cluster);
       if (!hasLeader) {
-        // Whoever led goes, and the others can't write the leader's key.
-        const writesLeaderKey = (call: Call) =>
+        // The leader crashes, and the other nodes can't write the leader key.
+        const isElection = (call: Call) =>
           JSON.stringify(call.body ?? '').includes('tealdock/leader');
-        cluster.stateLink.fault = (_node, call) =>
-          writesLeaderKey(call) ? 'lost_before' : undefined;
+        cluster.stateLink.fault = (_node, call) => (isElection(call) ? 'lost_before' : undefined);
         cluster.crash(cluster.leader()!);
       }
       assert.equal(statusOf(replyTo(cluster, (d) => cluster.cancel(JOB1, b!, d))), 'aborted');
       cluster.state.down = true;
       cluster.run(10_000);
       cluster.state.restore();
-      // Users ask about every five seconds, each of them some node.
+      // Every five seconds users poll each unfinished job once, at varying nodes.
       for (let round = 0; round * 5000 < times.cancellationLimit; round++) {
         for (const [i, n] of all.entries()) {
           if (cluster.checker.finalStatus(jobId(n)) !== null) continue;
@@ -175,7 +174,7 @@
 }
 
 testOnEachDeployment(
-  'a chain is submitted over minutes, its last job when terms and their jobs are long over',
+  'a job whose predecessors all ended in earlier terms starts at once',
   (times) => {
     const cluster = readyDeployment(times, { runTime: 2000 }, 3);
     const last = 9;
@@ -189,14 +188,14 @@
     cluster.run(times.lease + 5000);
     for (const node of cluster.nodeNames) cluster.boot(node);
     cluster.run(9000);
-    const everyone = Array.from({ length: last - 1 }, (_, i) => i + 1);
-    submitAccepted(cluster, last, { batch: 2, urgency: 'urgent', ...waitsOn(...everyone) });
+    const predecessors = Array.from({ length: last - 1 }, (_, i) => i + 1);
+    submitAccepted(cluster, last, { batch: 2, urgency: 'urgent', ...waitsOn(...predecessors) });
     const from = cluster.now();
     assert.ok(
       cluster.runUntil(() => hasStarted(cluster, last), 15_000),
-      'its predecessors are over',
+      'all its predecessors have ended',
     );
     assert.ok(cluster.now() - from < 15_000);
-    assertRecovery(cluster, [...everyone, last]);
+    assertRecovery(cluster, [...predecessors, last]);
   },
 );
--- a/packages/testing/src/scenarios/deployments.ts
+++ b/packages/testing/src/scenarios/deployments.ts
@@ -1,4 +1,4 @@
-/** Tests that run with the times of each deployment. */
+/** Tests that are run with the times of each deployment. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { runningTaskCount, readyCluster } from './steps.js';
@@ -17,14 +17,14 @@
   },
 };
 
-/** One test for each deployment's times. */
+/** Defines one test for each deployment, whose name is appended to the title. */
 export function testOnEachDeployment(title: string, run: (times: DeploymentTimes) => void): void {
   for (const [site, times] of Object.entries(DEPLOYMENTS)) {
     test(`${title} (${site})`, () => run(times));
   }
 }
 
-/** A cluster on a deployment's times, with machines up and a leader that knows them. */
+/** A cluster with a deployment's times, an elected leader and this many machines. */
 export function readyDeployment(
   times: DeploymentTimes,
   options: ClusterOptions = {},
@@ -33,7 +33,7 @@
   return readyCluster({ times, capacity: machineCount, ...options }, machineCount);
 }
 
-/** A cluster with `jobs` jobs of `tasks` long tasks each, all of which run. */
+/** A cluster on which all tasks of `jobCount` jobs run, each for 150 s unless overridden. */
 export function busyDeployment(
   times: DeploymentTimes,
   jobCount: number,
--- a/packages/testing/src/scenarios/late-messages.test.ts
+++ b/packages/testing/src/scenarios/late-messages.test.ts
@@ -12,7 +12,7 @@
 } from './steps.js';
 
 testOnEachDeployment(
-  'a command or its answer is held up for seconds, and the machine goes on',
+  'commands that reach hung machines, which resume seconds later, break no rule',
   (times) => {
     for (const hang of [1500, 5000, 9000]) {
       const cluster = readyDeployment(times);
@@ -29,26 +29,30 @@
   },
 );
 
-// Its heartbeats do not come, so it is told directly; it hangs and hears that only as it goes on.
-testOnEachDeployment('a direct command waits in a machine that hangs', (times) => {
-  const cluster = busyDeployment(times, 2, 6);
-  const victim = workers(cluster)[0]!;
-  cluster.network.cutHeartbeatsOf(victim.machine.id);
-  cluster.run(times.heartbeatInterval * 2 + 2000);
-  victim.isHung = true;
-  cancelAndConfirm(cluster, 1, followers(cluster)[0]!);
-  assert.ok(cluster.fleet.directCommandCount > 0);
-  const cancelledTask = () =>
-    victim.tasks.some((t) => t.piece.startsWith(JOB1) && t.status !== 'exited');
-  assert.ok(cancelledTask(), 'it has not heard it yet');
-  victim.isHung = false;
-  cluster.run(1000);
-  assert.ok(!cancelledTask());
-  assertRecovery(cluster, [1, 2]);
-});
+// The machine's heartbeats are lost, so the leader sends the stop directly. The machine hangs and
+// executes it only when it resumes.
+testOnEachDeployment(
+  'a machine that hangs executes a direct stop as soon as it resumes',
+  (times) => {
+    const cluster = busyDeployment(times, 2, 6);
+    const victim = workers(cluster)[0]!;
+    cluster.network.cutHeartbeatsOf(victim.machine.id);
+    cluster.run(times.heartbeatInterval * 2 + 2000);
+    victim.isHung = true;
+    cancelAndConfirm(cluster, 1, followers(cluster)[0]!);
+    assert.ok(cluster.fleet.directCommandCount > 0);
+    const cancelledTask = () =>
+      victim.tasks.some((t) => t.piece.startsWith(JOB1) && t.status !== 'exited');
+    assert.ok(cancelledTask(), 'the stop was not executed yet');
+    victim.isHung = false;
+    cluster.run(1000);
+    assert.ok(!cancelledTask());
+    assertRecovery(cluster, [1, 2]);
+  },
+);
 
 testOnEachDeployment(
-  'old heartbeats arrive after newer ones, also of an earlier agent epoch or attempt',
+  'copies of heartbeats that arrive after newer ones or after a reboot break no rule',
   (times) => {
     for (const delay of [2500, times.lease * 0.8, times.lease * 1.7]) {
       const cluster = readyDeployment(times, { runTime: 9000 });
@@ -67,7 +71,7 @@
 );
 
 testOnEachDeployment(
-  'a heartbeat is held back until a new leader has acted, and then arrives there',
+  'copies of heartbeats that reach a new leader after its first decisions break no rule',
   (times) => {
     for (const delay of [times.leaderLease + 1500, times.leaderLease + 6000, times.lease]) {
       const cluster = readyDeployment(times, { runTime: 12_000 });
@@ -86,9 +90,9 @@
   },
 );
 
-// Made before the last leader's start came, it shows a machine without tasks.
+// The copy was sent before the last leader's starts arrived, so it shows a machine without tasks.
 testOnEachDeployment(
-  'a heartbeat of before a start arrives at the next leader as the first one',
+  'an outdated heartbeat without tasks, the first that a new leader gets, breaks no rule',
   (times) => {
     const cluster = readyDeployment(times);
     cluster.fleet.duplicateDelay = () => 13_000;
@@ -107,7 +111,7 @@
 );
 
 testOnEachDeployment(
-  'transactions without an answer are carried out late, after newer ones',
+  'transactions that get no answer and execute late, after newer ones, break no rule',
   (times) => {
     const cluster = readyDeployment(times, { runTime: 6000, capacity: 8 });
     const commits = (path: string) => path === '/commit';
--- a/packages/testing/src/scenarios/placement.test.ts
+++ b/packages/testing/src/scenarios/placement.test.ts
@@ -10,7 +10,7 @@
   readyCluster,
 } from './steps.js';
 
-/** Tasks that a shard of the progress table calls done. */
+/** Number of tasks that a shard of the progress table marks as done. */
 function doneTaskCount(value: unknown): number {
   const bits = Object.values((value as { entries: Record<string, string> }).entries).join('');
   return [...Buffer.from(bits, 'base64')].reduce((n, byte) => n + popCount(byte), 0);
@@ -18,7 +18,7 @@
 
 const popCount = (byte: number): number => byte.toString(2).replaceAll('0', '').length;
 
-test('machines are rented for the backlog and given back when idle', () => {
+test('machines are rented for waiting tasks and returned when idle', () => {
   const cluster = new SimulatedCluster({ capacity: 4 });
   cluster.run(5000);
   cluster.submit(job(1, { batch: 8, expected_s: 20 }), 'n-0');
@@ -28,8 +28,9 @@
   assertNoViolations(cluster);
 });
 
-// A machine for one task costs more than a slot's share of it: it was never rented.
-test('a single small task without any aim gets a machine', () => {
+// For a single task the price of a whole machine counts, which is more than the price of a slot.
+// Because of that no machine was ever rented for such a task.
+test('a machine is rented for a single small task without an objective', () => {
   const cluster = new SimulatedCluster({ capacity: 4 });
   cluster.run(5000);
   cluster.submit(job(1, { batch: 1 }), 'n-0');
@@ -37,13 +38,13 @@
   assertNoViolations(cluster);
 });
 
-test('owned machines are never given back', () => {
+test('owned machines are never returned', () => {
   const cluster = readyCluster({}, 2);
   cluster.run(200_000);
   assert.equal(cluster.cloud.machines.size, 2);
 });
 
-test('a wave of taken machines, some without notice: their tasks run again', () => {
+test('tasks run again after the cloud reclaims several machines, some without notice', () => {
   const cluster = readyCluster({ capacity: 6 }, 4);
   cluster.submit(job(1, { batch: 16, expected_s: 30 }), 'n-0');
   cluster.run(12_000);
@@ -65,9 +66,10 @@
   assertNoViolations(cluster);
 });
 
-// A day stood still with thousands of stops: borrowed work of higher priority
-// took the room of work inside a guarantee, which was reclaimed, without end.
-test('work inside a guarantee and higher borrowed work do not stop each other in turn', () => {
+// Guards against endless preemption: borrowed work of higher priority preempted work inside a
+// guarantee, whose team then reclaimed the capacity, and so on. One day's work made no progress
+// because of thousands of stops.
+test('work inside a guarantee and borrowed work of higher priority do not preempt each other in turn', () => {
   const cluster = readyCluster({ capacity: 2, guarantee: 4 }, 2);
   const low = { owner: 'other', urgency: 'idle', batch: 4, expected_s: 40 };
   cluster.submit(job(1, low), 'n-0');
@@ -80,8 +82,9 @@
   assertNoViolations(cluster);
 });
 
-// Another form of it: small tasks of the borrower took what larger ones reclaimed.
-test('a team gets its guarantee back from a team that borrows', () => {
+// Another form of it: small tasks of the borrowing team took the capacity that was reclaimed for
+// larger ones.
+test('a team reclaims its guarantee from a team that borrows', () => {
   const cluster = readyCluster({ capacity: 2, guarantee: 4 }, 2);
   cluster.submit(job(1, { batch: 30, expected_s: 300 }), 'n-0');
   assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 8, 20_000));
@@ -93,9 +96,9 @@
   assertNoViolations(cluster);
 });
 
-// A third form: large tasks stopped two small ones of a team that was one beyond
-// its guarantee; it was then below it, and reclaimed what had just come free.
-test('a team is not pushed below its guarantee', () => {
+// A third form: each large task preempted two small ones of a team that was one task above its
+// guarantee. That team was then below its guarantee and reclaimed the capacity just freed.
+test('preemption does not push a team below its guarantee', () => {
   const cluster = readyCluster({ capacity: 2, guarantee: 3 }, 2);
   cluster.submit(job(1, { batch: 40, expected_s: 200 }), 'n-0');
   assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 8, 20_000));
@@ -122,7 +125,7 @@
   assertNoViolations(cluster);
 });
 
-test('a job that fails everywhere backs off and starves nobody', () => {
+test('a job that fails on every machine is retried with backoff and starves no other job', () => {
   const cluster = readyCluster({ fails: (piece) => piece.startsWith(JOB1), runTime: 1000 }, 2);
   cluster.submit(job(1), 'n-0');
   cluster.run(60_000);
@@ -132,7 +135,7 @@
   assert.ok(runUntilDone(cluster, 'run-000002'));
 });
 
-test('higher priority gets room from lower, which runs again', () => {
+test('a job of higher priority preempts one of lower priority, which runs again afterwards', () => {
   const cluster = readyCluster({ capacity: 1 }, 1);
   cluster.submit(job(1, { batch: 4, urgency: 'idle', expected_s: 60 }), 'n-0');
   assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 4, 20_000));
@@ -142,7 +145,7 @@
   assertNoViolations(cluster);
 });
 
-test('a big job keeps its progress in chunks through a take-over', () => {
+test('the stored progress of a large job is kept through a change of leader', () => {
   const cluster = readyCluster({ runTime: 200, capacity: 2 }, 2);
   cluster.submit(job(1, { batch: 9000, cpus: 0.01, mem_gb: 0.01 }), 'n-0');
   const storedTaskCount = () =>
@@ -161,7 +164,7 @@
   assertNoViolations(cluster);
 });
 
-test('what a big job leaves behind in the state service is removed', () => {
+test('all keys of a large live job are removed from the state service after its end', () => {
   const cluster = readyCluster({ runTime: 200, capacity: 2, maxTransactionWrites: 2 }, 2);
   cluster.submit(job(1, { batch: 8200, cpus: 0.005, mem_gb: 0.005 }), 'n-0');
   assert.ok(runUntilDone(cluster, JOB1, 300_000));
--- a/packages/testing/src/scenarios/scenarios.test.ts
+++ b/packages/testing/src/scenarios/scenarios.test.ts
@@ -14,7 +14,7 @@
   statusOf,
 } from './steps.js';
 
-test('a job is accepted, runs, is done and stays known', () => {
+test('a job is accepted, runs, and is still reported as done afterwards', () => {
   const cluster = readyCluster();
   assert.equal(replyTo(cluster, (d) => cluster.submit(job(1), 'n-0', d))?.status, 201);
   assert.ok(runUntilDone(cluster, JOB1));
@@ -24,7 +24,7 @@
   assertNoViolations(cluster);
 });
 
-test('a retried submission after the end is answered even when it is malformed by now', () => {
+test('a repeated submission of a job that is done gets status 200 even if it names an unknown team', () => {
   const cluster = readyCluster();
   cluster.submit(job(1), 'n-0');
   assert.ok(runUntilDone(cluster, JOB1));
@@ -33,7 +33,7 @@
   assertNoViolations(cluster);
 });
 
-test('bad requests get what the protocol says and change nothing', () => {
+test('invalid requests get the documented status and store nothing', () => {
   const cluster = readyCluster();
   const post = (body: unknown) => cluster.request('n-0', 'POST', '/api/jobs', packBody(body));
   assert.equal(post('text')?.status, 400);
@@ -49,14 +49,14 @@
   assert.equal([...cluster.state.keys.keys()].filter((k) => k.includes('run-')).length, 0);
 });
 
-test('a node that does not know the machine types cannot judge yet', () => {
+test('a submission gets 503 while the node has not loaded the machine catalog', () => {
   const cluster = new SimulatedCluster();
   cluster.cloud.down = true;
   cluster.run(8000);
   assert.equal(replyTo(cluster, (d) => cluster.submit(job(1), 'n-0', d))?.status, 503);
 });
 
-test('the catalog is kept, so a cloud outage at start does not stop acceptance', () => {
+test('restarted controllers accept jobs during a cloud outage, since the catalog is stored', () => {
   const cluster = readyCluster();
   cluster.run(40_000);
   cluster.cloud.down = true;
@@ -66,7 +66,7 @@
   assert.equal(replyTo(cluster, (d) => cluster.submit(job(1), 'n-0', d))?.status, 201);
 });
 
-test('take-over while a start is in flight: the task runs once', () => {
+test('the leader crashes with starts in flight: the job completes and no task runs twice at once', () => {
   const cluster = readyCluster();
   cluster.submit(job(1, { batch: 4, expected_s: 40 }), followers(cluster)[0]!);
   const sent = () => cluster.logLines.some((l) => l.message === 'start dispatched');
@@ -78,8 +78,8 @@
   assertNoViolations(cluster);
 });
 
-// Its answer would renew a lease if a worker heard it, so a task of no live job is stopped.
-test('a late heartbeat after a take-over changes nothing and starts nothing', () => {
+// The answer would renew the worker's lease, so it must stop tasks whose job is not live.
+test('a late heartbeat with an older fencing token changes nothing, and its answer starts no task', () => {
   const cluster = readyCluster({}, 1);
   const worker = [...cluster.workers.values()][0]!;
   const token = worker.fencingToken;
@@ -96,11 +96,11 @@
     { verb: 'kill', piece: piece.piece, try_no: 1, wind_down_s: 0 },
   ]);
   cluster.submit(job(1, { batch: 4 }), cluster.leader()!);
-  assert.ok(runUntilDone(cluster, JOB1), 'the whole machine is still free for work');
+  assert.ok(runUntilDone(cluster, JOB1), 'the whole machine is still free');
   assertNoViolations(cluster);
 });
 
-test('a restarted controller takes its own leadership over with a new token', () => {
+test('a restarted leader regains leadership at once, under a new fencing token', () => {
   const cluster = readyCluster();
   const old = cluster.leader()!;
   const tokens = () =>
@@ -116,7 +116,7 @@
   assert.equal(new Set(tokens()).size, tokens().length);
 });
 
-test('the old leader hangs, is replaced and wakes: nobody takes orders from it', () => {
+test('a leader that hangs until it is deposed and then resumes breaks no rule', () => {
   const cluster = readyCluster();
   cluster.submit(job(1, { batch: 8, expected_s: 30 }), followers(cluster)[0]!);
   cluster.run(6000);
@@ -129,21 +129,21 @@
   assertNoViolations(cluster);
 });
 
-test('a worker cut through its lease: its tasks run elsewhere only once it is over', () => {
+test('tasks of an unreachable worker are started elsewhere only after its lease has expired', () => {
   const cluster = readyCluster({}, 2);
   cluster.submit(job(1, { batch: 6, expected_s: 15 }), 'n-0');
   cluster.runUntil(() => runningTaskCount(cluster) >= 6, 20_000);
   const victim = [...cluster.workers.keys()][0]!;
   cluster.network.cuts.add(victim);
   cluster.run(5000);
-  assert.ok(runningTaskCount(cluster) >= 6, 'nothing was moved yet');
+  assert.ok(runningTaskCount(cluster) >= 6, 'no task was moved yet');
   cluster.run(30_000);
   cluster.network.cuts.delete(victim);
   assert.ok(runUntilDone(cluster, JOB1, 200_000));
   assertNoViolations(cluster);
 });
 
-test('a hanging machine that wakes within its lease goes on with its tasks', () => {
+test('a machine that resumes from a hang within its lease continues its tasks', () => {
   const cluster = readyCluster({}, 2);
   cluster.submit(job(1, { batch: 6, expected_s: 20 }), 'n-0');
   cluster.runUntil(() => runningTaskCount(cluster) >= 6, 20_000);
@@ -155,7 +155,7 @@
   assertNoViolations(cluster);
 });
 
-test('a lost answer with a start: the task is given to another attempt', () => {
+test('a task whose start was lost with the answer is started again', () => {
   const cluster = readyCluster({}, 1);
   const worker = [...cluster.workers.values()][0]!;
   for (const n of cluster.nodeNames) cluster.network.cuts.add(`${n}>${worker.machine.id}`);
@@ -166,7 +166,7 @@
   assertNoViolations(cluster);
 });
 
-test('cancel against done on two nodes: one of them wins for good', () => {
+test('a cancellation that races with the completion of a job yields one lasting final status', () => {
   for (const moment of [0, 100, 200, 300, 400]) {
     const cluster = readyCluster({ runTime: 3000 }, 1);
     cluster.submit(job(1, { batch: 1 }), 'n-0');
@@ -182,7 +182,7 @@
   }
 });
 
-test('a cancelled job is gone from its machines within the limit', () => {
+test('all tasks of a cancelled job are stopped within the limit', () => {
   const cluster = readyCluster();
   cluster.submit(job(1, { batch: 4, expected_s: 500 }), 'n-0');
   assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 4, 20_000));
@@ -192,7 +192,7 @@
   assertNoViolations(cluster);
 });
 
-test('a commit without an answer is 503, and the retry finds the job', () => {
+test('a submission whose commit gets no answer returns 503, and its retry finds the job', () => {
   const cluster = readyCluster();
   cluster.stateLink.fault = (_node, call) => (call.path === '/commit' ? 'lost_after' : undefined);
   assert.equal(
@@ -205,7 +205,7 @@
   assertNoViolations(cluster);
 });
 
-test('an election commit without an answer is recognised by its nonce', () => {
+test('a candidate whose election commit gets no answer recognises it by its nonce', () => {
   const cluster = new SimulatedCluster();
   let lost = 0;
   cluster.stateLink.fault = (_node, call) =>
@@ -223,7 +223,7 @@
   ['shorter', 6000],
   ['longer', 25_000],
 ] as const) {
-  test(`a state outage ${name} than the leader's lease`, () => {
+  test(`a job completes after a state service outage ${name} than the leader's lease`, () => {
     const cluster = readyCluster();
     cluster.submit(job(1, { batch: 8, expected_s: 30 }), 'n-0');
     cluster.run(8000);
@@ -236,14 +236,14 @@
   });
 }
 
-test('an outage common to all leaves the nodes healthy', () => {
+test('nodes report themselves healthy during a state service outage that affects all of them', () => {
   const cluster = readyCluster();
   cluster.state.down = true;
   cluster.run(10_000);
   assert.equal(cluster.request('n-0', 'GET', '/healthz', Buffer.alloc(0))?.status, 200);
 });
 
-test('a node refused alone by the state service has a peer answer', () => {
+test('a node that alone cannot reach the state service forwards submissions to a peer', () => {
   const cluster = readyCluster();
   const alone = followers(cluster)[0]!;
   cluster.stateLink.fault = (node) => (node === alone ? 'lost_before' : undefined);
@@ -252,7 +252,7 @@
   assertNoViolations(cluster);
 });
 
-test('a leader that hears no worker makes way', () => {
+test('a leader that receives no heartbeats resigns, and another node is elected', () => {
   const cluster = readyCluster({}, 3);
   const old = cluster.leader()!;
   cluster.run(15_000);
@@ -263,7 +263,7 @@
   assert.notEqual(cluster.leader(), old);
 });
 
-test('all controllers down: work goes on within leases and is done afterwards', () => {
+test('a job completes although all controllers are down for part of the worker lease', () => {
   const cluster = readyCluster();
   cluster.submit(job(1, { batch: 6, expected_s: 20 }), 'n-0');
   cluster.run(8000);
@@ -274,7 +274,7 @@
   assertNoViolations(cluster);
 });
 
-test("the team's limit holds through a rebuild with an unreachable machine", () => {
+test("a new leader keeps to the team's limit while a machine is unreachable", () => {
   const cluster = readyCluster({ cpuLimit: 4 }, 2);
   cluster.submit(job(1, { batch: 12, expected_s: 30 }), 'n-0');
   assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 4, 20_000));
@@ -286,7 +286,7 @@
   assertNoViolations(cluster);
 });
 
-test('a controller shows what it has counted and how long things took', () => {
+test('GET /metrics returns counters and histograms, and POST is refused', () => {
   const cluster = readyCluster();
   cluster.submit(job(1, { batch: 4 }), 'n-0');
   assert.ok(runUntilDone(cluster, JOB1));
--- a/packages/testing/src/scenarios/steps.ts
+++ b/packages/testing/src/scenarios/steps.ts
@@ -6,33 +6,32 @@
 import type { ClusterOptions } from '../simulation/cluster-options.js';
 import { SimulatedCluster } from '../simulation/simulated-cluster.js';
 
-/** Id of a job by its number. */
-/** Identifier of the job with this number. */
+/** Id of the job with this number. */
 export const jobId = (n: number): string => `run-${String(n).padStart(6, '0')}`;
 
-/** The first job of a scenario. */
+/** Id of a scenario's first job, `job(1)`. */
 export const JOB1 = jobId(1);
-/** The second job of a scenario. */
+/** Id of a scenario's second job, `job(2)`. */
 export const JOB2 = jobId(2);
 
-/** A cluster with machines up and a leader that knows them. */
+/** A cluster with an elected leader and this many machines, in zones `a` and `b` in turn. */
 export function readyCluster(options: ClusterOptions = {}, machineCount = 2): SimulatedCluster {
   const cluster = new SimulatedCluster(options);
   for (let i = 0; i < machineCount; i++) cluster.cloud.add(i % 2 === 0 ? 'a' : 'b');
   cluster.run(8000);
-  assert.ok(cluster.leader(), 'somebody leads');
+  assert.ok(cluster.leader(), 'a leader is elected');
   return cluster;
 }
 
-/** All machines that are up. */
+/** The workers of all machines that are up. */
 export const workers = (cluster: SimulatedCluster): FakeWorker[] => [...cluster.workers.values()];
 
-/** The nodes that do not lead. */
+/** Names of all nodes but the leader, whether or not they run. */
 export function followers(cluster: SimulatedCluster): string[] {
   return cluster.nodeNames.filter((n) => n !== cluster.leader());
 }
 
-/** The answer to a request, if it comes within seconds. */
+/** Sends a request and runs the cluster for 5 s; null if no reply has come by then. */
 export function replyTo(
   cluster: SimulatedCluster,
   send: (done: (r: Reply | null) => void) => void,
@@ -43,18 +42,18 @@
   return answer;
 }
 
-/** Tasks that run, on all machines. */
+/** Number of tasks that run on all machines together. */
 export function runningTaskCount(cluster: SimulatedCluster): number {
   return workers(cluster)
     .flatMap((w) => w.tasks)
     .filter((t) => t.status === 'running').length;
 }
 
-/** State of the job in a response; undefined where the response names none. */
+/** Status of the job in a reply; undefined if the reply has none. */
 export const statusOf = (r: Reply | null): unknown =>
   (r?.body as { status?: string } | null)?.status;
 
-/** Whether a job is called done within the limit. */
+/** Polls a job until it is reported as done; false if it is not within the limit, in ms. */
 export function runUntilDone(cluster: SimulatedCluster, id: string, limit = 120_000): boolean {
   const node = () => [...cluster.processes.running.keys()].at(-1)!;
   const done = () => {
@@ -64,22 +63,22 @@
   return cluster.runUntil(done, limit);
 }
 
-/** What controllers have seen broken of their own invariants. */
+/** Log fields of each violation that controllers reported of their own invariants. */
 export const invariantViolations = (cluster: SimulatedCluster): unknown[] =>
   cluster.logLines.filter((l) => l.message === 'invariant violated').map((l) => l.fields);
 
-/** Fails the test if any rule of the protocol was broken, or any invariant of a controller. */
+/** Asserts that no rule of the protocol and no invariant of a controller was violated. */
 export function assertNoViolations(cluster: SimulatedCluster): void {
   assert.deepEqual(cluster.checker.violations, []);
   assert.deepEqual(invariantViolations(cluster), []);
 }
 
-/** Predecessors by their numbers, as a field of a submission. */
+/** The field of a submission that names these jobs as its predecessors. */
 export const waitsOn = (...numbers: number[]): { waits_on: string[] } => ({
   waits_on: numbers.map(jobId),
 });
 
-/** A user submits a job to some node, which takes it. */
+/** Submits a job to a running node and asserts that it is accepted within 8 s. */
 export function submitAccepted(
   cluster: SimulatedCluster,
   n: number,
@@ -93,7 +92,7 @@
   );
 }
 
-/** A user who repeats a submission until some node has taken it. */
+/** Submits a job to a running node, and again every 3 s until it is accepted. */
 export function submitWithRetries(
   cluster: SimulatedCluster,
   n: number,
@@ -105,12 +104,12 @@
   cluster.at(3000, () => submitWithRetries(cluster, n, overrides));
 }
 
-/** Some task of the job has started. */
+/** Whether any task of the job was started. */
 export const hasStarted = (cluster: SimulatedCluster, n: number): boolean =>
   workers(cluster).some((w) => w.tasks.some((t) => t.piece.startsWith(jobId(n)))) ||
   cluster.checker.doneTasks(jobId(n)).size > 0;
 
-/** The leader's process ends, and is back after a while. */
+/** Ends the leader's process and starts it again after `downtime` ms; nothing without a leader. */
 export function crashLeader(cluster: SimulatedCluster, downtime = 6000): void {
   const leader = cluster.leader();
   if (leader === null) return;
@@ -120,14 +119,17 @@
   });
 }
 
-/** Users ask all these nodes about all these jobs. */
+/** Polls each of these jobs at each of these nodes, without waiting for the replies. */
 export function pollAll(cluster: SimulatedCluster, jobs: number[], nodes: string[]): void {
   for (const n of jobs) for (const node of nodes) cluster.poll(jobId(n), node);
 }
 
-const ALL_END_LIMIT_MS = 400_000;
+const RECOVERY_LIMIT_MS = 400_000;
 
-/** All faults are over: each of these jobs ends, and every node says the same of it. */
+/**
+ * Ends all faults. Asserts that each of these jobs reaches a final status, that all nodes report
+ * it, and that no task runs on and no rule was violated.
+ */
 export function assertRecovery(cluster: SimulatedCluster, jobs: number[]): void {
   cluster.endFaults();
   const unfinishedJobs = () => jobs.filter((n) => cluster.checker.finalStatus(jobId(n)) === null);
@@ -138,8 +140,8 @@
     return unfinishedJobs().length === 0;
   };
   assert.ok(
-    cluster.runUntil(allEnded, ALL_END_LIMIT_MS),
-    `jobs without an end: ${unfinishedJobs().join(', ')}`,
+    cluster.runUntil(allEnded, RECOVERY_LIMIT_MS),
+    `jobs without a final status: ${unfinishedJobs().join(', ')}`,
   );
   for (const node of cluster.nodeNames) {
     pollAll(cluster, jobs, [node]);
@@ -151,10 +153,10 @@
   assertNoViolations(cluster);
 }
 
-/** What a node says of a job. */
+/** Status of a job as this node reports it; undefined without a reply. */
 export const polledStatus = (cluster: SimulatedCluster, n: number, node: string): unknown =>
   statusOf(replyTo(cluster, (d) => cluster.poll(jobId(n), node, d)));
 
-/** A user cancels a job, and is told so. */
+/** Cancels a job at this node and asserts that the reply confirms it. */
 export const cancelAndConfirm = (cluster: SimulatedCluster, n: number, node: string): void =>
   assert.equal(statusOf(replyTo(cluster, (d) => cluster.cancel(jobId(n), node, d))), 'aborted');
