--- a/packages/testing/src/scenarios/cancelled-before-outage.test.ts
+++ b/packages/testing/src/scenarios/cancelled-before-outage.test.ts
@@ -3,16 +3,17 @@
 import type { DeploymentTimes } from '../simulation/cluster-options.js';
 
 const SEEDS = Array.from({ length: 20 }, (_, i) => i + 1);
-/** How long after an outage the state service still tells the leader nothing of jobs. */
+/** How long after an outage the leader's watch on jobs still gets no answer. */
 const WATCH_FAULT_AFTER_OUTAGE_MS = 2000;
-/** Longer than any watch that is open when the silence begins. */
+/** Longer than a watch request that is open when the fault begins can stay open. */
 const MAX_OPEN_WATCH_MS = 2500;
 
 /**
- * Users cancel at a node just before an outage that lasts longer than a cancellation may take.
- * The leader's questions about changes stay unanswered from before the cancellation until
- * just after the outage, while its lease is whole again as soon as the service is back. Another
- * node can't tell the leader either: controllers don't hear each other.
+ * Cancels two jobs, each just before an outage of the state service that is longer than the
+ * cancellation limit. The leader's watch requests get no answer from before the cancellation until
+ * shortly after the outage, while its lease can be renewed as soon as the service is back. A job
+ * that is cancelled at another node is not announced to the leader either, since controllers are
+ * then cut off from each other.
  */
 function cancelBeforeOutages(times: DeploymentTimes, seed: number, at: 'leader' | 'other'): void {
   const cluster = busyDeployment(times, 3, 4, { expected_s: 300 }, { seed });
@@ -32,17 +33,21 @@
     cluster.run(WATCH_FAULT_AFTER_OUTAGE_MS);
     cluster.stateLink.fault = null;
     cluster.run(10_000);
-    // Where the outage came before the answer, the user asks again.
+    // If the outage came before the reply, the user cancels again.
     if (cluster.checker.finalStatus(jobId(n)) === null)
       cancelAndConfirm(cluster, n, followers(cluster)[0]!);
   }
   assertRecovery(cluster, [1, 2, 3]);
 }
 
-// Guarded against: the incident of the operators' records. A leader that an outage kept from
-// hearing of a cancellation starts the job's task, or renews its lease, when the outage ends.
+// Guards against an incident in the operators' records: a leader that did not learn of a
+// cancellation because of an outage started the job's task, or renewed its lease, when the outage
+// ended.
 for (const at of ['leader', 'other'] as const) {
-  testOnEachDeployment(`a job cancelled at the ${at} before an outage does not run on`, (times) => {
-    for (const seed of SEEDS) cancelBeforeOutages(times, seed, at);
-  });
+  testOnEachDeployment(
+    `a job cancelled at the ${at} node just before an outage does not run on`,
+    (times) => {
+      for (const seed of SEEDS) cancelBeforeOutages(times, seed, at);
+    },
+  );
 }
--- a/packages/testing/src/scenarios/dependent-demands.test.ts
+++ b/packages/testing/src/scenarios/dependent-demands.test.ts
@@ -27,7 +27,7 @@
   ...overrides,
 });
 
-test('priority and deadline go back along the longest path, and drop with what needed them', () => {
+test('jobs inherit the highest priority and the earliest deadline of their current dependents', () => {
   const last = graphJob('d', ['b', 'c'], { priority: 'high', finishBy: 1000, runTime: 5 });
   const jobs = [
     graphJob('a', []),
@@ -46,7 +46,7 @@
   assert.deepEqual(without.get('b'), { priority: 'low', finishBy: Infinity });
 });
 
-test('work that an urgent job needs goes before other work, until that job is cancelled', () => {
+test('predecessors of an urgent job run before other work until that job is cancelled', () => {
   for (const cancels of [false, true]) {
     const cluster = readyCluster({ capacity: 1, runTime: 4000 }, 1);
     const low = { urgency: 'idle', batch: 8 };
@@ -60,8 +60,9 @@
       );
     const tasks = (id: string) => cluster.checker.doneTasks(id).size;
     cluster.runUntil(() => tasks(JOB2) === 8, 60_000);
-    if (cancels) assert.ok(tasks(JOB1) >= 16, `${tasks(JOB1)} tasks of older work were done first`);
-    else assert.ok(tasks(JOB1) < 16, `${tasks(JOB1)} tasks of older work were done before`);
+    if (cancels)
+      assert.ok(tasks(JOB1) >= 16, `${tasks(JOB1)} tasks of the older job were done first`);
+    else assert.ok(tasks(JOB1) < 16, `${tasks(JOB1)} tasks of the older job were done before`);
     if (!cancels) assert.ok(runUntilDone(cluster, jobId(3), 20_000));
     assertNoViolations(cluster);
   }
--- a/packages/testing/src/scenarios/fetches.test.ts
+++ b/packages/testing/src/scenarios/fetches.test.ts
@@ -4,7 +4,7 @@
 import { job } from '../index.js';
 import { jobId, assertNoViolations, readyCluster } from './steps.js';
 
-/** Jobs of one task each, with an image of their own. */
+/** Submits jobs of one task each; every job has an image of its own, of `gb` GB. */
 function submitJobsWithOwnImages(
   cluster: SimulatedCluster,
   from: number,
@@ -17,7 +17,7 @@
   }
 }
 
-/** The most images that a machine fetches soon after; then these jobs are run to their ends. */
+/** Most images that a machine fetches at once 4 s from now; runs these jobs until done. */
 function maxConcurrentFetches(cluster: SimulatedCluster, from: number, count: number): number {
   cluster.run(4000);
   const maxCount = Math.max(
@@ -30,8 +30,9 @@
   return maxCount;
 }
 
-// A machine with room for dozens of tasks was given dozens of images; each took minutes.
-test('fetches that share a rate are kept out of each other\u2019s way', () => {
+// A machine with capacity for dozens of tasks was made to fetch dozens of images at once, and each
+// fetch took minutes.
+test('a machine whose fetches share a rate is given few different images at once', () => {
   const cluster = readyCluster({ capacity: 2, fetches: { gbPerS: 1, shared: true } }, 2);
   submitJobsWithOwnImages(cluster, 1, 8, 8);
   assert.ok(maxConcurrentFetches(cluster, 1, 8) <= 2);
@@ -39,7 +40,7 @@
   assert.ok(maxConcurrentFetches(cluster, 11, 8) <= 2);
 });
 
-test('where fetches do not share a rate this is learnt, and all room is used at once', () => {
+test('once fetches are known not to share a rate, all capacity of a machine is used at once', () => {
   const cluster = readyCluster({ capacity: 2, fetches: { gbPerS: 1, shared: false } }, 2);
   for (let from = 1; from < 60; from += 10) {
     submitJobsWithOwnImages(cluster, from, 8, 6);
@@ -49,8 +50,8 @@
   assert.equal(maxConcurrentFetches(cluster, 71, 8), 4);
 });
 
-// Next to any other fetch, that of a small image takes many times as long as alone.
-test('a task with a small image does not wait for a machine without fetches', () => {
+// Beside another fetch, a small image takes many times as long as alone, but still little time.
+test('a task with a small image starts on a machine that is fetching another image', () => {
   const cluster = readyCluster({ capacity: 1, fetches: { gbPerS: 1, shared: true } }, 1);
   submitJobsWithOwnImages(cluster, 1, 1, 4);
   cluster.run(1500);
@@ -59,8 +60,8 @@
   assert.equal([...cluster.workers.values()][0]!.tasks.length, 2);
 });
 
-// Each take-over made machines wait again for room that was there.
-test('a successor knows whether fetches share a rate', () => {
+// Each new leader assumed again that fetches share a rate, and left capacity unused.
+test('a new leader knows whether fetches share a rate', () => {
   const cluster = readyCluster({ capacity: 2, fetches: { gbPerS: 1, shared: false } }, 2);
   for (let from = 1; from < 60; from += 10) {
     submitJobsWithOwnImages(cluster, from, 8, 6);
@@ -73,7 +74,7 @@
   assert.equal(maxConcurrentFetches(cluster, 71, 8), 4);
 });
 
-test('a machine that fetches what it was taken to hold holds it no more', () => {
+test('an image that a machine fetches again no longer counts as present there', () => {
   const cluster = readyCluster({ capacity: 1, fetches: { gbPerS: 1, shared: true } }, 1);
   submitJobsWithOwnImages(cluster, 1, 1, 20);
   maxConcurrentFetches(cluster, 1, 1);
@@ -82,7 +83,7 @@
   cluster.submit(job(2, { batch: 1, bundle: 'img-1', image_gb: 20, expected_s: 5 }), 'n-0');
   cluster.run(2500);
   assert.deepEqual(worker.imagesBeingFetched(), ['img-1']);
-  // Smaller images would come too late behind that one.
+  // Behind that fetch, smaller images would arrive too late.
   submitJobsWithOwnImages(cluster, 3, 2, 8);
   assert.equal(maxConcurrentFetches(cluster, 2, 3), 1);
 });
--- a/packages/testing/src/scenarios/lowered-limits.test.ts
+++ b/packages/testing/src/scenarios/lowered-limits.test.ts
@@ -14,18 +14,19 @@
   submitAccepted,
 } from './steps.js';
 
-/** Entries of all shards below a prefix, and whether any shard is too large. */
+/** Names of the entries in all shards whose keys contain the prefix. */
 function entriesOf(cluster: SimulatedCluster, prefix: string): Set<string> {
   const shards = [...cluster.state.keys].filter(([key]) => key.includes(prefix));
   return new Set(shards.flatMap(([, e]) => Object.keys((e.v as { entries: object }).entries)));
 }
 
+/** Length in characters of the largest shard of the registry and the progress table. */
 function largestShardSize(cluster: SimulatedCluster): number {
   const shards = [...cluster.state.keys].filter(([k]) => /roster|progress/.test(k));
   return Math.max(...shards.map(([, e]) => JSON.stringify(e.v).length));
 }
 
-test('the lower of both limits holds from the first start', () => {
+test('the lower of the current and the announced limits applies from the first start', () => {
   const text = (next: string) =>
     [
       'member = "n-0"\nzone = "a"\npublic_addr = "10.0.0.1:1"\ncluster_listen = "10.0.0.1:2"',
@@ -52,7 +53,7 @@
   assert.throws(() => limits('[settings.state.next]\nvalue_kb = -1'), /value_kb/);
 });
 
-test('limits are lowered with large shards stored: no entry is missing at any moment', () => {
+test('no registry entry is missing at any moment while large shards are split for lower limits', () => {
   for (const crashes of [false, true]) {
     const options = {
       cpuLimit: 10_000,
@@ -79,13 +80,13 @@
       assert.ok(allRegistered(), `after ${i * 100} ms`);
     }
     assert.ok(largestShardSize(cluster) <= 2048);
-    assert.equal(cluster.state.oversizedCount, 0, 'nothing was written that is too large');
+    assert.equal(cluster.state.oversizedCount, 0, 'no write was too large');
     assert.ok(runUntilDone(cluster, JOB1, 300_000));
     assertNoViolations(cluster);
   }
 });
 
-test('many jobs under low limits: nothing is too large, all run', () => {
+test('many dependent jobs complete under low limits without a write that is too large', () => {
   const announcedLimits = { maxValueBytes: 2048, maxTransactionWrites: 2 };
   const cluster = readyCluster({ capacity: 6, runTime: 3000, announcedLimits }, 6);
   cluster.lowerStateLimits();
--- a/packages/testing/src/scenarios/predecessor-lists.test.ts
+++ b/packages/testing/src/scenarios/predecessor-lists.test.ts
@@ -14,7 +14,7 @@
 
 const LONG_RUN_TIME_MS = 400_000;
 
-/** The answer to a body sent as it is, and how long it took. */
+/** Submits a body as it is. Returns the reply, null if none came, and how long it took in ms. */
 function post(
   cluster: SimulatedCluster,
   node: string,
@@ -37,49 +37,46 @@
   return { reply, took };
 }
 
-testOnEachDeployment(
-  'odd lists of predecessors are answered at once and as documented',
-  (times) => {
-    const cluster = readyDeployment(times, { runTime: LONG_RUN_TIME_MS });
-    submitAccepted(cluster, 1, { expected_s: 400 });
-    const many = (count: number, from: number) =>
-      Array.from({ length: count }, (_, i) => jobId(from + i));
-    const cases: [waits: unknown, status: number][] = [
-      ['run-000001', 400],
-      [{ 0: JOB1 }, 400],
-      [7, 400],
-      [true, 400],
-      [[null], 400],
-      [[JOB1, 3], 400],
-      [[[JOB1]], 400],
-      [[''], 422],
-      [['run-1'], 422],
-      [[`${JOB1}/0`], 422],
-      [[jobId(2)], 422],
-      [[JOB1, jobId(2)], 422],
-      [[jobId(77)], 422],
-      [[JOB1, jobId(77), JOB1], 422],
-      [many(40, 1000), 422],
-      [many(3000, 1000), 400],
-      [Array(3000).fill(JOB1), 201],
-      [[JOB1, JOB1, JOB1], 200],
-    ];
-    for (const [waits, expected] of cases) {
-      const description = JSON.stringify(waits).slice(0, 60);
-      const { reply, took } = post(cluster, 'n-0', job(2, { waits_on: waits }));
-      assert.equal(reply?.status, expected, description);
-      assert.ok(took < 1500, `${description}: ${took} ms`);
-    }
-    for (const [waits] of cases) {
-      const { reply } = post(cluster, 'n-1', job(2, { waits_on: waits }));
-      assert.equal(reply?.status, 200, 'a known job is known whatever the body says now');
-    }
-    assertNoViolations(cluster);
-  },
-);
+testOnEachDeployment('unusual lists of predecessors get the documented status at once', (times) => {
+  const cluster = readyDeployment(times, { runTime: LONG_RUN_TIME_MS });
+  submitAccepted(cluster, 1, { expected_s: 400 });
+  const many = (count: number, from: number) =>
+    Array.from({ length: count }, (_, i) => jobId(from + i));
+  const cases: [waits: unknown, status: number][] = [
+    ['run-000001', 400],
+    [{ 0: JOB1 }, 400],
+    [7, 400],
+    [true, 400],
+    [[null], 400],
+    [[JOB1, 3], 400],
+    [[[JOB1]], 400],
+    [[''], 422],
+    [['run-1'], 422],
+    [[`${JOB1}/0`], 422],
+    [[jobId(2)], 422],
+    [[JOB1, jobId(2)], 422],
+    [[jobId(77)], 422],
+    [[JOB1, jobId(77), JOB1], 422],
+    [many(40, 1000), 422],
+    [many(3000, 1000), 400],
+    [Array(3000).fill(JOB1), 201],
+    [[JOB1, JOB1, JOB1], 200],
+  ];
+  for (const [waits, expected] of cases) {
+    const description = JSON.stringify(waits).slice(0, 60);
+    const { reply, took } = post(cluster, 'n-0', job(2, { waits_on: waits }));
+    assert.equal(reply?.status, expected, description);
+    assert.ok(took < 1500, `${description}: ${took} ms`);
+  }
+  for (const [waits] of cases) {
+    const { reply } = post(cluster, 'n-1', job(2, { waits_on: waits }));
+    assert.equal(reply?.status, 200, 'a known job gets 200 whatever the body says');
+  }
+  assertNoViolations(cluster);
+});
 
 testOnEachDeployment(
-  'a name that another node is just accepting is known or not, never lost',
+  'a predecessor that another node is accepting is either found or reported as unknown',
   (times) => {
     for (let moment = 0; moment <= 60; moment += 5) {
       const cluster = readyDeployment(times, { runTime: 2000 });
--- a/packages/testing/src/scenarios/renewals-after-takeover.test.ts
+++ b/packages/testing/src/scenarios/renewals-after-takeover.test.ts
@@ -11,7 +11,7 @@
 import type { FakeWorker } from '../fakes/fake-worker.js';
 import type { SimulatedCluster } from '../simulation/simulated-cluster.js';
 
-/** A machine with a task of the first job. */
+/** A worker that has a task of the first job. */
 function workerOfFirstJob(cluster: SimulatedCluster): FakeWorker {
   const machine = workers(cluster).find((w) => w.tasks.some((t) => t.piece.startsWith(JOB1)));
   assert.ok(machine);
@@ -19,8 +19,8 @@
 }
 
 /**
- * A new leader takes over while the machine is cut off. The machine is back just long enough
- * to hear one answer of that leader, before its lease is over.
+ * Replaces the leader while the worker is cut off. The worker is connected again just long enough
+ * to receive one answer of the new leader before its lease expires.
  */
 function receiveOneAnswerOfNextLeader(cluster: SimulatedCluster, worker: FakeWorker): void {
   const { id } = worker.machine;
@@ -34,11 +34,11 @@
   assert.equal(worker.agentEpoch, agentEpoch, 'the answer came within its lease');
 }
 
-// Guarded against: an answer that raises a worker's token also renews its lease. When it stops
-// nothing, since the heartbeat was made under an older token, each change of leaders keeps the
-// tasks of a cancelled job for another lease.
+// An answer that raises a worker's fencing token also renews its lease. If it contained no stops
+// because the heartbeat carried an older token, each change of leader would let the tasks of a
+// cancelled job run for another lease.
 testOnEachDeployment(
-  'a leader that renews a lease stops what is over, whatever the token',
+  'an answer that renews a lease stops ended jobs even if the heartbeat has an older token',
   (times) => {
     const cluster = busyDeployment(times, 2, 4);
     const worker = workerOfFirstJob(cluster);
--- a/packages/testing/src/scenarios/stale-cancellations.test.ts
+++ b/packages/testing/src/scenarios/stale-cancellations.test.ts
@@ -11,7 +11,10 @@
   workers,
 } from './steps.js';
 
-/** The leader alone is refused, users cancel elsewhere, then the service is out for all. */
+/**
+ * The state service refuses the leader alone, jobs 1 and 2 are cancelled at the followers, and
+ * `pause` ms after the refusal the service is down for all nodes, for `outage` ms.
+ */
 function refuseLeaderThenOutage(cluster: SimulatedCluster, pause: number, outage: number): void {
   const leader = cluster.leader()!;
   const [b, c] = followers(cluster);
@@ -27,7 +30,7 @@
 }
 
 testOnEachDeployment(
-  'gap: a refused leader, cancellations confirmed elsewhere, then an outage',
+  'jobs cancelled while the state service refuses the leader stop in time despite an outage',
   (times) => {
     for (const pause of [200, 1000, 2500, 4000]) {
       const cluster = busyDeployment(times, 3, 4);
@@ -39,29 +42,33 @@
   },
 );
 
-// The rule must not rest on what controllers tell each other, nor on direct commands.
-testOnEachDeployment('gap between controllers that do not hear each other', (times) => {
-  for (const pause of [1000, 4000]) {
-    const cluster = busyDeployment(times, 3, 4);
-    for (const a of cluster.nodeNames)
-      for (const b of cluster.nodeNames) cluster.network.cuts.add(`${a}>${b}`);
-    for (const w of workers(cluster))
-      cluster.network.cuts.add(`${cluster.leader()}>${w.machine.id}:1`);
-    refuseLeaderThenOutage(cluster, pause, times.cancellationLimit + 12_000);
-    assertRecovery(cluster, [1, 2, 3]);
-  }
-});
+// The cancellation limit must not depend on messages between controllers or on direct commands.
+testOnEachDeployment(
+  'jobs cancelled while the leader is refused stop in time without messages from peers',
+  (times) => {
+    for (const pause of [1000, 4000]) {
+      const cluster = busyDeployment(times, 3, 4);
+      for (const a of cluster.nodeNames)
+        for (const b of cluster.nodeNames) cluster.network.cuts.add(`${a}>${b}`);
+      for (const w of workers(cluster))
+        cluster.network.cuts.add(`${cluster.leader()}>${w.machine.id}:1`);
+      refuseLeaderThenOutage(cluster, pause, times.cancellationLimit + 12_000);
+      assertRecovery(cluster, [1, 2, 3]);
+    }
+  },
+);
 
-// Each outage ends just before the workers' leases do: the leader's own is whole again, and
-// it may answer before it has been told of anything. Then the next outage begins.
+// Each outage ends just before the workers' leases expire: the leader's own lease is valid again,
+// so that it might answer heartbeats before it learns of the cancellation. Then the next outage
+// begins.
 testOnEachDeployment(
-  'gap: leases made whole by short breaks of an outage renew nothing cancelled',
+  'a leader that renews its lease between outages renews no lease of a cancelled task',
   (times) => {
     for (const availableFor of [300, 900, 1500]) {
       const cluster = busyDeployment(times, 3, 4);
       const leader = cluster.leader()!;
       for (const n of cluster.nodeNames) cluster.network.cuts.add(`${n}>${leader}`);
-      // Renewals are answered, while all that tells of jobs is not.
+      // The leader's lease renewals are answered, while its other calls are not.
       cluster.stateLink.fault = (node, call) =>
         node === leader && !call.path.startsWith('/grants') ? 'lost_before' : undefined;
       cluster.run(3000);
@@ -78,37 +85,43 @@
   },
 );
 
-testOnEachDeployment('gap: a machine hangs as its job is called off, and goes on', (times) => {
-  for (const hang of [8000, times.lease - 2000, times.lease + 15_000]) {
-    const cluster = busyDeployment(times, 2, 4);
-    const hung = workers(cluster).slice(0, 2);
-    for (const w of hung) w.isHung = true;
-    cluster.at(hang, () => hung.forEach((w) => (w.isHung = false)));
-    refuseLeaderThenOutage(cluster, 1000, times.cancellationLimit + 12_000);
-    assertRecovery(cluster, [1, 2]);
-  }
-});
+testOnEachDeployment(
+  'a machine that hangs while its job is cancelled at a follower stops it in time',
+  (times) => {
+    for (const hang of [8000, times.lease - 2000, times.lease + 15_000]) {
+      const cluster = busyDeployment(times, 2, 4);
+      const hung = workers(cluster).slice(0, 2);
+      for (const w of hung) w.isHung = true;
+      cluster.at(hang, () => hung.forEach((w) => (w.isHung = false)));
+      refuseLeaderThenOutage(cluster, 1000, times.cancellationLimit + 12_000);
+      assertRecovery(cluster, [1, 2]);
+    }
+  },
+);
 
-// Nothing tells the leader of jobs any more, while its lease is renewed.
-testOnEachDeployment('no start leaves on stale knowledge of cancellations', (times) => {
-  const cluster = readyDeployment(times, { runTime: 12_000 }, 1);
-  cluster.submit(job(1, { batch: 4 }), 'n-0');
-  assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 4, 40_000));
-  cluster.submit(job(2, { batch: 4 }), 'n-0');
-  const leader = cluster.leader()!;
-  cluster.run(8000);
-  for (const n of cluster.nodeNames) cluster.network.cuts.add(`${n}>${leader}`);
-  cluster.stateLink.fault = (node, call) =>
-    node === leader && call.path.startsWith('/changes') ? 'lost_before' : undefined;
-  cluster.run(2500);
-  cancelAndConfirm(cluster, 2, followers(cluster)[0]!);
-  assert.equal(runningTaskCount(cluster), 0, 'there is room');
-  assert.equal(cluster.checker.startsAfterCancellationCount, 0);
-  assertRecovery(cluster, [1, 2]);
-});
+// The leader learns of no more changes to jobs, while its lease is still renewed.
+testOnEachDeployment(
+  'a leader whose knowledge of cancellations is stale starts no task',
+  (times) => {
+    const cluster = readyDeployment(times, { runTime: 12_000 }, 1);
+    cluster.submit(job(1, { batch: 4 }), 'n-0');
+    assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 4, 40_000));
+    cluster.submit(job(2, { batch: 4 }), 'n-0');
+    const leader = cluster.leader()!;
+    cluster.run(8000);
+    for (const n of cluster.nodeNames) cluster.network.cuts.add(`${n}>${leader}`);
+    cluster.stateLink.fault = (node, call) =>
+      node === leader && call.path.startsWith('/changes') ? 'lost_before' : undefined;
+    cluster.run(2500);
+    cancelAndConfirm(cluster, 2, followers(cluster)[0]!);
+    assert.equal(runningTaskCount(cluster), 0, 'there is free capacity');
+    assert.equal(cluster.checker.startsAfterCancellationCount, 0);
+    assertRecovery(cluster, [1, 2]);
+  },
+);
 
 testOnEachDeployment(
-  'a leader that an outage kept from answering is reachable and goes on',
+  'a leader that could not answer heartbeats during an outage does not resign afterwards',
   (times) => {
     const cluster = busyDeployment(times, 2, 4);
     const leader = cluster.leader()!;
@@ -125,7 +138,7 @@
 );
 
 testOnEachDeployment(
-  'gap: a start that waits in a long poll is not sent for a cancelled job',
+  'a start that waits in a long poll is not sent for a job cancelled meanwhile',
   (times) => {
     const cluster = readyDeployment(times, {}, 1);
     cluster.submit(job(1, { batch: 4, expected_s: 150 }), 'n-0');
@@ -141,16 +154,16 @@
 );
 
 testOnEachDeployment(
-  'gap: with peers in reach a cancelled job goes at once, and what it shares a machine with stays',
+  'a refused leader that peers inform of a cancellation stops that job at once and no other',
   (times) => {
     const cluster = busyDeployment(times, 2, 4);
     const leader = cluster.leader()!;
     cluster.state.refusedNodes.add(leader);
     cluster.run(200);
     cancelAndConfirm(cluster, 1, followers(cluster)[0]!);
-    assert.equal(runningTaskCount(cluster), 4, 'within seconds the cancelled tasks are gone');
+    assert.equal(runningTaskCount(cluster), 4, 'the cancelled tasks are stopped within seconds');
     cluster.run(8000);
-    assert.equal(runningTaskCount(cluster), 4, 'the others run on');
+    assert.equal(runningTaskCount(cluster), 4, 'tasks of the other job run on');
     assertRecovery(cluster, [1, 2]);
   },
 );
--- a/packages/testing/src/scenarios/zones.test.ts
+++ b/packages/testing/src/scenarios/zones.test.ts
@@ -13,25 +13,25 @@
   statusOf,
 } from './steps.js';
 
-/** Parts zone `b`, with one controller that does not lead, from the leader's side. */
-function partitionZones(cluster: SimulatedCluster): { far: string; machines: string[] } {
-  const far = followers(cluster)[0]!;
+/** Partitions zone `b`, with one follower, from the leader and all other machines. */
+function partitionZones(cluster: SimulatedCluster): { follower: string; machines: string[] } {
+  const follower = followers(cluster)[0]!;
   const machines = [...cluster.workers.values()]
     .filter((w) => w.machine.zone === 'b')
     .map((w) => w.machine.id);
-  cluster.network.partition([far, ...machines]);
-  return { far, machines };
+  cluster.network.partition([follower, ...machines]);
+  return { follower, machines };
 }
 
 function busyCluster(): SimulatedCluster {
   const cluster = readyCluster({ capacity: 4, runTime: 70_000 }, 4);
-  // Room is left on the leader's side for whatever it takes for lost.
+  // The leader's side has free capacity for tasks that the leader takes to be lost.
   cluster.submit(job(1, { batch: 10, expected_s: 70 }), 'n-0');
   assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 10, 20_000));
   return cluster;
 }
 
-test("zones apart for longer than the workers' lease: the far zone keeps its tasks", () => {
+test("a zone cut off from the leader for longer than the workers' lease keeps its tasks", () => {
   const cluster = busyCluster();
   const { machines } = partitionZones(cluster);
   cluster.run(40_000);
@@ -39,21 +39,21 @@
     assert.equal(cluster.workers.get(id)!.agentEpoch, 1, `${id} kept its lease`);
   cluster.network.cuts.clear();
   assert.ok(runUntilDone(cluster, JOB1));
-  assert.equal(cluster.checker.startCount, 10, 'nothing ran again');
+  assert.equal(cluster.checker.startCount, 10, 'no task was started again');
   assertNoViolations(cluster);
 });
 
-test('zones apart: a cancelled job is gone from the far zone in time', () => {
+test('a job cancelled during a zone partition is stopped in the zone that is cut off in time', () => {
   const cluster = busyCluster();
-  const { far } = partitionZones(cluster);
+  const { follower } = partitionZones(cluster);
   cluster.run(12_000);
-  assert.equal(statusOf(replyTo(cluster, (d) => cluster.cancel(JOB1, far, d))), 'aborted');
+  assert.equal(statusOf(replyTo(cluster, (d) => cluster.cancel(JOB1, follower, d))), 'aborted');
   cluster.run(50_000);
   assert.equal(runningTaskCount(cluster), 0);
   assertNoViolations(cluster);
 });
 
-test('zones apart and the leader dies: its successor waits for what is kept', () => {
+test('after a leader crash in a zone partition the successor waits for leases renewed by a follower', () => {
   for (const wait of [9000, 14_000, 19_000]) {
     const cluster = busyCluster();
     partitionZones(cluster);
@@ -66,14 +66,15 @@
   }
 });
 
-// A grant seen for the first time as a lease runs out is taken to begin then: the registry
-// would stay open for a grant and a lease more, with all older work waiting.
-test('grants that were over long ago do not put off the end of leases', () => {
+// A leader counts a grant from the moment at which it first sees it. Were an expired grant first
+// seen when a lease expires and counted as new, the registry would be reconciled a grant and a
+// lease later, with all older work waiting.
+test('grants that expired long ago do not delay the expiry of leases', () => {
   const cluster = busyCluster();
   const { machines } = partitionZones(cluster);
   cluster.run(12_000);
   assert.ok(cluster.logLines.some((l) => l.message === 'lease renewal delegated'));
-  // The zone, its controller included, is gone for good, and the leader ends.
+  // The machines of the zone become unreachable for all nodes, and the leader crashes.
   const from = cluster.logLines.length;
   for (const id of machines) cluster.network.cuts.add(id);
   cluster.crash(cluster.leader()!);
@@ -92,7 +93,7 @@
   assertNoViolations(cluster);
 });
 
-test('a machine of the far zone that dies while it is kept gives its tasks back', () => {
+test('tasks of a machine that dies while a follower renews its lease run again', () => {
   const cluster = busyCluster();
   const { machines } = partitionZones(cluster);
   cluster.run(15_000);
@@ -103,7 +104,7 @@
   assertNoViolations(cluster);
 });
 
-test('workers go to a leader that peers only refuse to connect to', () => {
+test('workers find a leader that refuses connections of its peers, without a grant', () => {
   const cluster = readyCluster({}, 3);
   const leader = cluster.leader()!;
   const peers = followers(cluster);
@@ -118,7 +119,7 @@
   for (let i = 0; i < 3; i++) cluster.cloud.add('a');
   cluster.run(10_000);
   const delegated = cluster.logLines.some((l) => l.message === 'lease renewal delegated');
-  assert.ok(!delegated, 'no grant is asked for');
+  assert.ok(!delegated, 'no grant is requested');
   for (const w of cluster.workers.values())
     assert.ok(w.fencingToken > 0, 'each has found the leader');
   cluster.submit(job(1), peers[0]!);
