--- a/packages/testing/src/scenarios/combined-faults.test.ts
+++ b/packages/testing/src/scenarios/combined-faults.test.ts
@@ -14,7 +14,7 @@
 // Two faults at the same time, with the times of both deployments.
 
 testOnEachDeployment(
-  'a zone with workers and a controller is cut off for longer than the lease',
+  'a zone with a controller is cut off for longer than the worker lease: the cluster recovers',
   (times) => {
     for (const withLeader of [true, false]) {
       const cluster = busyDeployment(times, 2, 4);
@@ -29,21 +29,24 @@
   },
 );
 
-testOnEachDeployment('a kept worker loses only what is called off', (times) => {
-  const cluster = busyDeployment(times, 2, 4);
-  const far = followers(cluster)[0]!;
-  const machines = workers(cluster).filter((w) => w.machine.zone === 'b');
-  cluster.network.partition([far, ...machines.map((w) => w.machine.id)]);
-  cluster.run(15_000);
-  cancelAndConfirm(cluster, 1, far);
-  cluster.run(times.lease + 10_000);
-  for (const w of machines) assert.equal(w.agentEpoch, 1, `${w.machine.id} kept its lease`);
-  assert.equal(runningTaskCount(cluster), 4);
-  assertRecovery(cluster, [1, 2]);
-});
+testOnEachDeployment(
+  'a worker whose lease is renewed by a follower loses only its cancelled tasks',
+  (times) => {
+    const cluster = busyDeployment(times, 2, 4);
+    const far = followers(cluster)[0]!;
+    const machines = workers(cluster).filter((w) => w.machine.zone === 'b');
+    cluster.network.partition([far, ...machines.map((w) => w.machine.id)]);
+    cluster.run(15_000);
+    cancelAndConfirm(cluster, 1, far);
+    cluster.run(times.lease + 10_000);
+    for (const w of machines) assert.equal(w.agentEpoch, 1, `${w.machine.id} kept its lease`);
+    assert.equal(runningTaskCount(cluster), 4);
+    assertRecovery(cluster, [1, 2]);
+  },
+);
 
 testOnEachDeployment(
-  'a cancellation, a question and a repeated submission meet the end of the last task',
+  'a cancellation, a poll and a repeated submission race with the last task: replies agree',
   (times) => {
     for (let moment = 0; moment <= 2000; moment += 100) {
       const cluster = readyDeployment(times, { runTime: 3000 }, 1);
@@ -62,24 +65,27 @@
 );
 
 for (const outage of [false, true]) {
-  const name = outage ? ', inside an outage' : '';
-  testOnEachDeployment(`leaders change ten times in two minutes${name}`, (times) => {
-    const cluster = busyDeployment(times, 3, 4);
-    for (let i = 0; i < 10; i++) {
-      const leader = cluster.leader();
-      if (outage && i % 3 === 1) cluster.state.down = true;
-      if (outage && i % 3 === 2) cluster.state.restore();
-      if (i === 2 || i === 5) cluster.cancel(jobId(i === 2 ? 1 : 2), followers(cluster)[0]!);
-      if (leader) cluster.crash(leader);
-      cluster.at(6000, () => leader && cluster.boot(leader));
-      cluster.run(12_000);
-    }
-    assertRecovery(cluster, [1, 2, 3]);
-  });
+  const name = outage ? ', with outages in between' : '';
+  testOnEachDeployment(
+    `the leader crashes ten times in two minutes${name}: the cluster recovers`,
+    (times) => {
+      const cluster = busyDeployment(times, 3, 4);
+      for (let i = 0; i < 10; i++) {
+        const leader = cluster.leader();
+        if (outage && i % 3 === 1) cluster.state.down = true;
+        if (outage && i % 3 === 2) cluster.state.restore();
+        if (i === 2 || i === 5) cluster.cancel(jobId(i === 2 ? 1 : 2), followers(cluster)[0]!);
+        if (leader) cluster.crash(leader);
+        cluster.at(6000, () => leader && cluster.boot(leader));
+        cluster.run(12_000);
+      }
+      assertRecovery(cluster, [1, 2, 3]);
+    },
+  );
 }
 
 testOnEachDeployment(
-  'controllers hand over and back, all end, and one returns within a second',
+  'two leaders and then all controllers crash, and one restarts at once: the cluster recovers',
   (times) => {
     for (const pause of [100, 400, 900]) {
       const cluster = busyDeployment(times, 2, 4);
@@ -100,31 +106,37 @@
   },
 );
 
-testOnEachDeployment('tasks of one job end far apart across a change of leader', (times) => {
-  const runTimeOf = (piece: string) => 4000 + Number(piece.split('/')[1]) * 25_000;
-  const cluster = readyDeployment(times, { runTimeOf });
-  for (let n = 1; n <= 6; n++) cluster.submit(job(n, { batch: 2 + (n % 2) }), 'n-0');
-  for (let i = 0; i < 3; i++) {
-    cluster.run(10_000);
-    const leader = cluster.leader()!;
-    cluster.crash(leader);
-    cluster.at(6000, () => cluster.boot(leader));
-  }
-  assertRecovery(cluster, [1, 2, 3, 4, 5, 6]);
-  assert.equal(cluster.checker.startCount, 15, 'what was done stays done');
-});
+testOnEachDeployment(
+  'tasks that were done under earlier leaders are not started again by later ones',
+  (times) => {
+    const runTimeOf = (piece: string) => 4000 + Number(piece.split('/')[1]) * 25_000;
+    const cluster = readyDeployment(times, { runTimeOf });
+    for (let n = 1; n <= 6; n++) cluster.submit(job(n, { batch: 2 + (n % 2) }), 'n-0');
+    for (let i = 0; i < 3; i++) {
+      cluster.run(10_000);
+      const leader = cluster.leader()!;
+      cluster.crash(leader);
+      cluster.at(6000, () => cluster.boot(leader));
+    }
+    assertRecovery(cluster, [1, 2, 3, 4, 5, 6]);
+    assert.equal(cluster.checker.startCount, 15, 'no task was started again');
+  },
+);
 
-testOnEachDeployment('all controllers are away for longer than the lease', (times) => {
-  const cluster = busyDeployment(times, 2, 4);
-  cancelAndConfirm(cluster, 1, followers(cluster)[0]!);
-  for (const n of cluster.nodeNames) cluster.crash(n);
-  cluster.run(times.lease + 8000);
-  for (const n of cluster.nodeNames) cluster.boot(n);
-  assertRecovery(cluster, [1, 2]);
-});
+testOnEachDeployment(
+  'all controllers are down for longer than the worker lease: the cluster recovers',
+  (times) => {
+    const cluster = busyDeployment(times, 2, 4);
+    cancelAndConfirm(cluster, 1, followers(cluster)[0]!);
+    for (const n of cluster.nodeNames) cluster.crash(n);
+    cluster.run(times.lease + 8000);
+    for (const n of cluster.nodeNames) cluster.boot(n);
+    assertRecovery(cluster, [1, 2]);
+  },
+);
 
 testOnEachDeployment(
-  'machines can not open connections, while direct commands reach them',
+  'direct commands stop cancelled tasks on machines that can reach no controller',
   (times) => {
     const cluster = busyDeployment(times, 2, 6);
     const unreachable = workers(cluster).slice(0, 2);
@@ -136,7 +148,7 @@
     assert.deepEqual(
       left.filter((t) => t.status !== 'exited'),
       [],
-      'told directly',
+      'stopped by direct commands',
     );
     cluster.run(times.lease + 10_000);
     assert.ok(unreachable.every((w) => w.agentEpoch > 1));
@@ -145,7 +157,7 @@
 );
 
 testOnEachDeployment(
-  'a leader without state service and peers; jobs are cancelled through the new one',
+  'jobs are cancelled through a new leader while the old one is isolated',
   (times) => {
     const cluster = busyDeployment(times, 3, 4);
     const old = cluster.leader()!;
@@ -161,23 +173,26 @@
   },
 );
 
-testOnEachDeployment('more work than room, urgent and not, over slow links', (times) => {
-  const cluster = readyDeployment(times, { runTime: 8000 }, 3);
-  cluster.fleet.extraLatency = 900;
-  cluster.stateLink.extraDelay = () => (cluster.random() < 0.3 ? 600 : 0);
-  const numbers = Array.from({ length: 24 }, (_, i) => i + 1);
-  for (const n of numbers) {
-    const urgency = n % 3 === 0 ? 'urgent' : 'idle';
-    const overrides = { batch: 6, urgency, jobclass: urgency, expected_s: 8 };
-    cluster.at(n * 1500, () => cluster.submit(job(n, overrides), cluster.nodeNames[n % 3]!));
-  }
-  cluster.at(30_000, () => cluster.cancel(jobId(4), 'n-1'));
-  cluster.run(120_000);
-  assertRecovery(cluster, numbers);
-});
+testOnEachDeployment(
+  'an overload of urgent and idle jobs over slow links: all jobs end',
+  (times) => {
+    const cluster = readyDeployment(times, { runTime: 8000 }, 3);
+    cluster.fleet.extraLatency = 900;
+    cluster.stateLink.extraDelay = () => (cluster.random() < 0.3 ? 600 : 0);
+    const numbers = Array.from({ length: 24 }, (_, i) => i + 1);
+    for (const n of numbers) {
+      const urgency = n % 3 === 0 ? 'urgent' : 'idle';
+      const overrides = { batch: 6, urgency, jobclass: urgency, expected_s: 8 };
+      cluster.at(n * 1500, () => cluster.submit(job(n, overrides), cluster.nodeNames[n % 3]!));
+    }
+    cluster.at(30_000, () => cluster.cancel(jobId(4), 'n-1'));
+    cluster.run(120_000);
+    assertRecovery(cluster, numbers);
+  },
+);
 
 testOnEachDeployment(
-  'a team at its limit, a change of leader, unreachable machines and a cancellation',
+  'a team stays within its limit across a change of leader with unreachable machines',
   (times) => {
     const cluster = busyDeployment(times, 2, 4, {}, { cpuLimit: 8 });
     cluster.submit(job(3, { batch: 6, expected_s: 20 }), 'n-0');
@@ -188,7 +203,7 @@
     cluster.crash(old);
     cluster.run(times.leaderLease + 1500);
     cluster.cancel(JOB1, [...cluster.processes.running.keys()][0]!);
-    // Newer than the term, so it need not wait for the machines that can't be asked.
+    // Submitted within the new term, so it need not wait for the unreachable machines.
     cluster.submit(job(5, { batch: 6, expected_s: 20 }), [...cluster.processes.running.keys()][0]!);
     cluster.run(12_000);
     cluster.boot(old);
@@ -199,7 +214,7 @@
 );
 
 testOnEachDeployment(
-  'a slow state service, a refused leader, then an outage, while users cancel and ask',
+  'the state service is slow, refuses the leader and then fails: cancelled jobs stop in time',
   (times) => {
     for (const refusedFor of [3000, 9000]) {
       const cluster = busyDeployment(times, 4, 3);
@@ -219,44 +234,52 @@
   },
 );
 
-testOnEachDeployment('jobs bound to one zone lose machines', (times) => {
-  const cluster = readyDeployment(times, { runTime: 20_000 });
-  cluster.submit(job(1, { batch: 6, same_place: true, expected_s: 20 }), 'n-0');
-  cluster.submit(job(2, { batch: 6, hall: 'b', expected_s: 20 }), 'n-1');
-  cluster.submit(job(3, { batch: 5, apart: true, expected_s: 20 }), 'n-2');
-  assert.ok(cluster.runUntil(() => runningTaskCount(cluster) > 10, 40_000));
-  for (const w of workers(cluster).filter((x) => x.machine.zone === 'b'))
-    cluster.cloud.take(w.machine.id);
-  cluster.run(times.lease);
-  for (let i = 0; i < 2; i++) cluster.cloud.add('b');
-  assertRecovery(cluster, [1, 2, 3]);
-});
+testOnEachDeployment(
+  'jobs with zone and spread constraints end although all machines of a zone are reclaimed',
+  (times) => {
+    const cluster = readyDeployment(times, { runTime: 20_000 });
+    cluster.submit(job(1, { batch: 6, same_place: true, expected_s: 20 }), 'n-0');
+    cluster.submit(job(2, { batch: 6, hall: 'b', expected_s: 20 }), 'n-1');
+    cluster.submit(job(3, { batch: 5, apart: true, expected_s: 20 }), 'n-2');
+    assert.ok(cluster.runUntil(() => runningTaskCount(cluster) > 10, 40_000));
+    for (const w of workers(cluster).filter((x) => x.machine.zone === 'b'))
+      cluster.cloud.take(w.machine.id);
+    cluster.run(times.lease);
+    for (let i = 0; i < 2; i++) cluster.cloud.add('b');
+    assertRecovery(cluster, [1, 2, 3]);
+  },
+);
 
-for (const lostTraffic of ['reached', 'told'] as const) {
-  const name =
-    lostTraffic === 'reached' ? 'can not be reached' : "don't hear the new leader's answers";
-  testOnEachDeployment(`a leader ends while machines with long tasks ${name}`, (times) => {
-    for (const length of [10_000, times.lease + 20_000, 100_000]) {
-      const cluster = busyDeployment(times, 2, 6);
-      const victim = workers(cluster)[0]!.machine.id;
-      if (lostTraffic === 'reached') cluster.network.cuts.add(victim);
-      else cluster.network.cutResponsesTo(victim);
-      cluster.crash(cluster.leader()!);
-      cluster.run(3000);
-      const from = cluster.now();
-      cluster.submit(
-        job(3, { batch: 2, expected_s: 5 }),
-        [...cluster.processes.running.keys()][0]!,
-      );
-      const ready = () =>
-        cluster.logLines.filter((l) => l.message === 'machine registry reconciled').length;
-      const before = ready();
-      cluster.run(length);
-      if (length > times.lease * 2) {
-        assert.ok(ready() > before, 'the others do not wait for as long as it is so');
+for (const lostTraffic of ['all', 'responses'] as const) {
+  const name = lostTraffic === 'all' ? 'is unreachable' : 'receives no responses';
+  testOnEachDeployment(
+    `a new leader is ready although a machine with long tasks ${name}`,
+    (times) => {
+      for (const length of [10_000, times.lease + 20_000, 100_000]) {
+        const cluster = busyDeployment(times, 2, 6);
+        const victim = workers(cluster)[0]!.machine.id;
+        if (lostTraffic === 'all') cluster.network.cuts.add(victim);
+        else cluster.network.cutResponsesTo(victim);
+        cluster.crash(cluster.leader()!);
+        cluster.run(3000);
+        const from = cluster.now();
+        cluster.submit(
+          job(3, { batch: 2, expected_s: 5 }),
+          [...cluster.processes.running.keys()][0]!,
+        );
+        const ready = () =>
+          cluster.logLines.filter((l) => l.message === 'machine registry reconciled').length;
+        const before = ready();
+        cluster.run(length);
+        if (length > times.lease * 2) {
+          assert.ok(
+            ready() > before,
+            'the registry is reconciled although the machine is still cut off',
+          );
+        }
+        assert.ok(cluster.now() - from >= length);
+        assertRecovery(cluster, [1, 2, 3]);
       }
-      assert.ok(cluster.now() - from >= length);
-      assertRecovery(cluster, [1, 2, 3]);
-    }
-  });
+    },
+  );
 }
--- a/packages/testing/src/scenarios/dependencies.test.ts
+++ b/packages/testing/src/scenarios/dependencies.test.ts
@@ -30,7 +30,7 @@
   }
 });
 
-test('a predecessor that ends as the job is accepted neither releases early nor keeps it waiting', () => {
+test('a job that is accepted as its predecessor ends starts neither too early nor too late', () => {
   for (let moment = 0; moment <= 1500; moment += 100) {
     const cluster = readyCluster({ runTime: 2000 });
     cluster.submit(job(1), 'n-0');
@@ -42,8 +42,8 @@
   }
 });
 
-// Nothing but a key releases: what runs at the predecessor's machines may run again.
-test('a predecessor whose last task is done, but not its key, does not release', () => {
+// Only the stored end of a predecessor releases its dependents: until then its tasks may run again.
+test('a job is not released before the end of its predecessor is committed', () => {
   const cluster = readyCluster({ runTime: 3000 });
   cluster.stateLink.fault = (_node, call) =>
     call.writeCount >= 2 && JSON.stringify(call.body).includes('ended/')
@@ -59,8 +59,8 @@
   assertNoViolations(cluster);
 });
 
-// Few changes a second: ends queue up after a change of leader, and dependents wait for theirs.
-test('ends that other jobs wait for are committed first, those of cancelled dependents last', () => {
+// With few writes a second, ends queue up after a change of leader, and dependents wait for them.
+test('ends that dependents wait for are committed first, ends of cancelled dependents last', () => {
   const [firstPlain, awaited, urgent, cancelled, dependentOfCancelled] = [1, 6, 7, 8, 9];
   const cluster = readyCluster(
     {
@@ -74,7 +74,7 @@
     call.writeCount >= 2 && JSON.stringify(call.body).includes('"done"')
       ? 'lost_before'
       : undefined;
-  // One after the other, so that they are completed in that order.
+  // One after another, so that they complete in this order.
   const submit = (n: number, overrides: Record<string, unknown>) => {
     submitAccepted(cluster, n, overrides);
     cluster.run(4500);
@@ -103,16 +103,16 @@
   assertNoViolations(cluster);
 });
 
-test('bad requests about predecessors', () => {
+test('submissions with invalid predecessors are refused with the documented status', () => {
   const cluster = readyCluster();
   const post = (n: number, waits: unknown, node = 'n-0') =>
     cluster.request(node, 'POST', '/api/jobs', packBody(job(n, { waits_on: waits })))?.status;
   assert.equal(post(2, 'run-000001'), 400);
   assert.equal(post(2, [1]), 400);
-  assert.equal(post(2, [JOB1]), 422, 'never accepted');
+  assert.equal(post(2, [JOB1]), 422, 'names a job that was never accepted');
   assert.equal(post(2, ['job one']), 422);
   submitAccepted(cluster, 1, { expected_s: 500 });
-  assert.equal(post(2, [JOB2, JOB1]), 422, 'itself');
+  assert.equal(post(2, [JOB2, JOB1]), 422, 'names the job itself');
   const many = Array.from({ length: 500 }, (_, i) => jobId(1000 + i));
   const tooMany = cluster.request('n-0', 'POST', '/api/jobs', packBody(job(2, { waits_on: many })));
   assert.equal(tooMany?.status, 400);
@@ -129,12 +129,12 @@
     submitAccepted(cluster, 10 + n, { waits_on: none });
   }
   submitAccepted(cluster, 2, waitsOn(1, 1));
-  assert.equal(post(2, 'anything'), 200, 'a known job is known whatever the body says now');
+  assert.equal(post(2, 'anything'), 200, 'a known job gets 200 whatever the body says');
   assert.equal(post(2, [jobId(99)]), 200);
   assertNoViolations(cluster);
 });
 
-test('a waiting job rents nothing, counts for no guarantee, and its aims start at its release', () => {
+test('a job that waits for others causes no rentals, and its objectives count from its release', () => {
   const cluster = new SimulatedCluster({
     capacity: 6,
     guarantee: 4,
@@ -147,13 +147,13 @@
   assert.ok(cluster.cloud.rentedIds.length <= 2, `${cluster.cloud.rentedIds.length} machines`);
   assert.ok(!hasStarted(cluster, 2));
   crashLeader(cluster);
-  // It waited for more than two minutes, but is no older than its release.
+  // It waited for more than two minutes, but its age counts from its release.
   assert.ok(runUntilDone(cluster, JOB2, 200_000));
   assertNoViolations(cluster);
 });
 
-// Its predecessor's end is newer than the term, so no older leader can have started it.
-test('a job released within a term is placed before the whole registry is known, others are not', () => {
+// A job whose predecessor ended within the term can't have been started by an earlier leader.
+test('a job released within the term is placed before the registry is reconciled, others are not', () => {
   const cluster = readyCluster({
     capacity: 4,
     runTimeOf: (p) => (p.startsWith(JOB1) ? 20_000 : p.startsWith(jobId(3)) ? 1000 : 40_000),
@@ -173,7 +173,7 @@
   const term = cluster.logLines.slice(from);
   assert.ok(
     !term.some((l) => l.message === 'machine registry reconciled'),
-    'one machine is still open',
+    'one machine is not reconciled yet',
   );
   const startsOfEarlierRelease = term.filter(
     (l) => l.message === 'start dispatched' && String(l.fields['task']).startsWith(jobId(4)),
@@ -189,7 +189,7 @@
   assertNoViolations(cluster);
 });
 
-test('the moment of release is the same for a later leader', () => {
+test('a later leader knows when a job was released', () => {
   const cluster = readyCluster(
     { capacity: 1, runTimeOf: (p) => (p.startsWith(JOB1) ? 3000 : 60_000) },
     1,
--- a/packages/testing/src/scenarios/dependency-cancellation.test.ts
+++ b/packages/testing/src/scenarios/dependency-cancellation.test.ts
@@ -20,7 +20,7 @@
 
 const CANCELLATION_LIMIT_MS = 45_000;
 
-/** As users do: each as soon as those that it needs are accepted. */
+/** Submits a job that waits on these jobs, and asserts that it is accepted within 4 s. */
 function submitDependent(
   cluster: SimulatedCluster,
   n: number,
@@ -35,7 +35,7 @@
   );
 }
 
-test('cancel against done of a predecessor on two nodes: what follows it agrees', () => {
+test('a dependent gets the final status of a predecessor that is cancelled as it completes', () => {
   for (let moment = 0; moment <= 800; moment += 100) {
     const cluster = readyCluster({ runTime: 3000 }, 1);
     submitAccepted(cluster, 1, { batch: 1 });
@@ -53,7 +53,7 @@
   }
 });
 
-test('a cancelled chain ends, without a task, through an outage and with the first question elsewhere', () => {
+test('dependents of a cancelled job end without a start, despite an outage and with no leader', () => {
   const cluster = readyCluster();
   submitAccepted(cluster, 1, { expected_s: 500 });
   submitAccepted(cluster, 2, waitsOn(1));
@@ -61,7 +61,7 @@
   submitAccepted(cluster, 4, waitsOn(2, 3));
   const [b, c] = followers(cluster);
   const leader = cluster.leader()!;
-  // The leader ends right after the cancellation, and nobody leads until the questions come.
+  // The leader crashes right after the cancellation, and there is no leader until the polls.
   for (const n of ['state', ...cluster.nodeNames]) cluster.network.cuts.add(`${n}>${leader}`);
   cluster.network.cuts.add(`${leader}>state`);
   cluster.run(1500);
@@ -83,7 +83,7 @@
   assertNoViolations(cluster);
 });
 
-test('the leader ends what needs a cancelled job, without being asked, and starts none of it', () => {
+test('the leader ends all dependents of a cancelled job without a poll, and starts none of them', () => {
   for (const withoutLeader of [false, true]) {
     const cluster = readyCluster({ capacity: 4 }, 4);
     submitAccepted(cluster, 1, { expected_s: 500 });
@@ -102,7 +102,7 @@
   }
 });
 
-test('a job submitted behind a cancelled one is accepted and is over', () => {
+test('a job submitted with a cancelled predecessor is accepted and reported as cancelled', () => {
   const cluster = readyCluster();
   submitAccepted(cluster, 1, { expected_s: 500 });
   assert.equal(statusOf(replyTo(cluster, (d) => cluster.cancel(JOB1, 'n-1', d))), 'aborted');
@@ -115,7 +115,7 @@
   assertNoViolations(cluster);
 });
 
-test('a cancellation that is answered with done lets what follows go on', () => {
+test('a cancellation that finds the job done does not stop its dependents', () => {
   const cluster = readyCluster({ runTime: 2000 });
   submitAccepted(cluster, 1);
   assert.ok(runUntilDone(cluster, JOB1));
@@ -125,7 +125,7 @@
   assertNoViolations(cluster);
 });
 
-test('hundreds of jobs, wide and deep: all run in order, or end with the first', () => {
+test('hundreds of dependents all run in order, or all end if the first job is cancelled', () => {
   for (const cancels of [false, true]) {
     const cluster = readyCluster({ capacity: 8, runTime: 400 }, 8);
     const [first, wide, deep] = [1, 120, 60];
@@ -165,7 +165,7 @@
   }
 });
 
-test('one question about a deep chain costs few requests', () => {
+test('a poll of the last job of a deep chain takes few requests to the state service', () => {
   const cluster = readyCluster({}, 1);
   submitAccepted(cluster, 1, { expected_s: 500 });
   for (let n = 2; n <= 60; n++) submitDependent(cluster, n, [n - 1], 'n-0');
@@ -187,7 +187,7 @@
     const before = calls;
     cluster.poll(jobId(60), node);
     cluster.run(1000);
-    assert.ok(calls - before <= 4, 'what was learnt is kept');
+    assert.ok(calls - before <= 4, 'what earlier polls read is remembered');
   }
   assertNoViolations(cluster);
 });
--- a/packages/testing/src/scenarios/fleet.test.ts
+++ b/packages/testing/src/scenarios/fleet.test.ts
@@ -5,7 +5,7 @@
 import { SimulatedCluster, job } from '../index.js';
 import { jobId, assertNoViolations, runningTaskCount, readyCluster } from './steps.js';
 
-/** Half as many machines again as the largest fleet that operations.md speaks of. */
+/** One and a half times the largest fleet that operations.md describes. */
 const MACHINE_COUNT = 1300;
 const LIMITS = { sockets: 1650, requestsPerSecond: 250, writesPerSecond: 18 };
 
@@ -24,7 +24,7 @@
 const allDone = (cluster: SimulatedCluster, numbers: number[], tasks: number): boolean =>
   numbers.every((n) => cluster.checker.doneTasks(jobId(n)).size === tasks);
 
-test('a whole fleet restarts, and all controllers with it: nothing runs twice, no lease is lost', () => {
+test('a large fleet and all controllers restart: lost tasks start once more, and no lease expires', () => {
   const cluster = readyCluster({ cpuLimit: 20_000, limits: LIMITS }, MACHINE_COUNT);
   const numbers = submitMany(cluster, 40, { batch: 100, expected_s: 30 });
   assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 4000, 40_000));
@@ -38,32 +38,32 @@
   const [reconciledBefore, lost] = [reconciledCount(), 4000 - runningTaskCount(cluster)];
   assert.ok(
     cluster.runUntil(() => reconciledCount() > reconciledBefore, 15_000),
-    'all machines are accounted for',
+    'all machines are reconciled',
   );
-  assert.ok(cluster.now() - from < cluster.times.lease, 'well within the workers lease');
+  assert.ok(cluster.now() - from < cluster.times.lease, 'within the worker lease');
   assert.ok(
     cluster.runUntil(() => allDone(cluster, numbers, 100), 150_000),
-    'all is done',
+    'all tasks are done',
   );
   assertNoViolations(cluster);
   const again = cluster.checker.startCount - before;
   assert.ok(again <= lost + 100, `${again} starts for ${lost} tasks that were lost or waited`);
   const expiredLeases = [...cluster.workers.values()].filter((w) => w.agentEpoch > 2).length;
-  assert.equal(expiredLeases, 0, 'no lease ran out while the reports queued up');
+  assert.equal(expiredLeases, 0, 'no lease expired while heartbeats were queued');
   assert.ok(cluster.processes.maxSocketCount() <= LIMITS.sockets);
   assert.equal(cluster.processes.turnedAwayCount(), 0);
 });
 
 const SHARES = socketShares({ maxConnections: 200, peers: [] });
 
-/** A table of connections whose clock is moved by hand. */
+/** The connection table of a server, with named sockets and a clock that is advanced by hand. */
 class ConnectionsHarness {
   time = 0;
   readonly closedSockets: string[] = [];
   private readonly connections = new Connections(SHARES, 5000, () => this.time);
   private readonly sockets = new Map<string, Closable>();
 
-  /** A client connects and asks; false if it is turned away. */
+  /** A client sends a request, and connects first if needed; false if it is turned away. */
   request(name: string, client: 'worker' | 'user' | 'probe', answered = true): boolean {
     const socket = this.sockets.get(name) ?? { destroy: () => this.closedSockets.push(name) };
     if (!this.sockets.has(name)) this.connections.connectionOpened(socket);
@@ -84,8 +84,8 @@
   }
 }
 
-// Machines that die close nothing: each left a connection for two minutes.
-test('connections of machines that died make way for those that came instead', () => {
+// Machines that die close no connection; each left one open for two minutes.
+test('connections of dead machines are closed in time for the machines that replace them', () => {
   const table = new ConnectionsHarness();
   for (let generation = 0; generation < 20; generation++) {
     for (let i = 0; i < SHARES.workers / 2; i++) {
@@ -99,7 +99,7 @@
   assert.equal(table.workerCount, 0);
 });
 
-test('a worker whose heartbeats come in time keeps its connection', () => {
+test('a worker that sends its heartbeats in time keeps its connection', () => {
   const table = new ConnectionsHarness();
   for (let i = 0; i < 20; i++) {
     table.request('m-1', 'worker');
@@ -108,23 +108,23 @@
   assert.deepEqual(table.closedSockets, []);
 });
 
-test('when sockets run out, idle users make way, workers stay and probes are answered', () => {
+test('when sockets run out, idle users are disconnected, workers stay and probes are answered', () => {
   const table = new ConnectionsHarness();
   for (let i = 0; i < SHARES.clients; i++) assert.ok(table.request(`user-${i}`, 'user'));
   for (let i = 0; i < SHARES.workers; i++) assert.ok(table.request(`m-${i}`, 'worker'));
   assert.deepEqual(
     table.closedSockets,
     Array.from({ length: SHARES.workers }, (_, i) => `user-${i}`),
-    'those that were idle for the longest',
+    'those that had been idle for the longest',
   );
-  assert.equal(table.request('m-late', 'worker'), false, 'users keep a part');
+  assert.equal(table.request('m-late', 'worker'), false, 'a share is reserved for users');
   for (let i = 0; i < SHARES.clients; i++) table.request(`busy-${i}`, 'user', false);
   assert.equal(table.request('user-late', 'user'), false);
   assert.ok(table.request('probe', 'probe'));
   assert.equal(table.workerCount, SHARES.workers);
 });
 
-test('own calls and links keep their sockets whatever the host allows', () => {
+test('sockets are reserved for own calls and peer links whatever the host allows', () => {
   for (const all of [64, 100, 500, 1500, 20_000]) {
     const shares = socketShares({ maxConnections: all, peers: [] });
     assert.ok(shares.clients > 0 && shares.workers < shares.clients);
@@ -152,29 +152,32 @@
   assertNoViolations(cluster);
 });
 
-// A renamed field made every price acceptable: the cost limit did not reach the rental plan.
-test('work in no hurry waits for a cheap machine, and a dear one comes before it is late', () => {
+// After a field was renamed, the cost limit did not reach the rental plan, and any price was paid.
+test('work that is not urgent waits for a cheap machine, but an expensive one is rented in time', () => {
   const cluster = new SimulatedCluster({ capacity: 10 });
   cluster.run(5000);
-  // One CPU of a machine of four that is not spot: dearer than the cheapest slot allows.
+  // One CPU of a machine of four that is not spot: more expensive than the cheapest slot allows.
   cluster.submit(job(1, { batch: 1 }), 'n-0');
   cluster.run(30_000);
-  assert.deepEqual(cluster.cloud.rentedIds, [], 'no dear machine while there is time');
+  assert.deepEqual(cluster.cloud.rentedIds, [], 'no expensive machine while there is time');
   const done = () => cluster.checker.doneTasks(jobId(1)).size === 1;
-  assert.ok(cluster.runUntil(done, 90_000), 'it is done nevertheless');
+  assert.ok(cluster.runUntil(done, 90_000), 'the task is done nevertheless');
   assert.equal(cluster.cloud.rentedIds.length, 1);
   assertNoViolations(cluster);
 });
 
-// Behind a thousand heartbeats the answer to a renewal came after the lease was over.
-test('answers to own calls do not queue up behind a thousand heartbeats', () => {
+// Behind a thousand heartbeats, the answer to a lease renewal was processed too late for the lease.
+test('results of own calls are processed before a thousand queued heartbeats', () => {
   const queue = new CommandQueue();
   const report = { method: 'POST', path: '/hello', body: Buffer.alloc(0), via: 'public' } as const;
   for (let id = 0; id < 1000; id++) queue.push({ kind: 'request', id, ...report });
   queue.push({ kind: 'result', id: 1, result: { kind: 'unsent' } });
   const first = queue.nextBatch();
   assert.equal(first[0]?.kind, 'result');
-  assert.ok(first.length < 100, 'effects of what was taken in leave before the rest');
+  assert.ok(
+    first.length < 100,
+    'the effects of the first batch leave before the rest is processed',
+  );
   const rest: number[] = [];
   for (let batch = first; batch.length > 0; batch = queue.nextBatch()) {
     for (const c of batch) if (c.kind === 'request') rest.push(c.id);
--- a/packages/testing/src/scenarios/guards.test.ts
+++ b/packages/testing/src/scenarios/guards.test.ts
@@ -14,14 +14,14 @@
   statusOf,
 } from './steps.js';
 
-/** Keys that a transaction writes. */
+/** Keys that a transaction writes; empty for any other call. */
 function writtenKeys(call: Call): string[] {
   if (call.path !== '/commit') return [];
   const { writes } = call.body as { writes: { write?: string }[] };
   return writes.flatMap(({ write }) => write ?? []);
 }
 
-test('progress takes at most its share of the changes per second', () => {
+test('writes of progress use at most their share of the write rate', () => {
   const [writesPerSecond, seconds] = [16, 30];
   const cluster = readyCluster(
     {
@@ -29,7 +29,7 @@
       cpuLimit: 10_000,
       announcedLimits: { maxValueBytes: 1024, maxTransactionWrites: 4 },
       limits: { sockets: 4000, requestsPerSecond: 400, writesPerSecond },
-      // The tasks of each job end one after the other, and all jobs have some that end.
+      // Tasks of each job end one after another, so that all jobs have progress to store.
       runTimeOf: (p) => 6000 + Number(p.split('/')[1]) * 3500 + (Number(p.slice(4, 10)) % 7) * 400,
     },
     40,
@@ -46,7 +46,7 @@
   };
   cluster.run(seconds * 1000);
   assert.ok(changes > seconds / 2, `${changes} changes: progress is written`);
-  // An eighth of the changes, and one transaction that was due as the count began.
+  // An eighth of all writes, and one transaction that was due when the count began.
   const maxChanges = (seconds * writesPerSecond) / 8 + 4;
   assert.ok(
     changes <= maxChanges,
@@ -57,7 +57,7 @@
   assertNoViolations(cluster);
 });
 
-/** Many jobs of one task each that are over at about the same time, under few changes a second. */
+/** A cluster with a low write rate and 90 jobs of one task that end at about the same time. */
 function clusterWithManyEndingJobs(): { cluster: SimulatedCluster; ids: string[] } {
   const cluster = readyCluster(
     {
@@ -83,17 +83,17 @@
 const allEndsCommitted = (cluster: SimulatedCluster, ids: string[]) => () =>
   ids.every((id) => cluster.state.keys.has(`tealdock/ended/${id}`));
 
-test('the leader uses the changes that the other nodes leave for ends of jobs', () => {
+test('the leader commits job ends with the write rate that other nodes leave unused', () => {
   const { cluster, ids } = clusterWithManyEndingJobs();
   assert.ok(cluster.runUntil(allTasksDone(cluster, ids), 90_000));
   const from = cluster.now();
   assert.ok(cluster.runUntil(allEndsCommitted(cluster, ids), 60_000));
-  // 90 ends are 180 changes, 24 s of half of 15 a second and 15 s of four fifths.
+  // 90 ends are 180 writes: 24 s at half of 15 a second, and 15 s at four fifths of it.
   assert.ok(cluster.now() - from < 17_000, `${cluster.now() - from} ms`);
   assertNoViolations(cluster);
 });
 
-test('a leader with many ends leaves room for the submissions of the other nodes', () => {
+test('a leader with many job ends to commit leaves enough writes for submissions at other nodes', () => {
   const { cluster, ids } = clusterWithManyEndingJobs();
   assert.ok(
     cluster.runUntil(() => ids.some((id) => cluster.checker.doneTasks(id).size > 0), 90_000),
@@ -110,12 +110,12 @@
   }
   cluster.run(40_000);
   assert.ok(allEndsCommitted(cluster, ids)());
-  assert.equal(refused, 0, 'five submissions a second are all taken at once');
+  assert.equal(refused, 0, 'five submissions a second are all accepted at the first attempt');
   assertNoViolations(cluster);
 });
 
-// Its conditions are all that is left between a cancellation under way and a job that ends.
-test('a cancellation carried out after the end of its job changes nothing', () => {
+// Only the preconditions of its transaction keep a late cancellation from replacing the job's end.
+test('a cancellation whose transaction executes after the end of the job changes nothing', () => {
   for (const delay of [1500, 4000, 9000]) {
     const cluster = readyCluster({ runTime: 3000 });
     cluster.submit(job(1, { batch: 1 }), 'n-0');
@@ -127,7 +127,7 @@
     cluster.run(2000);
     cluster.cancel(JOB1, b!);
     assert.ok(cluster.runUntil(exited, 20_000));
-    assert.ok(runUntilDone(cluster, JOB1), 'it ended as done');
+    assert.ok(runUntilDone(cluster, JOB1), 'the job ended as done');
     const ended = cluster.state.keys.get(`tealdock/ended/${JOB1}`);
     cluster.run(delay + 2000);
     cluster.stateLink.fault = null;
@@ -139,12 +139,19 @@
   }
 });
 
-/** A zone whose workers are kept by a follower, which can't tell how their jobs stand. */
-function delegationWithoutProofs(): { cluster: SimulatedCluster; follower: string; near: string } {
+/**
+ * A zone partition in which a follower renews the leases of workers, but can't read whether their
+ * jobs are live. `connectedNode` is the follower on the leader's side.
+ */
+function delegationWithoutProofs(): {
+  cluster: SimulatedCluster;
+  follower: string;
+  connectedNode: string;
+} {
   const cluster = readyCluster({ capacity: 4, runTime: 120_000 }, 4);
   cluster.submit(job(1, { batch: 10, expected_s: 120 }), 'n-0');
   assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 10, 20_000));
-  const [follower, near] = followers(cluster) as [string, string];
+  const [follower, connectedNode] = followers(cluster) as [string, string];
   const machines = [...cluster.workers.values()].filter((w) => w.machine.zone === 'b');
   cluster.network.partition([follower, ...machines.map((w) => w.machine.id)]);
   cluster.run(15_000);
@@ -152,37 +159,40 @@
     path.startsWith('/keys/tealdock/live/') || JSON.stringify(body ?? '').includes('/live/');
   cluster.stateLink.fault = (node, call) =>
     node === follower && aboutJobs(call) ? 'lost_before' : undefined;
-  return { cluster, follower, near };
+  return { cluster, follower, connectedNode };
 }
 
-test('a proof that fails under a grant renews no lease of a cancelled task', () => {
-  const { cluster, near } = delegationWithoutProofs();
-  assert.equal(statusOf(replyTo(cluster, (d) => cluster.cancel(JOB1, near, d))), 'aborted');
+test('a follower with a grant renews no lease of a cancelled task when its liveness proof fails', () => {
+  const { cluster, connectedNode } = delegationWithoutProofs();
+  assert.equal(
+    statusOf(replyTo(cluster, (d) => cluster.cancel(JOB1, connectedNode, d))),
+    'aborted',
+  );
   cluster.run(cluster.times.cancellationLimit + 10_000);
   assert.equal(runningTaskCount(cluster), 0);
   assertNoViolations(cluster);
 });
 
-test('a proof that fails under a grant stops no task of a live job', () => {
+test('a follower with a grant stops no task of a live job when its liveness proof fails', () => {
   const { cluster } = delegationWithoutProofs();
   cluster.run(cluster.times.lease / 2);
   cluster.stateLink.fault = null;
   cluster.run(15_000);
-  assert.equal(runningTaskCount(cluster), 10, 'all tasks run on');
+  assert.equal(runningTaskCount(cluster), 10, 'all tasks continue');
   assert.equal(cluster.checker.startCount, 10);
   cluster.network.cuts.clear();
   assert.ok(runUntilDone(cluster, JOB1, 200_000));
   assertNoViolations(cluster);
 });
 
-test('a stored value that can not be read is named in the log and never taken for a missing one', () => {
+test('an unreadable stored value is logged with its key and never treated as missing', () => {
   const cluster = readyCluster({ runTime: 3000 });
   const garbage = { v: 'garbage', stamp: cluster.state.epoch, lease: null };
   const keys = [`tealdock/ended/${JOB1}`, 'tealdock/keeper/n-9', 'tealdock/roster/777'];
   for (const key of keys) cluster.state.keys.set(key, { ...garbage });
   for (const node of cluster.nodeNames) {
     const pollReply = replyTo(cluster, (d) => cluster.poll(JOB1, node, d));
-    assert.equal(pollReply?.status, 503, 'neither known nor unknown');
+    assert.equal(pollReply?.status, 503, 'the job is reported neither as known nor as unknown');
     const submitReply = replyTo(cluster, (d) => cluster.submit(job(1), node, d));
     assert.equal(submitReply?.status, 503);
   }
@@ -197,6 +207,6 @@
       key,
     );
   cluster.submit(job(2), 'n-0');
-  assert.ok(runUntilDone(cluster, jobId(2)), 'everything else goes on');
+  assert.ok(runUntilDone(cluster, jobId(2)), 'other jobs are not affected');
   assertNoViolations(cluster);
 });
--- a/packages/testing/src/scenarios/older-versions.test.ts
+++ b/packages/testing/src/scenarios/older-versions.test.ts
@@ -19,7 +19,7 @@
   statusOf,
 } from './steps.js';
 
-/** What an older version stored and sent, made by running it. */
+/** Keys that an older version stored and frames that it sent, recorded by running it. */
 interface Recording {
   epoch: number;
   keys: { key: string; v: unknown; stamp: number }[];
@@ -31,7 +31,7 @@
   return JSON.parse(readFileSync(file, 'utf8')) as Recording;
 }
 
-/** The versions that may be replaced: the last one before job chains, and the first with them. */
+/** Versions that an upgrade may start from: the last without job chains, the first with them. */
 const OLDER_VERSIONS = {
   'before chains': readFixture('before-chains'),
   'first with chains': readFixture('first-with-chains'),
@@ -43,14 +43,14 @@
   }
 }
 
-/** A state service that holds what the older version left, its leader's lease over. */
+/** A cluster whose state service holds all keys of the older version but that of its leader. */
 function clusterOnStoredState(recorded: Recording, options: ClusterOptions = {}): SimulatedCluster {
   const cluster = new SimulatedCluster({ capacity: 4, cpuLimit: 100, ...options });
   for (const { key, v, stamp } of recorded.keys) {
     if (!key.endsWith('/leader')) cluster.state.keys.set(key, { v, stamp, lease: null });
   }
   cluster.state.epoch = recorded.epoch;
-  // Names are never used again: those of its machines are gone.
+  // Machine ids are never reused, so the recorded machines no longer exist: use up their ids.
   for (let i = 0; i < 60; i++) cluster.cloud.take(cluster.cloud.add('a').id);
   for (const n of cluster.nodeNames) {
     cluster.crash(n);
@@ -59,7 +59,7 @@
   return cluster;
 }
 
-/** True if a reader of the recorded value finds all of it in the new one. */
+/** Whether the new value has all fields of the recorded one, with values of the same types. */
 function hasAllFieldsOf(old: unknown, now: unknown): boolean {
   if (old === null || now === null) return old === now || typeof now !== 'undefined';
   if (Array.isArray(old) || typeof old !== 'object') return typeof old === typeof now;
@@ -67,13 +67,13 @@
   return Object.entries(old).every(([name, value]) => hasAllFieldsOf(value, fields[name]));
 }
 
-/** Names of a recorded heartbeat's fields in memory, which its frame does not carry. */
+/** Names that fields of a recorded heartbeat have in memory now; frames carry no names. */
 const CURRENT_FIELD_NAMES: Record<string, string> = {
   token: 'fencingToken',
   stateOk: 'stateAvailable',
 };
 
-/** A recorded message in the names that it has in memory today. */
+/** A recorded message with the names that its fields have in memory now. */
 function inCurrentNames(message: Record<string, unknown>): Record<string, unknown> {
   if (message['kind'] !== 'beat') return { ...message };
   const renamed = Object.entries(message).map(
@@ -82,23 +82,26 @@
   return { ...Object.fromEntries<unknown>(renamed), kind: 'heartbeat' };
 }
 
-testWithEachVersion('messages between controllers are the same, byte for byte', (recorded) => {
-  for (const { message, frame } of recorded.frames) {
-    const bytes = Buffer.from(frame, 'base64');
-    const [decoded, ...rest] = new PeerDecoder().push(bytes);
-    assert.equal(rest.length, 0);
-    const sent = inCurrentNames(message);
-    if (typeof sent['body'] === 'string') sent['body'] = Buffer.from(sent['body'], 'base64');
-    for (const [name, value] of Object.entries(sent)) {
-      const decodedValue = (decoded as unknown as Record<string, unknown>)[name];
-      assert.equal(JSON.stringify(decodedValue), JSON.stringify(value), name);
+testWithEachVersion(
+  'messages between controllers are encoded as by the older version, byte for byte',
+  (recorded) => {
+    for (const { message, frame } of recorded.frames) {
+      const bytes = Buffer.from(frame, 'base64');
+      const [decoded, ...rest] = new PeerDecoder().push(bytes);
+      assert.equal(rest.length, 0);
+      const sent = inCurrentNames(message);
+      if (typeof sent['body'] === 'string') sent['body'] = Buffer.from(sent['body'], 'base64');
+      for (const [name, value] of Object.entries(sent)) {
+        const decodedValue = (decoded as unknown as Record<string, unknown>)[name];
+        assert.equal(JSON.stringify(decodedValue), JSON.stringify(value), name);
+      }
+      assert.deepEqual(packPeer(sent as PeerMessage), bytes);
     }
-    assert.deepEqual(packPeer(sent as PeerMessage), bytes);
-  }
-});
+  },
+);
 
 testWithEachVersion(
-  'what the older version stored is read whole: jobs, ends, progress and registry',
+  'jobs, ends, progress and registry stored by the older version are read completely',
   (recorded) => {
     const cluster = clusterOnStoredState(recorded, { runTime: 3000 });
     const live = recorded.keys.filter((k) => k.key.includes('/live/'));
@@ -115,7 +118,7 @@
       const reportedStatus = statusOf(replyTo(cluster, (d) => cluster.poll(id, 'n-1', d)));
       assert.equal(reportedStatus, state === 'cancelled' ? 'aborted' : state);
     }
-    // Its machines are gone, which their leases prove; then what was not done runs.
+    // The recorded machines no longer exist; once their leases have expired, unfinished tasks run.
     const starts = new Set<unknown>();
     const allJobsEnded = () => [...cluster.state.keys.keys()].every((k) => !k.includes('/live/'));
     assert.ok(cluster.runUntil(allJobsEnded, 300_000));
@@ -131,7 +134,7 @@
   },
 );
 
-/** The first start of a job came after the end of a predecessor that had not ended before. */
+/** Asserts that the job's first start follows the end of a predecessor that ended in this run. */
 function assertReleasedBy(cluster: SimulatedCluster, id: string, predecessor: string): void {
   const started = cluster.logLines.findIndex(
     (l) => l.message === 'start dispatched' && String(l.fields['task']).startsWith(`${id}/`),
@@ -143,7 +146,7 @@
 }
 
 testWithEachVersion(
-  'a job waits for what ended, or runs on, under the older version',
+  'a new job may depend on jobs that were done or cancelled under the older version',
   (recorded) => {
     const cluster = clusterOnStoredState(recorded);
     for (let i = 0; i < 2; i++) cluster.cloud.add('a');
@@ -170,7 +173,7 @@
   },
 );
 
-testWithEachVersion('what this version stores can be read by the older one', (recorded) => {
+testWithEachVersion('values stored by this version can be read by the older one', (recorded) => {
   const cluster = readyCluster({ runTimeOf: (p) => 2000 + Number(p.split('/')[1]) * 30_000 });
   for (let n = 1; n <= 4; n++) cluster.submit(job(n, { batch: n }), 'n-0');
   cluster.run(6000);
@@ -178,14 +181,14 @@
   cluster.cancel(jobId(4), 'n-1');
   cluster.run(6000);
   const keyKind = /tealdock\/(leader|owned|roster|progress|live|ended)/;
-  // The first of a kind: a job that needs no other one.
+  // The first key of each kind; the first live job has no predecessors.
   const older = new Map(recorded.keys.map((k) => [keyKind.exec(k.key)?.[1], k.v]).reverse() as []);
   const seen = new Set<string>();
   for (const [key, entry] of cluster.state.keys) {
     const kind = keyKind.exec(key)?.[1];
     if (kind === undefined) continue;
     seen.add(kind);
-    // Entries of packed tables have names of their own; one stands for all.
+    // Entries of sharded tables have names of their own, so one entry is compared for all.
     if (kind === 'roster' || kind === 'progress') {
       const first = (v: unknown) => Object.values((v as { entries: object }).entries)[0] as unknown;
       if (first(entry.v) !== undefined) {
@@ -196,9 +199,9 @@
   assert.deepEqual([...seen].sort(), ['ended', 'leader', 'live', 'owned', 'progress', 'roster']);
 });
 
-// A term of the older version in between: it ends jobs without saying when, writes shards as
-// large as it may, and carries along what it does not know.
-test('leadership goes back to the older version and comes again', () => {
+// A leader of the older version in between ends jobs without storing when, writes shards up to the
+// limits that it knows, and copies fields that it does not know.
+test('a job completes after a leader of the older version has ended its predecessor', () => {
   for (const pause of [300, 3000]) {
     const cluster = readyCluster({ runTimeOf: (p) => (p.startsWith(JOB1) ? 6000 : 4000) });
     cluster.submit(job(1), 'n-0');
@@ -215,7 +218,7 @@
   }
 });
 
-/** What the older version's commit of a job's end would leave in the state service. */
+/** Commits the end of a job as the older version does, without its time. */
 function commitEndAsOlderVersion(cluster: SimulatedCluster, id: string): void {
   const key = `tealdock/live/${id}/spec`;
   const live = cluster.state.keys.get(key);
@@ -229,7 +232,7 @@
 }
 
 testWithEachVersion(
-  'nodes are replaced one after the other under load, with crashes in between',
+  'all jobs complete while nodes are replaced one by one under load, with leader crashes between',
   (recorded) => {
     for (const seed of [1, 2, 3]) {
       const cluster = clusterOnStoredState(recorded, { seed, capacity: 8, runTime: 5000 });
--- a/packages/testing/src/scenarios/rolling-upgrade.test.ts
+++ b/packages/testing/src/scenarios/rolling-upgrade.test.ts
@@ -3,23 +3,26 @@
 import { testOnEachDeployment } from './deployments.js';
 import { assertRecovery, jobId, submitWithRetries, runningTaskCount } from './steps.js';
 
-// Rolling upgrades, older and current versions side by side, that meet other faults. The
-// times are those of both deployments.
+// Rolling upgrades, with older and current versions side by side, combined with other faults and
+// run with the times of both deployments.
 const SEEDS = [1, 2, 3];
-/** How long a replaced process is away. */
+/** Time from the end of a process to the start of the one that replaces it. */
 const DOWNTIME_MS = 6000;
+/** Time between the ends of two processes that are replaced one after another. */
 const REPLACEMENT_INTERVAL_MS = 10_000;
+/** Numbers of the jobs with predecessors, which are submitted after the upgrade. */
 const FIRST_CHAIN_JOB = 101;
 const LAST_CHAIN_JOB = 112;
 
 interface RollingUpgrade {
   cluster: SimulatedCluster;
-  /** Nodes in the order in which they are replaced; the one that led first is named. */
+  /** Nodes in the order in which they are replaced. */
   order: string[];
+  /** The node that leads when the upgrade begins. */
   leader: string;
 }
 
-/** A cluster of the older version under load, with room for more. */
+/** A cluster of the older version under load, with free capacity. */
 function olderVersionCluster(times: DeploymentTimes, seed: number): SimulatedCluster {
   const cluster = new SimulatedCluster({
     seed,
@@ -44,7 +47,7 @@
   return cluster;
 }
 
-/** Ends each process in turn; it comes back as the current version. */
+/** Ends the processes one after another and starts each again as the current version. */
 function replaceProcesses(
   { cluster, order }: RollingUpgrade,
   downtime = DOWNTIME_MS,
@@ -56,7 +59,7 @@
   }
 }
 
-/** Chains come once all nodes have the current version; some are cancelled at their head. */
+/** Submits three chains of four jobs, for which all nodes must have the current version. */
 function submitChains(cluster: SimulatedCluster): void {
   for (let n = FIRST_CHAIN_JOB; n <= LAST_CHAIN_JOB; n++) {
     const waits = n % 4 === 1 ? [] : [jobId(n - 1)];
@@ -70,7 +73,7 @@
   }
 }
 
-/** Jobs of before and after the upgrade. */
+/** Numbers of the jobs submitted before and after the upgrade. */
 function allJobs(): number[] {
   const jobs = [1, 2, 3, 4, 5, 6];
   for (let n = FIRST_CHAIN_JOB; n <= LAST_CHAIN_JOB; n++) jobs.push(n);
@@ -79,10 +82,10 @@
 
 interface UpgradeFault {
   name: string;
-  /** Sets the faults off as the roll begins. */
-  faults: (roll: RollingUpgrade) => void;
+  /** Plans the faults; called when the upgrade begins. */
+  injectFaults: (upgrade: RollingUpgrade) => void;
   order?: (leader: string, others: string[]) => string[];
-  away?: number;
+  downtime?: number;
 }
 
 const defaultOrder = (leader: string, [b, c]: string[]): string[] => [b!, leader, c!];
@@ -94,8 +97,8 @@
 
 const UPGRADE_FAULTS: UpgradeFault[] = [
   {
-    name: 'the state service refuses the leader alone, then is out for longer than cancel_s',
-    faults: ({ cluster, leader }) => {
+    name: 'the state service refuses the leader alone, then is down for longer than cancel_s',
+    injectFaults: ({ cluster, leader }) => {
       cluster.state.refusedNodes.add(leader);
       cluster.at(1000, () => cancelOnFollower(cluster, 1));
       cluster.at(2000, () => (cluster.state.down = true));
@@ -105,7 +108,7 @@
   },
   {
     name: 'the state service refuses each leader in turn',
-    faults: ({ cluster }) => {
+    injectFaults: ({ cluster }) => {
       for (let i = 0; i < 5; i++) {
         cluster.at(i * 7000, () => {
           cluster.state.refusedNodes.clear();
@@ -118,8 +121,8 @@
     },
   },
   {
-    name: 'transactions without an answer are carried out late',
-    faults: ({ cluster }) => {
+    name: 'transactions get no answer and execute late',
+    injectFaults: ({ cluster }) => {
       cluster.stateLink.fault = (_node, call) =>
         call.path === '/commit' && cluster.random() < 0.4
           ? 2000 + cluster.random() * 10_000
@@ -129,8 +132,8 @@
     },
   },
   {
-    name: 'transactions are carried out at once and only their answers are lost',
-    faults: ({ cluster }) => {
+    name: 'transactions execute at once, but their answers are lost',
+    injectFaults: ({ cluster }) => {
       cluster.stateLink.fault = (_node, call) =>
         call.path === '/commit' && cluster.random() < 0.4 ? 'lost_after' : undefined;
       cluster.at(9000, () => cancelOnFollower(cluster, 1));
@@ -138,29 +141,30 @@
     },
   },
   {
-    name: 'the limits are lowered in the moment in which a process comes back',
-    faults: ({ cluster }) => cluster.at(DOWNTIME_MS, () => cluster.lowerStateLimits()),
+    name: 'the limits are lowered at the moment at which a process starts again',
+    injectFaults: ({ cluster }) => cluster.at(DOWNTIME_MS, () => cluster.lowerStateLimits()),
   },
   {
     name: 'the leader is replaced last',
     order: (leader, others) => [...others, leader],
-    faults: ({ cluster }) =>
+    injectFaults: ({ cluster }) =>
       cluster.at(3 * REPLACEMENT_INTERVAL_MS, () => cluster.lowerStateLimits()),
   },
   {
     name: 'the leader is replaced first',
     order: (leader, others) => [leader, ...others],
-    faults: ({ cluster }) => cluster.at(DOWNTIME_MS + 400, () => cancelOnFollower(cluster, 1)),
+    injectFaults: ({ cluster }) =>
+      cluster.at(DOWNTIME_MS + 400, () => cancelOnFollower(cluster, 1)),
   },
   {
-    name: 'a leader that was replaced is replaced once more',
+    name: 'the leader is replaced first, and once more at the end',
     order: (leader, others) => [leader, ...others, leader],
-    faults: ({ cluster }) => cluster.at(DOWNTIME_MS + 400, () => cluster.lowerStateLimits()),
+    injectFaults: ({ cluster }) => cluster.at(DOWNTIME_MS + 400, () => cluster.lowerStateLimits()),
   },
   {
-    name: 'a process dies before its turn and is back as the older version within a second',
+    name: 'the leader crashes before its replacement and starts again as the older version',
     order: (leader, others) => [...others, leader],
-    faults: ({ cluster, leader }) => {
+    injectFaults: ({ cluster, leader }) => {
       for (const [i, pause] of [300, 900, 6000].entries()) {
         cluster.at(2000 + i * 7500, () => {
           cluster.crash(leader);
@@ -174,20 +178,20 @@
     },
   },
   {
-    name: 'processes are back within a fraction of a second',
-    away: 300,
-    faults: ({ cluster }) => cluster.at(400, () => cancelOnFollower(cluster, 1)),
+    name: 'replaced processes start again within a fraction of a second',
+    downtime: 300,
+    injectFaults: ({ cluster }) => cluster.at(400, () => cancelOnFollower(cluster, 1)),
   },
   {
-    name: 'one process goes back to the older version at each moment of the roll',
-    faults: ({ cluster, order }) => {
+    name: 'each process is rolled back to the older version once during the upgrade',
+    injectFaults: ({ cluster, order }) => {
       for (let i = 0; i < 3; i++) {
         const name = order[i]!;
         cluster.at(i * REPLACEMENT_INTERVAL_MS + DOWNTIME_MS + 1500, () => {
           cluster.crash(name);
           cluster.at(400, () => cluster.processes.bootOlderVersion(name));
         });
-        // It gets the current version for good later.
+        // It is upgraded for good later.
         cluster.at(3 * REPLACEMENT_INTERVAL_MS + i * 2000, () => {
           cluster.crash(name);
           cluster.at(400, () => cluster.boot(name));
@@ -197,15 +201,15 @@
   },
 ];
 
-for (const { name, faults, order = defaultOrder, away } of UPGRADE_FAULTS) {
-  testOnEachDeployment(`rolling upgrade: ${name}`, (times) => {
+for (const { name, injectFaults, order = defaultOrder, downtime } of UPGRADE_FAULTS) {
+  testOnEachDeployment(`the cluster recovers from a rolling upgrade in which ${name}`, (times) => {
     for (const seed of SEEDS) {
       const cluster = olderVersionCluster(times, seed);
       const leader = cluster.leader()!;
       const followers = cluster.nodeNames.filter((n) => n !== leader);
       const upgrade = { cluster, leader, order: order(leader, followers) };
-      replaceProcesses(upgrade, away);
-      faults(upgrade);
+      replaceProcesses(upgrade, downtime);
+      injectFaults(upgrade);
       cluster.run(4 * REPLACEMENT_INTERVAL_MS + DOWNTIME_MS);
       cluster.lowerStateLimits();
       submitChains(cluster);
@@ -215,7 +219,7 @@
       assert.equal(
         cluster.stateLink.oversizedCount,
         0,
-        'transactions larger than the limits to come',
+        'transactions larger than the announced limits',
       );
     }
   });
--- a/packages/testing/src/scenarios/scale.test.ts
+++ b/packages/testing/src/scenarios/scale.test.ts
@@ -7,7 +7,7 @@
 import { SimulatedCluster, job } from '../index.js';
 import { JOB1, assertNoViolations, runningTaskCount, readyCluster } from './steps.js';
 
-/** Notes every call to the state service. */
+/** Records every call to the state service from now on. */
 function recordCalls(cluster: SimulatedCluster): Call[] {
   const calls: Call[] = [];
   cluster.stateLink.fault = (_node, call) => void calls.push(call);
@@ -16,8 +16,8 @@
 
 const sumWrites = (calls: Call[]): number => calls.reduce((n, c) => n + c.writeCount, 0);
 
-// One change for each machine took most of a minute of the state service's changes.
-test('a thousand machines join with few changes of the state service', () => {
+// One write for each machine took most of what the state service allows in a minute.
+test('a thousand machines are registered with few writes to the state service', () => {
   const cluster = readyCluster({}, 1);
   const calls = recordCalls(cluster);
   for (let i = 0; i < 1000; i++) cluster.cloud.add(i % 2 ? 'a' : 'b');
@@ -29,7 +29,7 @@
   assert.ok(sumWrites(calls) < 120, `${sumWrites(calls)} changes`);
 });
 
-test('the registry of a thousand machines outlives its leader, and none is written twice', () => {
+test('few of 900 tasks on 300 machines are started again after a change of leader', () => {
   const cluster = readyCluster({ cpuLimit: 10_000 }, 300);
   cluster.submit(job(1, { batch: 900, expected_s: 40 }), 'n-0');
   assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 900, 30_000));
@@ -40,8 +40,8 @@
   assert.ok(cluster.checker.startCount < 930, `${cluster.checker.startCount} starts of 900 tasks`);
 });
 
-// A poll each needed a read or two of the few hundred a second.
-test('a hundred polls share a few requests to the state service', () => {
+// One or two reads for each poll would use up the few hundred requests allowed in a second.
+test('a hundred simultaneous polls share a few requests to the state service', () => {
   const cluster = readyCluster({ capacity: 2 }, 2);
   const ids = Array.from({ length: 100 }, (_, i) => `run-${String(i + 1).padStart(6, '0')}`);
   for (let i = 1; i <= 100; i++) cluster.submit(job(i, { expected_s: 500 }), 'n-0');
@@ -56,7 +56,7 @@
   assertNoViolations(cluster);
 });
 
-test('hundreds of machines are rented with few calls', () => {
+test('hundreds of machines are rented with few calls to the cloud', () => {
   const cluster = new SimulatedCluster({ capacity: 400, cpuLimit: 5000 });
   cluster.run(5000);
   cluster.submit(job(1, { batch: 1200, spare: true, expected_s: 60 }), 'n-0');
@@ -83,14 +83,14 @@
   }));
 }
 
-test('the quick way to the first point of the front comes to the same as the plain one', () => {
+test('the fast search of the Pareto front chooses the same volunteer as an exhaustive search', () => {
   for (let seed = 1; seed <= 300; seed++) {
     const volunteers = randomVolunteers(seed, 1 + (seed % 60));
     assert.equal(chooseVolunteer(volunteers), exhaustiveChoice(volunteers), `seed ${seed}`);
   }
 });
 
-test('choosing among a thousand volunteers compares few of them with each other', () => {
+test('the choice among a thousand volunteers takes few comparisons', () => {
   let reads = 0;
   const volunteers = randomVolunteers(7, 1000).map((v) => ({
     ...v,
@@ -101,10 +101,10 @@
   }));
   assert.ok(firstNonDominated(volunteers));
   assert.ok(reads > 0, 'the comparisons are counted');
-  assert.ok(reads < 30 * 1000, `${reads} looks at an allocated fraction`);
+  assert.ok(reads < 30 * 1000, `${reads} reads of an allocated fraction`);
 });
 
-test('sums kept as bindings change agree with bindings added up', () => {
+test('the usage that the leader keeps for a team agrees with the sum over its running tasks', () => {
   const cluster = readyCluster({ capacity: 6, cpuLimit: 12, guarantee: 4, runTime: 6000 }, 4);
   for (let i = 1; i <= 12; i++) {
     const owner = i % 2 ? 'team' : 'other';
@@ -113,9 +113,9 @@
   }
   cluster.at(15_000, () => cluster.crash(cluster.leader()!));
   cluster.run(120_000);
-  // The checker adds up what runs at every start and compares it with the limit.
+  // At every start the checker sums up the running tasks and compares the sum with the limit.
   assertNoViolations(cluster);
   assert.ok(cluster.checker.startCount > 60);
-  assert.ok(cluster.checker.maxCpusUsed('team') > 11, 'the limit is used, so nothing leaks');
+  assert.ok(cluster.checker.maxCpusUsed('team') > 11, 'the limit is used, so no usage leaks');
   assert.equal(cluster.jobs.has(JOB1), true);
 });
--- a/packages/testing/src/scenarios/single-faults.test.ts
+++ b/packages/testing/src/scenarios/single-faults.test.ts
@@ -13,8 +13,9 @@
   statusOf,
 } from './steps.js';
 
-// Its heartbeats arrive while no answer does: it looks idle, the best of volunteers.
-test('a machine that hears nothing does not eat start after start', () => {
+// The machine's heartbeats arrive while no response reaches it: it looks idle, and so like the
+// best volunteer for every task.
+test('a machine that no response reaches is not given one start after another', () => {
   const cluster = readyCluster({}, 2);
   const unanswered = [...cluster.workers.keys()][0]!;
   cluster.network.cutResponsesTo(unanswered);
@@ -24,11 +25,11 @@
   assert.ok(runUntilDone(cluster, 'run-000002', 90_000));
   cluster.run(120_000);
   const lost = cluster.logLines.filter((l) => l.message === 'start lost').length;
-  assert.ok(lost >= 1 && lost <= 4, `${lost} times a start was lost`);
+  assert.ok(lost >= 1 && lost <= 4, `${lost} starts were lost`);
   assertNoViolations(cluster);
 });
 
-test('a machine that hears again is used again', () => {
+test('a machine is used again once responses reach it again', () => {
   const cluster = readyCluster({ capacity: 1 }, 1);
   const unanswered = [...cluster.workers.keys()][0]!;
   cluster.network.cutResponsesTo(unanswered);
@@ -40,7 +41,7 @@
   assertNoViolations(cluster);
 });
 
-test('a cancelled task on a machine that hears nothing is gone in time', () => {
+test('a cancelled task ends in time on a machine that no response reaches', () => {
   const cluster = readyCluster({}, 2);
   cluster.submit(job(1, { batch: 8, expected_s: 500 }), 'n-0');
   assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 8, 20_000));
@@ -51,13 +52,14 @@
   assertNoViolations(cluster);
 });
 
-// Copies repeat what a machine once had: tasks long over, room long given away.
+// Copies show an outdated state of a machine: tasks that have ended long ago, and capacity that was
+// assigned to other tasks since.
 for (const [name, delay] of [
   ['seconds', 3000],
   ['nearly a lease', 15_000],
   ['well over a lease', 50_000],
 ] as const) {
-  test(`copies of heartbeats come late by ${name}, through a take-over and returns`, () => {
+  test(`copies of heartbeats that arrive ${name} late, through a leader crash and a reboot, break no rule`, () => {
     const cluster = readyCluster({ capacity: 4, runTime: 8000 }, 2);
     cluster.fleet.duplicateDelay = () => delay;
     for (let i = 1; i <= 4; i++) cluster.submit(job(i, { batch: 6 }), 'n-0');
@@ -80,11 +82,11 @@
   cluster.fleet.duplicateDelay = () => 700;
   const before = worker.sequenceNumber;
   cluster.run(30_000);
-  assert.ok(worker.sequenceNumber - before < 14, 'the worker was never sent away');
+  assert.ok(worker.sequenceNumber - before < 14, 'the worker sent no heartbeats early');
   assert.equal(lostStartCount(), 0);
 });
 
-test('a leader without state service and peers: its workers move, users are told', () => {
+test('workers of an isolated leader move to a new one, and users of the old one get 503', () => {
   const cluster = readyCluster({}, 3);
   cluster.submit(job(1, { batch: 6, expected_s: 60 }), 'n-0');
   cluster.run(8000);
@@ -97,13 +99,13 @@
   assert.equal(cluster.request(old, 'GET', '/healthz', Buffer.alloc(0))?.status, 503);
   const reply = replyTo(cluster, (d) => cluster.poll(JOB1, old, d));
   assert.equal(reply?.status, 503);
-  assert.ok((reply.retryAfter ?? 0) > 0, 'users are told when to come back');
+  assert.ok((reply.retryAfter ?? 0) > 0, 'the reply says when to retry');
   cluster.network.cuts.clear();
   assert.ok(runUntilDone(cluster, JOB1, 120_000));
   assertNoViolations(cluster);
 });
 
-test('controllers back in a fraction of a second, in the middle of an election', () => {
+test('a job completes although all controllers restart within a second during an election', () => {
   for (const pause of [50, 150, 300, 600]) {
     const cluster = readyCluster({}, 2);
     cluster.submit(job(1, { batch: 6, expected_s: 20 }), 'n-0');
@@ -119,7 +121,7 @@
   }
 });
 
-test('machines back in a fraction of a second: their tasks run again, once', () => {
+test('tasks of machines that reboot at once run again, none of them twice at a time', () => {
   const cluster = readyCluster({}, 2);
   cluster.submit(job(1, { batch: 8, expected_s: 20 }), 'n-0');
   assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 8, 20_000));
@@ -128,8 +130,9 @@
   assertNoViolations(cluster);
 });
 
-// Nothing but steady higher work: without a turn of its own a low job never begins.
-test('the largest job of the lowest priority begins within four minutes', () => {
+// Under a steady load of higher priority, a job of low priority starts only because jobs that have
+// waited for too long are placed first.
+test('the largest job of the lowest priority starts within four minutes', () => {
   const cluster = readyCluster({ capacity: 2, runTime: 15_000 }, 2);
   const keepSubmitting = (n: number) => {
     cluster.submit(job(n, { batch: 8, urgency: 'urgent' }), 'n-0');
@@ -141,14 +144,14 @@
   const done = () => [...cluster.checker.doneTasks(JOB1)].length;
   assert.ok(
     cluster.runUntil(() => done() > 0, 240_000),
-    'some of it is even done',
+    'one of its tasks is done',
   );
   cluster.run(60_000);
-  assert.ok(done() > 1, 'and it goes on');
+  assert.ok(done() > 1, 'further tasks are done');
   assertNoViolations(cluster);
 });
 
-test('after an outage polls about every job are answered within seconds', () => {
+test('polls of a hundred jobs are answered within seconds after an outage', () => {
   const cluster = readyCluster({ capacity: 2 }, 2);
   const ids = Array.from({ length: 100 }, (_, i) => i + 1);
   const idAt = (i: number) => `run-${String(i).padStart(6, '0')}`;
@@ -172,8 +175,9 @@
   assertNoViolations(cluster);
 });
 
-// The job was forgotten between a poll and its proof, and the key that was gone looked equal.
-test('a poll beside a retried submission of a job that has ended is told its end', () => {
+// Guards against a wrong liveness proof: the node dropped its record of the job between a poll and
+// the proof, and the job's key, which was gone, then compared as unchanged.
+test('a poll concurrent with a repeated submission of an ended job gets its final status', () => {
   for (let pause = 0; pause <= 500; pause += 50) {
     const cluster = readyCluster();
     cluster.submit(job(1, { batch: 1, expected_s: 6 }), 'n-0');
@@ -189,8 +193,8 @@
   }
 });
 
-// Shards hold many entries: a late write of an old one would undo all that came since.
-test('a commit that is carried out late does not take later machines off the registry', () => {
+// A shard holds many entries: a late write of an old version would undo all changes since.
+test('a commit that executes late removes no machine that was registered since', () => {
   const cluster = readyCluster({ capacity: 6, runTime: 4000 }, 2);
   let late = 0;
   cluster.stateLink.fault = (_node, call) =>
@@ -208,14 +212,14 @@
   assertNoViolations(cluster);
 });
 
-test('while nobody leads, workers wait for the election instead of asking around', () => {
+test('without a leader, workers wait for the election instead of trying node after node', () => {
   const cluster = readyCluster({}, 20);
   cluster.crash(cluster.leader()!);
   cluster.run(4000);
   const before = [...cluster.workers.values()].reduce((n, w) => n + w.sequenceNumber, 0);
   cluster.run(5000);
   const reports = [...cluster.workers.values()].reduce((n, w) => n + w.sequenceNumber, 0) - before;
-  assert.ok(reports < 20 * 2.5, `${reports} reports of 20 workers`);
+  assert.ok(reports < 20 * 2.5, `${reports} heartbeats of 20 workers`);
   assert.ok(
     cluster.runUntil(
       () => cluster.logLines.some((l) => l.message === 'machine registry reconciled'),
@@ -224,9 +228,9 @@
   );
 });
 
-test('a successor knows which machines hold an image', () => {
+test('a new leader knows which machines hold an image', () => {
   const cluster = readyCluster({ runTime: 3000 }, 6);
-  // Without hints the first machine, in the other zone, would be taken.
+  // Without hints from the last leader, the first machine, in the other zone, would be chosen.
   cluster.submit(job(1, { batch: 2, hall: 'b' }), 'n-0');
   assert.ok(runUntilDone(cluster, JOB1));
   const holders = new Set(
@@ -241,18 +245,19 @@
   cluster.submit(job(2, { batch: 2 }), [...cluster.processes.running.keys()][0]!);
   assert.ok(runUntilDone(cluster, 'run-000002'));
   const used = cluster.logLines.slice(from).filter((l) => l.message === 'start dispatched');
-  for (const l of used) assert.ok(holders.has(l.fields['machine']), 'work goes to a holder');
+  for (const l of used)
+    assert.ok(holders.has(l.fields['machine']), 'tasks go to a machine that holds the image');
   assert.ok(used.length > 0);
 });
 
-test('work waits a moment for a busy holder of its image, but not for long', () => {
+test('a job waits a short time for a busy machine that holds its image, and completes there', () => {
   const cluster = readyCluster({ capacity: 2, runTime: 4000 }, 2);
   const large = { batch: 4, image_gb: 16, hall: 'b' };
   cluster.submit(job(1, large), 'n-0');
   assert.ok(runUntilDone(cluster, JOB1));
   cluster.submit(job(2, { ...large, expected_s: 4 }), 'n-0');
   assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 4, 10_000));
-  // Nobody has room for this one, so room is scarce.
+  // No machine has free capacity for this job, so capacity is scarce.
   cluster.submit(job(4, { hall: 'b', batch: 1 }), 'n-0');
   cluster.run(500);
   const from = cluster.logLines.length;
@@ -264,7 +269,7 @@
   assert.ok(used.length === 3 && used.every((l) => l.fields['machine'] === holder));
 });
 
-test("settings under which cancellations can't be kept in time are named", () => {
+test("settings under which the cancellation limit can't be kept are reported with the least value", () => {
   const times = (lease: number, cancel: number) => ({
     workerLeaseDuration: lease,
     cancellationLimit: cancel,
--- a/packages/testing/src/scenarios/watch-gap.test.ts
+++ b/packages/testing/src/scenarios/watch-gap.test.ts
@@ -8,19 +8,19 @@
 const QUEUED_JOB_COUNT = PAGE_SIZE + 60;
 const LAST_QUEUED_JOB = 1000 + QUEUED_JOB_COUNT;
 
-// Guarded against: a leader whose watch has fallen too far behind reads all live jobs page by
-// page. Jobs cancelled before and during that read must be known as soon as it may answer.
+// A leader whose watch has fallen too far behind reads all live jobs again, page by page. It must
+// know of jobs cancelled before and during that read as soon as it may answer heartbeats.
 testOnEachDeployment(
-  'a leader whose watch is too old reads the live jobs anew and knows what is cancelled',
+  'a leader whose watch fell behind reads all live jobs again and learns of cancellations',
   (times) => {
     const cluster = busyDeployment(times, 2, 4, { expected_s: 400 }, { cpuLimit: 8 });
     const leader = cluster.leader()!;
-    // They find no room: the team is at its limit.
+    // These stay queued: the team is at its limit.
     for (let n = 1001; n <= LAST_QUEUED_JOB; n++) {
       cluster.submit(job(n, { batch: 1 }), cluster.nodeNames[n % 3]!);
       cluster.run(50);
     }
-    // Nobody tells it, while the others hear that it is there.
+    // No message of a peer reaches the leader, while peers still receive its heartbeats.
     for (const node of followers(cluster)) cluster.network.cuts.add(`${node}>${leader}`);
     let pages = 0;
     cluster.stateLink.fault = (node, call) => {
@@ -33,7 +33,7 @@
     for (let n = 1001; n <= 1010; n++) cluster.cancel(jobId(n), followers(cluster)[1]!);
     cluster.stateLink.fault = (node, call) => {
       if (node !== leader || !call.path.startsWith('/keys?starts=tealdock/live')) return undefined;
-      // Cancelled once the first page has been read, which still shows it.
+      // Cancels job 2 after the first page, which still shows it, has been read.
       if (++pages === 2) cluster.cancel(jobId(2), followers(cluster)[0]!);
       return undefined;
     };
