--- a/packages/testing/src/checker/free-capacity.ts
+++ b/packages/testing/src/checker/free-capacity.ts
@@ -1,9 +1,9 @@
-/** What is free on a machine, seen from outside. */
+/** Free capacity of machines, as seen from outside the controllers. */
 import type { JobSpec } from '@tealdock/wire';
 import { MACHINE_TYPE } from '../fakes/fake-cloud.js';
 import type { FakeWorker } from '../fakes/fake-worker.js';
 
-/** What is free on a machine. */
+/** Free resources of a machine. */
 export interface FreeCapacity {
   type: string;
   zone: string;
@@ -12,7 +12,7 @@
   memoryGb: number;
 }
 
-/** What is free on each machine that works, by what is on it. */
+/** Free resources of each machine that neither hangs nor has notice, by the tasks present there. */
 export function freeCapacityOf(
   workers: Iterable<FakeWorker>,
   jobs: ReadonlyMap<string, JobSpec>,
@@ -40,7 +40,7 @@
   };
 }
 
-/** Whether a task of the job may run in what is free on the machine. */
+/** Whether a task of the job may run on the machine and fits into its free resources. */
 export function fits(spec: JobSpec, free: FreeCapacity): boolean {
   const allowed =
     (spec.types?.includes(free.type) ?? true) &&
--- a/packages/testing/src/checker/group-by.ts
+++ b/packages/testing/src/checker/group-by.ts
@@ -1,4 +1,4 @@
-/** Items in groups, in the order in which their keys first come. */
+/** Groups items by key, in the order in which the keys first occur. */
 export function groupBy<T>(items: T[], key: (item: T) => string): Map<string, T[]> {
   const groups = new Map<string, T[]>();
   for (const item of items) {
--- a/packages/testing/src/checker/rule-checker.ts
+++ b/packages/testing/src/checker/rule-checker.ts
@@ -4,24 +4,24 @@
 import { findUnserved } from './service-levels.js';
 import { fits, type FreeCapacity } from './free-capacity.js';
 
-/** A job about which no request is answered for longer is forgotten. */
+/** A job counts as forgotten if no request about it is answered for longer. */
 const MAX_UNANSWERED_MS = 75_000;
 /** A job must not wait for longer while a machine that fits has free capacity. */
 const MAX_LEFT_WAITING_MS = 90_000;
-/** HTTP statuses that confirm a job, and those that deny it. */
+/** HTTP statuses that confirm that a job is known, and statuses that deny it. */
 const ACCEPTING_STATUSES = [200, 201];
 const REFUSING_STATUSES = [400, 404, 422];
 
 /**
- * Watches the cluster from outside the controllers: what users were told, and
- * what runs where. It knows nothing of how the service works.
+ * Checks the protocol's rules by the replies that users get and the tasks that machines run. It
+ * knows nothing of the controllers' implementation.
  */
 export class RuleChecker {
   readonly violations: string[] = [];
   startCount = 0;
-  /** Starts after a confirmed cancellation: the start may have been on its way. */
+  /** Starts after a confirmed cancellation: allowed, since the start may have been in flight. */
   startsAfterCancellationCount = 0;
-  /** Since when all faults are over. */
+  /** When all faults ended; null before that. */
   private faultFreeSince: number | null = null;
   private readonly invalidIds = new Set<string>();
   private readonly jobs = new Map<string, ObservedJob>();
@@ -50,7 +50,7 @@
     });
   }
 
-  /** A submission under this id can't run or lacks a field. */
+  /** Submissions under this id are invalid, so that none may be accepted. */
   mustRefuse(id: string): void {
     if (!this.jobs.has(id)) this.invalidIds.add(id);
   }
@@ -60,8 +60,8 @@
   }
 
   /**
-   * A user puts a question about a job to some node: a submission, a poll or a cancellation. Its
-   * answer is judged by what was known when it was asked.
+   * Records a request about a job: a submission, a poll or a cancellation. The function returned
+   * takes the reply and checks it against what was known when the request was sent.
    */
   beginRequest(id: string): (status: number, body: unknown) => void {
     const [known, final] = [this.isAccepted(id), this.finalStatus(id)];
@@ -163,17 +163,17 @@
     return predecessorsOf(job.spec).flatMap((p) => this.jobs.get(p) ?? []);
   }
 
-  /** Some job that it needs is not done. */
+  /** Whether some predecessor is not done. */
   private waitsForPredecessor(job: ObservedJob): boolean {
     return this.predecessors(job).some((p) => p.doneAt === null);
   }
 
-  /** Since when it may run. */
+  /** When the job was submitted or its last predecessor was done; now while one is not done. */
   private runnableSince(job: ObservedJob): number {
     return Math.max(job.submittedAt, ...this.predecessors(job).map((p) => p.doneAt ?? this.now()));
   }
 
-  /** When a user was first told that a job before it, however far, is cancelled. */
+  /** When a reply first confirmed that some ancestor is cancelled; Infinity if none has. */
   private predecessorCancelledSince(job: ObservedJob, seen = new Set<ObservedJob>()): number {
     let first = Infinity;
     for (const p of this.predecessors(job)) {
@@ -199,7 +199,7 @@
     }
   }
 
-  /** With all faults over, no job waits where a machine that fits has had room all along. */
+  /** Once all faults have ended, reports jobs that wait beside free capacity for too long. */
   checkFreeCapacity(freeCapacities: FreeCapacity[]): void {
     if (this.faultFreeSince === null) return;
     const runningCounts = this.countRunning();
@@ -214,7 +214,7 @@
     }
   }
 
-  /** What of a run falls short: classes, teams and largest jobs of which less than half is done. */
+  /** One line for each team, class and largest job that was not served; see `findUnserved`. */
   unserved(): string[] {
     const wanted = [...this.jobs.values()].filter((j) => j.accepted && j.finalStatus !== 'aborted');
     return findUnserved(wanted, (j) => (j.firstStartedAt ?? this.now()) - this.runnableSince(j));
@@ -234,7 +234,7 @@
     const waiting = spec.taskCount - job.doneTasks.size - running;
     if (!job.accepted || job.finalStatus !== null || waiting <= 0 || this.waitsForPredecessor(job))
       return false;
-    // Where its tasks may be depends on each other: a room says nothing by itself.
+    // Placement of one task depends on the others, so one machine's free capacity proves nothing.
     if (spec.kind !== 'array' || spec.oneZone || spec.spread) return false;
     const left = (this.cpuLimits.get(spec.team) ?? 0) - (this.cpusByTeam().get(spec.team) ?? 0);
     if (left < spec.cpus) return false;
--- a/packages/testing/src/checker/service-levels.ts
+++ b/packages/testing/src/checker/service-levels.ts
@@ -1,15 +1,18 @@
-/** Whether the jobs of a run are served: by team, by class, and the largest of each class. */
+/** Whether enough jobs are done in each team and class, and among the largest of each class. */
 import type { Duration } from '@tealdock/wire';
 import { groupBy } from './group-by.js';
 import type { ObservedJob } from './observed-job.js';
 
-/** The largest jobs start within this time. */
+/** The largest jobs must start within this time. */
 const MAX_LARGEST_JOB_WAIT_MS = 240_000;
-/** The largest jobs of a class are this part of it, and one at the least. */
+/** The largest jobs of a class are this fraction of it, and at least one. */
 const LARGEST_JOBS_FRACTION = 0.25;
 const MIN_SERVED_FRACTION = 0.5;
 
-/** One line for each team, class and largest job that falls short; empty if none does. */
+/**
+ * One line for each team, class and group of largest jobs of which too few are done, and for each
+ * largest job that started too late; empty if there are none.
+ */
 export function findUnserved(
   jobs: ObservedJob[],
   waitOf: (job: ObservedJob) => Duration,
--- a/packages/testing/src/unit/authority.test.ts
+++ b/packages/testing/src/unit/authority.test.ts
@@ -18,7 +18,7 @@
 
 interface Conditions {
   knowledge?: Partial<TermKnowledge>;
-  /** How long the leader's lease still holds; null where it is in doubt. */
+  /** Time left of the leader's lease in ms; null if the lease is in doubt. */
   lease?: number | null;
 }
 
@@ -44,7 +44,7 @@
 
 const reasonOf = (decision: Decision): string => (decision.granted ? 'granted' : decision.reason);
 
-test('an answer that renews a lease needs a lease, the live jobs and fresh knowledge', () => {
+test('a renewal needs the leader lease, the live jobs and fresh knowledge of cancellations', () => {
   const renewal = (given: Conditions) => reasonOf(authorityWith(given).renewal());
   assert.equal(renewal({}), 'granted');
   assert.equal(renewal({ lease: null }), 'no_lease');
@@ -58,7 +58,7 @@
   assert.equal(renewal({ knowledge: { cancellationsKnownUntil: -Infinity } }), 'knowledge_stale');
 });
 
-test('a right to answer ends with the lease or with the knowledge, whichever is first', () => {
+test('a renewal is allowed until the lease ends or the knowledge is stale, whichever is first', () => {
   const until = (given: Conditions) => {
     const decision = authorityWith(given).renewal();
     return decision.granted ? decision.validUntil : null;
@@ -70,7 +70,7 @@
   );
 });
 
-test('a start needs fresher knowledge, and a machine that is accounted for', () => {
+test('a start needs fresher knowledge than a renewal, and a registered and reconciled machine', () => {
   const start = (knowledge: Partial<TermKnowledge>, machine: Partial<StartTarget> = {}) =>
     reasonOf(authorityWith({ knowledge }).start({ ...READY, ...machine }));
   assert.equal(start({}), 'granted');
@@ -82,14 +82,14 @@
   assert.equal(start({}, { isReturning: true }), 'machine_returning');
 });
 
-test('a refusal for stale knowledge names its age and limit', () => {
+test('a refusal for stale knowledge carries its age and limit', () => {
   const decision = authorityWith({
     knowledge: { cancellationsKnownUntil: NOW_MS - 7000 },
   }).renewal();
   assert.deepEqual(decision.evidence, { source: 'job watch', age: 7000, limit: 6000 });
 });
 
-test('only a term that has read the live jobs may stop what is not among them', () => {
+test('only a term that has read the live jobs may stop tasks of other jobs', () => {
   const isLive = (id: string) => id === JOB1;
   assert.equal(authorityWith({ knowledge: { isLive } }).mayStop(JOB1), false);
   assert.equal(authorityWith({ knowledge: { isLive } }).mayStop('run-000002'), true);
@@ -99,8 +99,8 @@
   );
 });
 
-// A worker that goes on with a task which it was told to stop must show in the log and counters.
-test('a task that outlasts the limit of its cancellation is a violation, reported once', () => {
+// Log and counters must show a worker that continues a task although it got a stop for it.
+test('a task that runs past the cancellation limit is reported once as a violation', () => {
   const cluster = readyCluster({}, 1);
   cluster.submit(job(1, { batch: 1, cpus: 4, expected_s: 300 }), 'n-0');
   cluster.run(2000);
--- a/packages/testing/src/unit/listen.test.ts
+++ b/packages/testing/src/unit/listen.test.ts
@@ -4,7 +4,7 @@
 import { mock, test } from 'node:test';
 import { listen } from '@tealdock/adapters';
 
-/** A server whose address is taken for the first tries. */
+/** A server whose first `failureCount` attempts to listen fail. */
 class BusyAddressServer extends EventEmitter {
   attemptCount = 0;
 
@@ -34,14 +34,14 @@
   return outcome;
 }
 
-// A controller that was back at once ended by itself: its port was taken for a moment.
-test('a process that is back at once waits for its address', () => {
+// A controller that was restarted at once exited, because its port was still in use for a moment.
+test('a process retries while its address is in use', () => {
   const server = new BusyAddressServer(3);
   assert.deepEqual(startListening(server), { ready: true, failed: false });
   assert.equal(server.attemptCount, 4);
 });
 
-test('an address that can not be listened on at all ends the process', () => {
+test('any other listen error is reported as a failure without a retry', () => {
   const server = new BusyAddressServer(1, 'EACCES');
   assert.deepEqual(startListening(server), { ready: false, failed: true });
 });
--- a/packages/testing/src/unit/typed-errors.test.ts
+++ b/packages/testing/src/unit/typed-errors.test.ts
@@ -12,7 +12,7 @@
   unpackBody,
 } from '@tealdock/wire';
 
-/** A frame as `packPeer` makes them, with a record of these bytes. */
+/** A frame as `packPeer` makes it, with these bytes as its record. */
 function frame(kind: number, record: Buffer, length = record.length): Buffer {
   const header = Buffer.alloc(5);
   header.writeUInt32BE(length, 0);
@@ -20,7 +20,7 @@
   return Buffer.concat([header, record]);
 }
 
-/** What a call throws. */
+/** The error that a call throws; fails the test if it throws none. */
 function thrownBy(run: () => unknown): Error {
   try {
     run();
@@ -30,7 +30,7 @@
   assert.fail('nothing was thrown');
 }
 
-test('malformed frames of a peer are protocol errors, with the cause where there is one', () => {
+test('malformed frames of a peer are protocol errors, with the cause if there is one', () => {
   const push = (bytes: Buffer) => thrownBy(() => new PeerDecoder().push(bytes));
   const unknownKind = push(frame(9, Buffer.alloc(1)));
   const tooLong = push(frame(0, Buffer.alloc(1), 300 * 1024));
@@ -57,7 +57,7 @@
   assert.ok(error.cause instanceof Error);
 });
 
-test('wrong settings are settings errors that name the setting', () => {
+test('invalid settings are settings errors that name the setting', () => {
   const notToml = thrownBy(() => parseSettings('member = '));
   assert.ok(notToml instanceof SettingsError);
   assert.match(notToml.message, /^not TOML: /);
