--- a/packages/testing/src/checker/rule-checker.test.ts
+++ b/packages/testing/src/checker/rule-checker.test.ts
@@ -138,7 +138,7 @@
   assert.deepEqual(harness.violatedRules(), ['too_early']);
 });
 
-test('a job reported as queued long after an ancestor was cancelled is reported as orphaned', () => {
+test('a job shown as queued long after an ancestor was cancelled is reported as orphaned', () => {
   const harness = new CheckerHarness();
   const first = harness.acceptJob(1);
   const second = harness.acceptJob(2, { waits_on: [first] });
--- a/packages/testing/src/checker/rule-checker.ts
+++ b/packages/testing/src/checker/rule-checker.ts
@@ -77,6 +77,10 @@
     if (job) job.unansweredSince ??= this.now();
   }
 
+  /**
+   * Records a reply about a job. `state` is undefined if the reply has no status of the job; the last
+   * two arguments are what was known when the request was sent.
+   */
   noteResponse(
     id: string,
     status: number,
@@ -188,6 +192,7 @@
     return first;
   }
 
+  /** Checks the rules that depend on time alone; to be called again and again. */
   check(): void {
     for (const [task, machines] of this.running) if (machines.size > 0) this.checkCancelled(task);
     if (this.faultFreeSince === null) return;
--- a/packages/testing/src/scenarios/dependencies.test.ts
+++ b/packages/testing/src/scenarios/dependencies.test.ts
@@ -134,7 +134,7 @@
   assertNoViolations(cluster);
 });
 
-test('a job that waits for others causes no rentals, and its objectives count from its release', () => {
+test('an unreleased job rents nothing, uses no guarantee, and its objectives count from its release', () => {
   const cluster = new SimulatedCluster({
     capacity: 6,
     guarantee: 4,
--- a/packages/testing/src/scenarios/fleet.test.ts
+++ b/packages/testing/src/scenarios/fleet.test.ts
@@ -9,6 +9,7 @@
 const MACHINE_COUNT = 1300;
 const LIMITS = { sockets: 1650, requestsPerSecond: 250, writesPerSecond: 18 };
 
+/** Plans the submission of this many jobs, one every 300 ms; returns their numbers. */
 function submitMany(
   cluster: SimulatedCluster,
   jobCount: number,
@@ -91,7 +92,7 @@
     for (let i = 0; i < SHARES.workers / 2; i++) {
       assert.ok(
         table.request(`m-${generation}-${i}`, 'worker'),
-        `machine ${i} of turn ${generation}`,
+        `machine ${i} of generation ${generation}`,
       );
     }
     table.advance(21_000);
--- a/packages/testing/src/scenarios/guards.test.ts
+++ b/packages/testing/src/scenarios/guards.test.ts
@@ -141,17 +141,13 @@
 
 /**
  * A zone partition in which a follower renews the leases of workers, but can't read whether their
- * jobs are live. `connectedNode` is the follower on the leader's side.
+ * jobs are live. `peer` is the follower on the leader's side.
  */
-function delegationWithoutProofs(): {
-  cluster: SimulatedCluster;
-  follower: string;
-  connectedNode: string;
-} {
+function delegationWithoutProofs(): { cluster: SimulatedCluster; follower: string; peer: string } {
   const cluster = readyCluster({ capacity: 4, runTime: 120_000 }, 4);
   cluster.submit(job(1, { batch: 10, expected_s: 120 }), 'n-0');
   assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 10, 20_000));
-  const [follower, connectedNode] = followers(cluster) as [string, string];
+  const [follower, peer] = followers(cluster) as [string, string];
   const machines = [...cluster.workers.values()].filter((w) => w.machine.zone === 'b');
   cluster.network.partition([follower, ...machines.map((w) => w.machine.id)]);
   cluster.run(15_000);
@@ -159,15 +155,12 @@
     path.startsWith('/keys/tealdock/live/') || JSON.stringify(body ?? '').includes('/live/');
   cluster.stateLink.fault = (node, call) =>
     node === follower && aboutJobs(call) ? 'lost_before' : undefined;
-  return { cluster, follower, connectedNode };
+  return { cluster, follower, peer };
 }
 
 test('a follower with a grant renews no lease of a cancelled task when its liveness proof fails', () => {
-  const { cluster, connectedNode } = delegationWithoutProofs();
-  assert.equal(
-    statusOf(replyTo(cluster, (d) => cluster.cancel(JOB1, connectedNode, d))),
-    'aborted',
-  );
+  const { cluster, peer } = delegationWithoutProofs();
+  assert.equal(statusOf(replyTo(cluster, (d) => cluster.cancel(JOB1, peer, d))), 'aborted');
   cluster.run(cluster.times.cancellationLimit + 10_000);
   assert.equal(runningTaskCount(cluster), 0);
   assertNoViolations(cluster);
--- a/packages/testing/src/scenarios/late-messages.test.ts
+++ b/packages/testing/src/scenarios/late-messages.test.ts
@@ -12,7 +12,7 @@
 } from './steps.js';
 
 testOnEachDeployment(
-  'commands that reach hung machines, which resume seconds later, break no rule',
+  'commands to machines that hang and resume seconds later break no rule',
   (times) => {
     for (const hang of [1500, 5000, 9000]) {
       const cluster = readyDeployment(times);
@@ -52,7 +52,7 @@
 );
 
 testOnEachDeployment(
-  'copies of heartbeats that arrive after newer ones or after a reboot break no rule',
+  'copies of heartbeats of earlier agent epochs or attempts that arrive late break no rule',
   (times) => {
     for (const delay of [2500, times.lease * 0.8, times.lease * 1.7]) {
       const cluster = readyDeployment(times, { runTime: 9000 });
--- a/packages/testing/src/scenarios/older-versions.test.ts
+++ b/packages/testing/src/scenarios/older-versions.test.ts
@@ -37,6 +37,7 @@
   'first with chains': readFixture('first-with-chains'),
 };
 
+/** Defines one test for each older version, whose name is appended to the title. */
 function testWithEachVersion(title: string, run: (recorded: Recording) => void): void {
   for (const [version, recorded] of Object.entries(OLDER_VERSIONS)) {
     test(`${title} (${version})`, () => run(recorded));
--- a/packages/testing/src/scenarios/placement.test.ts
+++ b/packages/testing/src/scenarios/placement.test.ts
@@ -28,8 +28,7 @@
   assertNoViolations(cluster);
 });
 
-// For a single task the price of a whole machine counts, which is more than the price of a slot.
-// Because of that no machine was ever rented for such a task.
+// A whole machine costs more than one slot's share of it, so none was ever rented for one task.
 test('a machine is rented for a single small task without an objective', () => {
   const cluster = new SimulatedCluster({ capacity: 4 });
   cluster.run(5000);
@@ -67,8 +66,8 @@
 });
 
 // Guards against endless preemption: borrowed work of higher priority preempted work inside a
-// guarantee, whose team then reclaimed the capacity, and so on. One day's work made no progress
-// because of thousands of stops.
+// guarantee, whose team then reclaimed the capacity, and so on. One run of
+// a day made no progress because of it and preempted tasks thousands of times.
 test('work inside a guarantee and borrowed work of higher priority do not preempt each other in turn', () => {
   const cluster = readyCluster({ capacity: 2, guarantee: 4 }, 2);
   const low = { owner: 'other', urgency: 'idle', batch: 4, expected_s: 40 };
