--- a/packages/testing/src/checker/rule-checker.ts
+++ b/packages/testing/src/checker/rule-checker.ts
@@ -78,8 +78,8 @@
   }
 
   /**
-   * Records a reply about a job. `state` is undefined if the reply has no status of the job; the last
-   * two arguments are what was known when the request was sent.
+   * Records a reply about a job. `state` is undefined if the reply has no status of the job. The
+   * last two arguments say what was known when the request was sent.
    */
   noteResponse(
     id: string,
--- a/packages/testing/src/scenarios/cancelled-before-outage.test.ts
+++ b/packages/testing/src/scenarios/cancelled-before-outage.test.ts
@@ -5,7 +5,7 @@
 const SEEDS = Array.from({ length: 20 }, (_, i) => i + 1);
 /** How long after an outage the leader's watch on jobs still gets no answer. */
 const WATCH_FAULT_AFTER_OUTAGE_MS = 2000;
-/** Longer than a watch request that is open when the fault begins can stay open. */
+/** A watch request that is open when the fault begins has ended after this time. */
 const MAX_OPEN_WATCH_MS = 2500;
 
 /**
--- a/packages/testing/src/scenarios/combined-faults.test.ts
+++ b/packages/testing/src/scenarios/combined-faults.test.ts
@@ -48,12 +48,12 @@
 testOnEachDeployment(
   'a cancellation, a poll and a repeated submission race with the last task: replies agree',
   (times) => {
-    for (let moment = 0; moment <= 2000; moment += 100) {
+    for (let delay = 0; delay <= 2000; delay += 100) {
       const cluster = readyDeployment(times, { runTime: 3000 }, 1);
       cluster.submit(job(1, { batch: 1 }), 'n-0');
       const exited = () => workers(cluster).some((w) => w.tasks.some((t) => t.status === 'exited'));
       assert.ok(cluster.runUntil(exited, 20_000));
-      cluster.run(moment);
+      cluster.run(delay);
       const [b, c] = followers(cluster);
       cluster.cancel(JOB1, b!);
       cluster.poll(JOB1, c!);
--- a/packages/testing/src/scenarios/dependencies.test.ts
+++ b/packages/testing/src/scenarios/dependencies.test.ts
@@ -18,26 +18,26 @@
 } from './steps.js';
 
 test('a job starts once the last of its predecessors is done, across a change of leader', () => {
-  for (const moment of [2000, 6000, 10_000, 14_000]) {
+  for (const delay of [2000, 6000, 10_000, 14_000]) {
     const cluster = readyCluster({ runTimeOf: (p) => (p.startsWith(JOB1) ? 4000 : 12_000) });
     submitAccepted(cluster, 1);
     submitAccepted(cluster, 2);
     submitAccepted(cluster, 3, waitsOn(1, 2, 1));
     assert.equal(polledStatus(cluster, 3, 'n-1'), 'queued');
-    cluster.at(moment, () => crashLeader(cluster));
+    cluster.at(delay, () => crashLeader(cluster));
     assert.ok(runUntilDone(cluster, jobId(3)));
     assertNoViolations(cluster);
   }
 });
 
 test('a job that is accepted as its predecessor ends starts neither too early nor too late', () => {
-  for (let moment = 0; moment <= 1500; moment += 100) {
+  for (let delay = 0; delay <= 1500; delay += 100) {
     const cluster = readyCluster({ runTime: 2000 });
     cluster.submit(job(1), 'n-0');
     assert.ok(cluster.runUntil(() => cluster.checker.doneTasks(JOB1).size === 2, 20_000));
-    cluster.run(moment);
+    cluster.run(delay);
     submitAccepted(cluster, 2, waitsOn(1));
-    assert.ok(runUntilDone(cluster, JOB2, 20_000), `submitted ${moment} ms after the last task`);
+    assert.ok(runUntilDone(cluster, JOB2, 20_000), `submitted ${delay} ms after the last task`);
     assertNoViolations(cluster);
   }
 });
--- a/packages/testing/src/scenarios/dependency-cancellation.test.ts
+++ b/packages/testing/src/scenarios/dependency-cancellation.test.ts
@@ -36,13 +36,13 @@
 }
 
 test('a dependent gets the final status of a predecessor that is cancelled as it completes', () => {
-  for (let moment = 0; moment <= 800; moment += 100) {
+  for (let delay = 0; delay <= 800; delay += 100) {
     const cluster = readyCluster({ runTime: 3000 }, 1);
     submitAccepted(cluster, 1, { batch: 1 });
     submitAccepted(cluster, 2, { batch: 1, ...waitsOn(1) });
     const exited = () => cluster.checker.doneTasks(JOB1).size === 1;
     assert.ok(cluster.runUntil(exited, 20_000));
-    cluster.run(moment);
+    cluster.run(delay);
     cluster.cancel(JOB1, followers(cluster)[0]!);
     cluster.poll(JOB1, followers(cluster)[1]!);
     cluster.run(15_000);
--- a/packages/testing/src/scenarios/dependency-faults.test.ts
+++ b/packages/testing/src/scenarios/dependency-faults.test.ts
@@ -29,12 +29,12 @@
   'all dependents get the final status of a job that two nodes cancel as its last task ends',
   (times) => {
     for (const crashes of [false, true]) {
-      for (let moment = 0; moment <= 2000; moment += 200) {
+      for (let delay = 0; delay <= 2000; delay += 200) {
         const cluster = readyDeployment(times, { runTime: 3000 }, 2);
         submitAccepted(cluster, 1, { batch: 1 });
         submitAccepted(cluster, 2, { batch: 1, ...waitsOn(1) });
         assert.ok(cluster.runUntil(() => cluster.checker.doneTasks(JOB1).size === 1, 20_000));
-        cluster.run(moment);
+        cluster.run(delay);
         const [b, c] = followers(cluster);
         const leader = cluster.leader()!;
         if (crashes) crashLeader(cluster);
@@ -49,7 +49,7 @@
         cluster.run(12_000);
         assertRecovery(cluster, [1, 2, 3, 4]);
         const ends = new Set([1, 2, 3, 4].map((n) => cluster.checker.finalStatus(jobId(n))));
-        assert.equal(ends.size, 1, `${[...ends].join(' and ')} after ${moment} ms`);
+        assert.equal(ends.size, 1, `${[...ends].join(' and ')} after ${delay} ms`);
       }
     }
   },
--- a/packages/testing/src/scenarios/predecessor-lists.test.ts
+++ b/packages/testing/src/scenarios/predecessor-lists.test.ts
@@ -78,13 +78,13 @@
 testOnEachDeployment(
   'a predecessor that another node is accepting is either found or reported as unknown',
   (times) => {
-    for (let moment = 0; moment <= 60; moment += 5) {
+    for (let delay = 0; delay <= 60; delay += 5) {
       const cluster = readyDeployment(times, { runTime: 2000 });
       cluster.stateLink.extraDelay = () => 20;
       cluster.submit(job(1, { batch: 1 }), 'n-0');
-      cluster.run(moment);
+      cluster.run(delay);
       const { reply } = post(cluster, 'n-1', job(2, { batch: 1, ...waitsOn(1) }));
-      assert.ok([201, 422].includes(reply!.status), `${reply!.status} after ${moment} ms`);
+      assert.ok([201, 422].includes(reply!.status), `${reply!.status} after ${delay} ms`);
       submitAccepted(cluster, 2, { batch: 1, ...waitsOn(1) });
       assertRecovery(cluster, [1, 2]);
       assert.equal(cluster.checker.finalStatus(jobId(2)), 'done');
--- a/packages/testing/src/scenarios/rolling-upgrade.test.ts
+++ b/packages/testing/src/scenarios/rolling-upgrade.test.ts
@@ -11,8 +11,8 @@
 /** Time between the ends of two processes that are replaced one after another. */
 const REPLACEMENT_INTERVAL_MS = 10_000;
 /** Numbers of the jobs with predecessors, which are submitted after the upgrade. */
-const FIRST_CHAIN_JOB = 101;
-const LAST_CHAIN_JOB = 112;
+const FIRST_CHAIN_JOB_NUMBER = 101;
+const LAST_CHAIN_JOB_NUMBER = 112;
 
 interface RollingUpgrade {
   cluster: SimulatedCluster;
@@ -61,7 +61,7 @@
 
 /** Submits three chains of four jobs, for which all nodes must have the current version. */
 function submitChains(cluster: SimulatedCluster): void {
-  for (let n = FIRST_CHAIN_JOB; n <= LAST_CHAIN_JOB; n++) {
+  for (let n = FIRST_CHAIN_JOB_NUMBER; n <= LAST_CHAIN_JOB_NUMBER; n++) {
     const waits = n % 4 === 1 ? [] : [jobId(n - 1)];
     const overrides = { batch: 2, expected_s: 5, waits_on: waits };
     const submitWhenReady = () => {
@@ -69,14 +69,14 @@
         submitWithRetries(cluster, n, overrides);
       else cluster.at(1000, submitWhenReady);
     };
-    cluster.at((n - FIRST_CHAIN_JOB) * 700, submitWhenReady);
+    cluster.at((n - FIRST_CHAIN_JOB_NUMBER) * 700, submitWhenReady);
   }
 }
 
 /** Numbers of the jobs submitted before and after the upgrade. */
 function allJobs(): number[] {
   const jobs = [1, 2, 3, 4, 5, 6];
-  for (let n = FIRST_CHAIN_JOB; n <= LAST_CHAIN_JOB; n++) jobs.push(n);
+  for (let n = FIRST_CHAIN_JOB_NUMBER; n <= LAST_CHAIN_JOB_NUMBER; n++) jobs.push(n);
   return jobs;
 }
 
@@ -213,7 +213,7 @@
       cluster.run(4 * REPLACEMENT_INTERVAL_MS + DOWNTIME_MS);
       cluster.lowerStateLimits();
       submitChains(cluster);
-      cluster.at(4000, () => cancelOnFollower(cluster, FIRST_CHAIN_JOB + 4));
+      cluster.at(4000, () => cancelOnFollower(cluster, FIRST_CHAIN_JOB_NUMBER + 4));
       cluster.run(20_000);
       assertRecovery(cluster, allJobs());
       assert.equal(
--- a/packages/testing/src/scenarios/scenarios.test.ts
+++ b/packages/testing/src/scenarios/scenarios.test.ts
@@ -167,13 +167,13 @@
 });
 
 test('a cancellation that races with the completion of a job yields one lasting final status', () => {
-  for (const moment of [0, 100, 200, 300, 400]) {
+  for (const delay of [0, 100, 200, 300, 400]) {
     const cluster = readyCluster({ runTime: 3000 }, 1);
     cluster.submit(job(1, { batch: 1 }), 'n-0');
     const exited = () =>
       [...cluster.workers.values()].some((w) => w.tasks.some((t) => t.status === 'exited'));
     assert.ok(cluster.runUntil(exited, 20_000));
-    cluster.run(moment);
+    cluster.run(delay);
     cluster.cancel(JOB1, followers(cluster)[0]!);
     cluster.poll(JOB1, followers(cluster)[1]!);
     cluster.run(5000);
--- a/packages/testing/src/scenarios/watch-gap.test.ts
+++ b/packages/testing/src/scenarios/watch-gap.test.ts
@@ -3,10 +3,10 @@
 import { busyDeployment, testOnEachDeployment } from './deployments.js';
 import { cancelAndConfirm, assertRecovery, jobId, followers } from './steps.js';
 
-const PAGE_SIZE = 200;
+const PAGE_JOB_COUNT = 200;
 /** More live jobs than one page holds. */
-const QUEUED_JOB_COUNT = PAGE_SIZE + 60;
-const LAST_QUEUED_JOB = 1000 + QUEUED_JOB_COUNT;
+const QUEUED_JOB_COUNT = PAGE_JOB_COUNT + 60;
+const LAST_QUEUED_JOB_NUMBER = 1000 + QUEUED_JOB_COUNT;
 
 // A leader whose watch has fallen too far behind reads all live jobs again, page by page. It must
 // know of jobs cancelled before and during that read as soon as it may answer heartbeats.
@@ -16,7 +16,7 @@
     const cluster = busyDeployment(times, 2, 4, { expected_s: 400 }, { cpuLimit: 8 });
     const leader = cluster.leader()!;
     // These stay queued: the team is at its limit.
-    for (let n = 1001; n <= LAST_QUEUED_JOB; n++) {
+    for (let n = 1001; n <= LAST_QUEUED_JOB_NUMBER; n++) {
       cluster.submit(job(n, { batch: 1 }), cluster.nodeNames[n % 3]!);
       cluster.run(50);
     }
@@ -42,8 +42,8 @@
     assert.equal(cluster.leader(), leader);
     cluster.state.retainedChangeCount = 10_000;
     cluster.run(times.cancellationLimit);
-    for (let n = 1011; n <= LAST_QUEUED_JOB; n++)
+    for (let n = 1011; n <= LAST_QUEUED_JOB_NUMBER; n++)
       cluster.cancel(jobId(n), cluster.nodeNames[n % 3]!);
-    assertRecovery(cluster, [1, 2, 1001, LAST_QUEUED_JOB]);
+    assertRecovery(cluster, [1, 2, 1001, LAST_QUEUED_JOB_NUMBER]);
   },
 );
