--- a/packages/testing/src/checker/rule-checker.ts
+++ b/packages/testing/src/checker/rule-checker.ts
@@ -4,24 +4,24 @@
 import { findUnserved } from './service-levels.js';
 import { fits, type FreeCapacity } from './free-capacity.js';
 
-/** A job about which no request is answered for longer is forgotten. */
+/** A job counts as forgotten if no request about it is answered for longer. */
 const MAX_UNANSWERED_MS = 75_000;
 /** A job must not wait for longer while a machine that fits has free capacity. */
 const MAX_LEFT_WAITING_MS = 90_000;
-/** HTTP statuses that confirm a job, and those that deny it. */
+/** HTTP statuses that confirm that a job is known, and statuses that deny it. */
 const ACCEPTING_STATUSES = [200, 201];
 const REFUSING_STATUSES = [400, 404, 422];
 
 /**
- * Watches the cluster from outside the controllers: what users were told, and
- * what runs where. It knows nothing of how the service works.
+ * Checks the protocol's rules by the replies that users get and the tasks that machines run. It
+ * knows nothing of the controllers' implementation.
  */
 export class RuleChecker {
   readonly violations: string[] = [];
   startCount = 0;
-  /** Starts after a confirmed cancellation: the start may have been on its way. */
+  /** Starts after a confirmed cancellation: allowed, since the start may have been in flight. */
   startsAfterCancellationCount = 0;
-  /** Since when all faults are over. */
+  /** When all faults ended; null before that. */
   private faultFreeSince: number | null = null;
   private readonly invalidIds = new Set<string>();
   private readonly jobs = new Map<string, ObservedJob>();
@@ -50,7 +50,7 @@
     });
   }
 
-  /** A submission under this id can't run or lacks a field. */
+  /** Submissions under this id are invalid, so that none may be accepted. */
   mustRefuse(id: string): void {
     if (!this.jobs.has(id)) this.invalidIds.add(id);
   }
@@ -60,8 +60,8 @@
   }
 
   /**
-   * A user puts a question about a job to some node: a submission, a poll or a cancellation. Its
-   * answer is judged by what was known when it was asked.
+   * Records a request about a job: a submission, a poll or a cancellation. The function returned
+   * takes the reply and checks it against what was known when the request was sent.
    */
   beginRequest(id: string): (status: number, body: unknown) => void {
     const [known, final] = [this.isAccepted(id), this.finalStatus(id)];
@@ -77,22 +77,26 @@
     if (job) job.unansweredSince ??= this.now();
   }
 
+  /**
+   * Records a reply about a job. `state` is undefined if the reply has no status of the job. The
+   * last two arguments say what was known when the request was sent.
+   */
   noteResponse(
     id: string,
     status: number,
     state: string | undefined,
-    askedAfterAccept: boolean,
-    finalWhenAsked: string | null,
+    acceptedWhenAsked: boolean,
+    finalStatusWhenAsked: string | null,
   ): void {
     const job = this.jobs.get(id);
     if (!job) return this.checkUnknownJob(id, status);
-    if (askedAfterAccept && REFUSING_STATUSES.includes(status))
+    if (acceptedWhenAsked && REFUSING_STATUSES.includes(status))
       this.reportViolation('forgotten', `${id} ${status}`);
     if (!ACCEPTING_STATUSES.includes(status)) return;
     job.accepted = true;
     job.unansweredSince = null;
     if (state === undefined) return;
-    if (finalWhenAsked !== null && finalWhenAsked !== state) {
+    if (finalStatusWhenAsked !== null && finalStatusWhenAsked !== state) {
       this.reportViolation('went_back', `${id} to ${state}`);
     }
     this.noteStatus(id, job, state);
@@ -137,10 +141,10 @@
 
   noteStart(task: string, machine: string): void {
     this.startCount++;
-    const on = this.running.get(task) ?? new Set();
-    if ([...on].some((m) => m !== machine)) this.reportViolation('ran_twice', task);
-    on.add(machine);
-    this.running.set(task, on);
+    const machines = this.running.get(task) ?? new Set();
+    if ([...machines].some((m) => m !== machine)) this.reportViolation('ran_twice', task);
+    machines.add(machine);
+    this.running.set(task, machines);
     const job = this.jobOf(task);
     if (job) job.firstStartedAt ??= this.now();
     if (job && this.waitsForPredecessor(job)) this.reportViolation('too_early', task);
@@ -150,9 +154,9 @@
   }
 
   noteEnd(task: string, machine: string, reason: string): void {
-    const on = this.running.get(task);
-    on?.delete(machine);
-    if (on?.size === 0) this.running.delete(task);
+    const machines = this.running.get(task);
+    machines?.delete(machine);
+    if (machines?.size === 0) this.running.delete(task);
     const job = this.jobOf(task);
     if (reason !== 'done' || !job) return;
     job.doneTasks.add(task);
@@ -163,17 +167,17 @@
     return predecessorsOf(job.spec).flatMap((p) => this.jobs.get(p) ?? []);
   }
 
-  /** Some job that it needs is not done. */
+  /** Whether some predecessor is not done. */
   private waitsForPredecessor(job: ObservedJob): boolean {
     return this.predecessors(job).some((p) => p.doneAt === null);
   }
 
-  /** Since when it may run. */
+  /** When the job was submitted or its last predecessor was done; now while one is not done. */
   private runnableSince(job: ObservedJob): number {
     return Math.max(job.submittedAt, ...this.predecessors(job).map((p) => p.doneAt ?? this.now()));
   }
 
-  /** When a user was first told that a job before it, however far, is cancelled. */
+  /** When a reply first confirmed that some ancestor is cancelled; Infinity if none has. */
   private predecessorCancelledSince(job: ObservedJob, seen = new Set<ObservedJob>()): number {
     let first = Infinity;
     for (const p of this.predecessors(job)) {
@@ -188,8 +192,9 @@
     return first;
   }
 
+  /** Checks the rules that depend on time alone; to be called again and again. */
   check(): void {
-    for (const [task, on] of this.running) if (on.size > 0) this.checkCancelled(task);
+    for (const [task, machines] of this.running) if (machines.size > 0) this.checkCancelled(task);
     if (this.faultFreeSince === null) return;
     for (const [id, job] of this.jobs) {
       const since = Math.max(job.unansweredSince ?? Infinity, this.faultFreeSince);
@@ -199,12 +204,13 @@
     }
   }
 
-  /** With all faults over, no job waits where a machine that fits has had room all along. */
-  checkFreeCapacity(rooms: FreeCapacity[]): void {
+  /** Once all faults have ended, reports jobs that wait beside free capacity for too long. */
+  checkFreeCapacity(freeCapacities: FreeCapacity[]): void {
     if (this.faultFreeSince === null) return;
-    const onMachines = this.countRunning();
+    const runningCounts = this.countRunning();
     for (const [id, job] of this.jobs) {
-      if (!this.canRun(job, onMachines.get(id) ?? 0, rooms)) job.leftWaitingSince = null;
+      if (!this.canRun(job, runningCounts.get(id) ?? 0, freeCapacities))
+        job.leftWaitingSince = null;
       else job.leftWaitingSince ??= this.now();
       if (job.leftWaitingSince === null || this.now() - job.leftWaitingSince <= MAX_LEFT_WAITING_MS)
         continue;
@@ -213,7 +219,7 @@
     }
   }
 
-  /** What of a run falls short: classes, teams and largest jobs of which less than half is done. */
+  /** One line for each team, class and largest job that was not served; see `findUnserved`. */
   unserved(): string[] {
     const wanted = [...this.jobs.values()].filter((j) => j.accepted && j.finalStatus !== 'aborted');
     return findUnserved(wanted, (j) => (j.firstStartedAt ?? this.now()) - this.runnableSince(j));
@@ -228,16 +234,16 @@
     return counts;
   }
 
-  private canRun(job: ObservedJob, running: number, rooms: FreeCapacity[]): boolean {
+  private canRun(job: ObservedJob, running: number, freeCapacities: FreeCapacity[]): boolean {
     const { spec } = job;
     const waiting = spec.taskCount - job.doneTasks.size - running;
     if (!job.accepted || job.finalStatus !== null || waiting <= 0 || this.waitsForPredecessor(job))
       return false;
-    // Where its tasks may be depends on each other: a room says nothing by itself.
+    // Placement of one task depends on the others, so one machine's free capacity proves nothing.
     if (spec.kind !== 'array' || spec.oneZone || spec.spread) return false;
     const left = (this.cpuLimits.get(spec.team) ?? 0) - (this.cpusByTeam().get(spec.team) ?? 0);
     if (left < spec.cpus) return false;
-    return rooms.some((room) => fits(spec, room));
+    return freeCapacities.some((free) => fits(spec, free));
   }
 
   private jobOf(task: string): ObservedJob | undefined {
@@ -245,16 +251,16 @@
   }
 
   private checkCancelled(task: string): void {
-    const told = this.jobOf(task)?.cancellationConfirmedAt ?? null;
-    if (told !== null && this.now() - told > this.cancellationLimit)
+    const confirmedAt = this.jobOf(task)?.cancellationConfirmedAt ?? null;
+    if (confirmedAt !== null && this.now() - confirmedAt > this.cancellationLimit)
       this.reportViolation('ran_cancelled', task);
   }
 
   private cpusByTeam(): Map<string, number> {
     const used = new Map<string, number>();
-    for (const [task, on] of this.running) {
+    for (const [task, machines] of this.running) {
       const spec = this.jobOf(task)?.spec;
-      if (spec) used.set(spec.team, (used.get(spec.team) ?? 0) + spec.cpus * on.size);
+      if (spec) used.set(spec.team, (used.get(spec.team) ?? 0) + spec.cpus * machines.size);
     }
     return used;
   }
@@ -267,7 +273,7 @@
     }
   }
 
-  private reportViolation(rule: string, what: string): void {
-    this.violations.push(`${rule}: ${what} at ${Math.round(this.now())}`);
+  private reportViolation(rule: string, details: string): void {
+    this.violations.push(`${rule}: ${details} at ${Math.round(this.now())}`);
   }
 }
