--- a/packages/testing/src/soak/child-guard-main.ts
+++ b/packages/testing/src/soak/child-guard-main.ts
@@ -1,6 +1,7 @@
 /**
- * The guard of a process's children: reads `add <pid>` and `remove <pid>` from standard input, and
- * kills what is left once its input ends, which it does with the process that writes it.
+ * Guard process for the children of another process: reads `add <pid>` and `remove <pid>` lines
+ * from standard input and kills the remaining children when the input ends. The input ends when
+ * the process that writes it ends.
  */
 import { createInterface } from 'node:readline';
 
@@ -10,15 +11,15 @@
   try {
     process.kill(pid, 'SIGKILL');
   } catch (error) {
-    // It has ended since.
+    // ESRCH: the child has already ended.
     if ((error as NodeJS.ErrnoException).code !== 'ESRCH') throw error;
   }
 }
 
 const input = createInterface({ input: process.stdin });
 input.on('line', (line) => {
-  const [verb, pid] = line.split(' ');
-  if (verb === 'add') pids.add(Number(pid));
+  const [action, pid] = line.split(' ');
+  if (action === 'add') pids.add(Number(pid));
   else pids.delete(Number(pid));
 });
 input.on('close', () => pids.forEach(kill));
--- a/packages/testing/src/soak/child-guard.ts
+++ b/packages/testing/src/soak/child-guard.ts
@@ -1,4 +1,4 @@
-/** Child processes that do not outlive this one, however it ends. */
+/** Child processes that are killed when this process ends, whatever ends it. */
 import {
   spawn,
   type ChildProcess,
@@ -10,19 +10,19 @@
 import { fileURLToPath } from 'node:url';
 
 const GUARD_SCRIPT = fileURLToPath(new URL('./child-guard-main.js', import.meta.url));
-const ENDING_SIGNALS = ['SIGINT', 'SIGTERM', 'SIGHUP'] as const;
-/** Exit codes of a process that ended by a signal start here, as in a shell. */
+const TERMINATION_SIGNALS = ['SIGINT', 'SIGTERM', 'SIGHUP'] as const;
+/** Added to a signal's number for the exit code of a process that it ended, as in a shell. */
 const SIGNAL_EXIT_CODE_BASE = 128;
 
-/** The guard process; it reads which children there are from its standard input. */
+/** The guard process, which reads the ids of the children from its standard input. */
 type Guard = ChildProcessByStdio<Writable, null, null>;
 
 const children = new Set<ChildProcess>();
 let guard: Guard | null = null;
 
 /**
- * Starts a child that is killed when this process ends: by its own exit handler after a return,
- * an error or a signal, and by a guard process if this one is killed without notice.
+ * Starts a child that is killed when this process ends: by this process's exit handler after a
+ * normal end, an uncaught error or a signal, or by a guard process if this one gets SIGKILL.
  */
 export function spawnGuarded(
   program: string,
@@ -32,15 +32,15 @@
   guard ??= startGuard();
   const child = spawn(program, args, options);
   children.add(child);
-  tellGuard('add', child);
+  notifyGuard('add', child);
   child.on('exit', () => {
     children.delete(child);
-    tellGuard('remove', child);
+    notifyGuard('remove', child);
   });
   return child;
 }
 
-/** Ends this process when the one that started it with an IPC channel ends. */
+/** Exits when the parent process ends, if the parent started this one with an IPC channel. */
 export function endWithParent(): void {
   if (!process.connected) return;
   process.on('disconnect', () => process.exit(1));
@@ -48,7 +48,7 @@
 }
 
 function startGuard(): Guard {
-  // In a process group of its own, so that a signal to this group leaves it.
+  // In a process group of its own, so that a signal to this process's group doesn't end it.
   const started = spawn(process.execPath, [GUARD_SCRIPT], {
     detached: true,
     stdio: ['pipe', 'ignore', 'ignore'],
@@ -56,7 +56,7 @@
   started.unref();
   started.stdin.on('error', () => undefined);
   process.on('exit', killChildren);
-  for (const signal of ENDING_SIGNALS) {
+  for (const signal of TERMINATION_SIGNALS) {
     process.on(signal, () => process.exit(SIGNAL_EXIT_CODE_BASE + constants.signals[signal]));
   }
   return started;
@@ -66,6 +66,6 @@
   for (const child of children) child.kill('SIGKILL');
 }
 
-function tellGuard(verb: 'add' | 'remove', { pid }: ChildProcess): void {
-  if (pid !== undefined) guard?.stdin.write(`${verb} ${pid}\n`);
+function notifyGuard(action: 'add' | 'remove', { pid }: ChildProcess): void {
+  if (pid !== undefined) guard?.stdin.write(`${action} ${pid}\n`);
 }
