--- a/packages/testing/src/soak/controller-process.ts
+++ b/packages/testing/src/soak/controller-process.ts
@@ -1,4 +1,4 @@
-/** A controller as it is built for deployment, in a process of its own. */
+/** Runs the built controller in a child process, with the command of the deploy file. */
 import type { ChildProcess } from 'node:child_process';
 import { readFileSync } from 'node:fs';
 import { createInterface } from 'node:readline';
@@ -7,7 +7,7 @@
 
 const DEPLOY_FILE = 'deploy/service.toml';
 
-/** Program and arguments that the deploy file names; the settings file comes after them. */
+/** Program and arguments from the deploy file; the caller appends the path of the settings file. */
 function deployedCommand(): [program: string, args: string[]] {
   const { run } = parseToml(readFileSync(DEPLOY_FILE, 'utf8'));
   if (typeof run !== 'string') throw new TypeError(`${DEPLOY_FILE}: run is missing`);
@@ -15,15 +15,15 @@
   return [program === 'node' ? process.execPath : program, args];
 }
 
-/** What is told of a controller's process. */
+/** Callbacks for a controller's process. */
 export interface ProcessEvents {
-  /** A line of its log, as written. */
-  line: (name: string, line: string) => void;
-  /** It ended though nobody ended it. */
-  endedByItself: (name: string, code: number | null) => void;
+  /** Receives each line that the controller logs, unparsed. */
+  onLogLine: (name: string, line: string) => void;
+  /** The process ended without `kill`; `code` is null if a signal ended it. */
+  onUnexpectedExit: (name: string, code: number | null) => void;
 }
 
-/** Starts, ends and pauses one controller; it signals no process but its own. */
+/** Starts, kills, pauses and resumes one controller; signals no other process. */
 export class ControllerProcess {
   private child: ChildProcess | null = null;
 
@@ -34,10 +34,12 @@
     private readonly events: ProcessEvents,
   ) {}
 
+  /** Process id; undefined while the controller is not running. */
   get pid(): number | undefined {
     return this.child?.pid;
   }
 
+  /** Does nothing if the process is already running. */
   start(): void {
     if (this.child) return;
     const [program, args] = deployedCommand();
@@ -48,16 +50,16 @@
     });
     this.child = child;
     createInterface({ input: child.stderr! }).on('line', (line) =>
-      this.events.line(this.name, line),
+      this.events.onLogLine(this.name, line),
     );
     child.on('exit', (code) => {
       if (this.child !== child) return;
       this.child = null;
-      this.events.endedByItself(this.name, code);
+      this.events.onUnexpectedExit(this.name, code);
     });
   }
 
-  /** Ends it at once, without any notice. */
+  /** Sends SIGKILL, so that the controller can't shut down in order. */
   kill(): void {
     const child = this.child;
     this.child = null;
--- a/packages/testing/src/soak/fault-injector.ts
+++ b/packages/testing/src/soak/fault-injector.ts
@@ -1,44 +1,50 @@
-/** Carries planned faults out on a site, and ends each of them. */
+/** Injects planned faults into a site and ends them. */
 import type { Duration } from '@tealdock/wire';
 import { LEADER_KILLS, TAKEOVER_ROUNDS, type FaultKind, type PlannedFault } from './fault-plan.js';
 import type { LoopbackSite } from './loopback-site.js';
-import { NODES, TIMES, type NodeName } from './site-times.js';
+import { NODES, SOAK_TIMES, type NodeName } from './site-times.js';
 import type { MachineFaults } from './worker-host.js';
 
-/** Processes are back after about a second, or within a fraction of one. */
+/** Time from the kill of a controller to its restart. */
 const RESTART_DELAY_MS: Duration = 1200;
 const SHORT_RESTART_DELAY_MS: Duration = 120;
-/** How long the state service refuses the leader alone before it refuses everybody. */
-const LEADER_REFUSED_MS: Duration = 1500;
-/** An outage in short breaks is over this often, for so long. */
-const OUTAGE_PAUSE_INTERVAL_MS: Duration = TIMES.lease - 1500;
-const OUTAGE_PAUSE_MS: Duration = 400;
-const SLOW_RESPONSE_MS: Duration = 900;
-const LATE_RESPONSE_MS: Duration = 3000;
+/** How long the state service refuses only the leader before it refuses all controllers. */
+const LEADER_ONLY_REFUSED_MS: Duration = 1500;
+/** Repeated outages start at this interval, shorter than a lease, with short breaks between. */
+const REPEATED_OUTAGE_INTERVAL_MS: Duration = SOAK_TIMES.lease - 1500;
+const OUTAGE_BREAK_MS: Duration = 400;
+/** Delay of `state_slow`. */
+const SLOW_RESPONSE_DELAY_MS: Duration = 900;
+/** Delay of `state_commits_delayed` and `heartbeat_responses_delayed`. */
+const LATE_DELAY_MS: Duration = 3000;
 const AFFECTED_MACHINES_FRACTION = 0.4;
 const TOKEN_POLL_INTERVAL_MS: Duration = 10;
-/** For how long after an outage the leader's watches still get no answer. */
-const WATCH_LAG_MS: Duration = 5000;
+/** How long after an outage the leader's watches still get no response. */
+const WATCH_RECOVERY_DELAY_MS: Duration = 5000;
 
-type Inject = (fault: PlannedFault) => void;
+type InjectFault = (fault: PlannedFault) => void;
 
-/** Injects faults. Their times are kept by timers, which `stop` clears. */
+/** Injects the faults of a plan. Timers begin and end each fault; `stop` clears them. */
 export class FaultInjector {
   private readonly timers = new Set<NodeJS.Timeout>();
-  private readonly injectors: Record<FaultKind, Inject>;
+  private readonly injectors: Record<FaultKind, InjectFault>;
 
   constructor(
     private readonly site: LoopbackSite,
-    private readonly cancelSome: (count: number) => void,
+    private readonly cancelRunningJobs: (count: number) => void,
   ) {
-    this.injectors = { ...this.nodeFaults(), ...this.stateFaults(), ...this.machineFaults() };
+    this.injectors = {
+      ...this.nodeInjectors(),
+      ...this.stateInjectors(),
+      ...this.machineInjectors(),
+    };
   }
 
   start(plan: PlannedFault[]): void {
     for (const fault of plan) {
       this.after(fault.at, () => {
         this.injectors[fault.kind](fault);
-        this.cancelSome(fault.cancels);
+        this.cancelRunningJobs(fault.cancels);
       });
     }
   }
@@ -56,14 +62,15 @@
     this.timers.add(timer);
   }
 
+  /** The current leader; the given node if there is none. */
   private leaderOrNode(node: NodeName): NodeName {
     return this.site.leader() ?? node;
   }
 
-  private killFor(node: NodeName, away: Duration): void {
+  private killAndRestart(node: NodeName, restartDelay: Duration): void {
     const process = this.site.processes.get(node);
     process?.kill();
-    this.after(away, () => process?.start());
+    this.after(restartDelay, () => process?.start());
   }
 
   private pauseFor(node: NodeName, duration: Duration): void {
@@ -72,116 +79,121 @@
     this.after(duration, () => process?.resume());
   }
 
-  private nodeFaults() {
+  private nodeInjectors() {
     return {
-      kill: ({ node }: PlannedFault) => this.killFor(node, RESTART_DELAY_MS),
-      kill_and_back: ({ node }: PlannedFault) =>
-        this.killFor(this.leaderOrNode(node), SHORT_RESTART_DELAY_MS),
+      kill: ({ node }: PlannedFault) => this.killAndRestart(node, RESTART_DELAY_MS),
+      quick_leader_restart: ({ node }: PlannedFault) =>
+        this.killAndRestart(this.leaderOrNode(node), SHORT_RESTART_DELAY_MS),
       kill_all: () => {
-        for (const node of NODES) this.killFor(node, RESTART_DELAY_MS);
+        for (const node of NODES) this.killAndRestart(node, RESTART_DELAY_MS);
       },
-      leaders_in_series: ({ node }: PlannedFault) => {
+      leader_kill_series: ({ node }: PlannedFault) => {
         for (let i = 0; i < LEADER_KILLS.count; i++) {
-          this.after(i * LEADER_KILLS.every, () =>
-            this.killFor(this.leaderOrNode(node), RESTART_DELAY_MS),
+          this.after(i * LEADER_KILLS.intervalMs, () =>
+            this.killAndRestart(this.leaderOrNode(node), RESTART_DELAY_MS),
           );
         }
       },
       pause: ({ node, lasts }: PlannedFault) => this.pauseFor(node, lasts),
       pause_leader: ({ node, lasts }: PlannedFault) =>
         this.pauseFor(this.leaderOrNode(node), lasts),
-      peers_held: ({ node, lasts }: PlannedFault) => this.holdPeers(node, lasts),
-      peers_reset: ({ node }: PlannedFault) => {
+      peer_links_stalled: ({ node, lasts }: PlannedFault) => this.stallPeerLinks(node, lasts),
+      peer_links_reset: ({ node }: PlannedFault) => {
         for (const link of this.site.linksOf(node)) link.reset();
       },
     };
   }
 
-  private holdPeers(node: NodeName, lasts: Duration): void {
+  private stallPeerLinks(node: NodeName, duration: Duration): void {
     const links = this.site.linksOf(node);
-    for (const link of links) link.hold();
-    this.after(lasts, () => {
-      for (const link of links) link.release();
+    for (const link of links) link.stall();
+    this.after(duration, () => {
+      for (const link of links) link.resume();
     });
   }
 
-  private stateFaults() {
+  private stateInjectors() {
     const { site } = this;
     return {
       state_refuses_leader_then_all: ({ node, lasts, dice }: PlannedFault) => {
         const leader = this.leaderOrNode(node);
         site.state.refusedNodes.add(leader);
-        // In half of all runs the other controllers can't tell it anything either.
-        if (dice < 0.5) this.holdPeers(leader, LEADER_REFUSED_MS + lasts);
-        this.after(LEADER_REFUSED_MS, () => (site.state.down = true));
-        site.setStateFaults(leader, { watchesCut: true });
-        this.after(LEADER_REFUSED_MS + lasts, () => {
+        // In half of the cases the other controllers can't reach the leader either.
+        if (dice < 0.5) this.stallPeerLinks(leader, LEADER_ONLY_REFUSED_MS + lasts);
+        this.after(LEADER_ONLY_REFUSED_MS, () => (site.state.down = true));
+        site.setStateFaults(leader, { watchesDropped: true });
+        this.after(LEADER_ONLY_REFUSED_MS + lasts, () => {
           site.state.refusedNodes.delete(leader);
           site.state.restore();
         });
-        this.after(LEADER_REFUSED_MS + lasts + WATCH_LAG_MS, () =>
-          site.setStateFaults(leader, { watchesCut: false }),
+        this.after(LEADER_ONLY_REFUSED_MS + lasts + WATCH_RECOVERY_DELAY_MS, () =>
+          site.setStateFaults(leader, { watchesDropped: false }),
         );
       },
-      state_out: ({ lasts }: PlannedFault) => this.outage(lasts),
-      state_out_in_short_breaks: ({ lasts }: PlannedFault) => {
-        for (let at = 0; at < lasts; at += OUTAGE_PAUSE_INTERVAL_MS) {
-          this.after(at, () => this.outage(OUTAGE_PAUSE_INTERVAL_MS - OUTAGE_PAUSE_MS));
+      state_outage: ({ lasts }: PlannedFault) => this.beginOutage(lasts),
+      state_repeated_outages: ({ lasts }: PlannedFault) => {
+        for (let at = 0; at < lasts; at += REPEATED_OUTAGE_INTERVAL_MS) {
+          this.after(at, () => this.beginOutage(REPEATED_OUTAGE_INTERVAL_MS - OUTAGE_BREAK_MS));
         }
       },
-      state_cut: ({ node, lasts }: PlannedFault) =>
-        this.faultState(node, lasts, { cut: true }, { cut: false }),
-      state_watches_cut: ({ node, lasts }: PlannedFault) =>
-        this.faultState(
+      state_calls_dropped: ({ node, lasts }: PlannedFault) =>
+        this.injectStateFault(node, lasts, { callsDropped: true }, { callsDropped: false }),
+      state_watches_dropped: ({ node, lasts }: PlannedFault) =>
+        this.injectStateFault(
           this.leaderOrNode(node),
           lasts,
-          { watchesCut: true },
-          { watchesCut: false },
+          { watchesDropped: true },
+          { watchesDropped: false },
         ),
       state_slow: ({ node, lasts }: PlannedFault) =>
-        this.faultState(this.leaderOrNode(node), lasts, { delay: SLOW_RESPONSE_MS }, { delay: 0 }),
-      state_answers_lost: ({ node, lasts }: PlannedFault) =>
-        this.faultState(node, lasts, { answersLost: true }, { answersLost: false }),
-      state_commits_late: ({ node, lasts }: PlannedFault) =>
-        this.faultState(node, lasts, { commitsLate: LATE_RESPONSE_MS }, { commitsLate: 0 }),
+        this.injectStateFault(
+          this.leaderOrNode(node),
+          lasts,
+          { responseDelay: SLOW_RESPONSE_DELAY_MS },
+          { responseDelay: 0 },
+        ),
+      state_responses_lost: ({ node, lasts }: PlannedFault) =>
+        this.injectStateFault(node, lasts, { responsesLost: true }, { responsesLost: false }),
+      state_commits_delayed: ({ node, lasts }: PlannedFault) =>
+        this.injectStateFault(node, lasts, { commitDelay: LATE_DELAY_MS }, { commitDelay: 0 }),
     };
   }
 
-  private outage(lasts: Duration): void {
+  private beginOutage(duration: Duration): void {
     this.site.state.down = true;
-    this.after(lasts, () => this.site.state.restore());
+    this.after(duration, () => this.site.state.restore());
   }
 
-  private faultState(
+  private injectStateFault(
     node: NodeName,
-    lasts: Duration,
+    duration: Duration,
     begin: Parameters<LoopbackSite['setStateFaults']>[1],
     end: Parameters<LoopbackSite['setStateFaults']>[1],
   ): void {
     this.site.setStateFaults(node, begin);
-    this.after(lasts, () => this.site.setStateFaults(node, end));
+    this.after(duration, () => this.site.setStateFaults(node, end));
   }
 
-  private machineFaults() {
+  private machineInjectors() {
     return {
-      machines_hang: (fault: PlannedFault) => this.hang(fault),
-      machines_unheard: (fault: PlannedFault) =>
-        this.faultMachines(fault, { heartbeatsLost: true }, { heartbeatsLost: false }),
-      machines_hear_nothing: (fault: PlannedFault) =>
-        this.faultMachines(
+      machines_hang: (fault: PlannedFault) => this.hangMachines(fault),
+      machine_heartbeats_lost: (fault: PlannedFault) =>
+        this.injectMachineFault(fault, { heartbeatsLost: true }, { heartbeatsLost: false }),
+      machine_inbound_blocked: (fault: PlannedFault) =>
+        this.injectMachineFault(
           fault,
           { responsesLost: true, commandsHeld: true },
           { responsesLost: false, commandsHeld: false },
         ),
-      machines_cut_at_takeovers: (fault: PlannedFault) => this.cutAtTakeovers(fault),
-      answers_late: (fault: PlannedFault) =>
-        this.faultMachines(fault, { responseDelay: LATE_RESPONSE_MS }, { responseDelay: 0 }),
-      machine_back_at_once: (fault: PlannedFault) => {
-        const [first] = this.affectedMachines(fault);
+      machines_isolated_at_takeovers: (fault: PlannedFault) => this.isolateAtTakeovers(fault),
+      heartbeat_responses_delayed: (fault: PlannedFault) =>
+        this.injectMachineFault(fault, { responseDelay: LATE_DELAY_MS }, { responseDelay: 0 }),
+      machine_quick_reboot: (fault: PlannedFault) => {
+        const [first] = this.affectedMachineIds(fault);
         if (first !== undefined) this.site.workers.worker(first)?.reboot();
       },
-      machine_taken: (fault: PlannedFault) => {
-        const [first] = this.affectedMachines(fault);
+      machine_replaced: (fault: PlannedFault) => {
+        const [first] = this.affectedMachineIds(fault);
         if (first === undefined) return;
         this.site.cloud.take(first);
         this.site.cloud.add('a');
@@ -189,16 +201,16 @@
     };
   }
 
-  /** Some machines that stand next to each other in the order of their names. */
-  private affectedMachines({ dice }: PlannedFault): string[] {
-    const names = this.site.workers.names;
-    const from = Math.floor(dice * names.length);
-    const count = Math.ceil(names.length * AFFECTED_MACHINES_FRACTION);
-    return [...names, ...names].slice(from, from + count);
+  /** A contiguous part of the list of machines, which wraps around at its end. */
+  private affectedMachineIds({ dice }: PlannedFault): string[] {
+    const ids = this.site.workers.machineIds;
+    const from = Math.floor(dice * ids.length);
+    const count = Math.ceil(ids.length * AFFECTED_MACHINES_FRACTION);
+    return [...ids, ...ids].slice(from, from + count);
   }
 
-  private hang(fault: PlannedFault): void {
-    const workers = this.affectedMachines(fault).flatMap(
+  private hangMachines(fault: PlannedFault): void {
+    const workers = this.affectedMachineIds(fault).flatMap(
       (id) => this.site.workers.worker(id) ?? [],
     );
     for (const worker of workers) worker.isHung = true;
@@ -207,48 +219,48 @@
     });
   }
 
-  private faultMachines(
+  private injectMachineFault(
     fault: PlannedFault,
     begin: Partial<MachineFaults>,
     end: Partial<MachineFaults>,
   ): void {
-    const machines = this.affectedMachines(fault);
+    const machines = this.affectedMachineIds(fault);
     for (const id of machines) this.site.workers.setFaults(id, begin);
     this.after(fault.lasts, () => {
       for (const id of machines) this.site.workers.setFaults(id, end);
     });
   }
 
-  /** Machines are cut off through changes of leaders; each is back for one answer a time. */
-  private cutAtTakeovers(fault: PlannedFault): void {
-    const machines = this.affectedMachines(fault);
+  /** Isolates machines across several takeovers; in each round they get one heartbeat response. */
+  private isolateAtTakeovers(fault: PlannedFault): void {
+    const machines = this.affectedMachineIds(fault);
     for (let i = 0; i < TAKEOVER_ROUNDS.count; i++) {
-      this.after(i * TAKEOVER_ROUNDS.every, () => {
-        for (const id of machines) this.setCutOff(id, true);
-        this.killFor(this.leaderOrNode(fault.node), RESTART_DELAY_MS);
+      this.after(i * TAKEOVER_ROUNDS.intervalMs, () => {
+        for (const id of machines) this.setIsolated(id, true);
+        this.killAndRestart(this.leaderOrNode(fault.node), RESTART_DELAY_MS);
       });
-      this.after(i * TAKEOVER_ROUNDS.every + TAKEOVER_ROUNDS.away, () => {
+      this.after(i * TAKEOVER_ROUNDS.intervalMs + TAKEOVER_ROUNDS.isolatedMs, () => {
         for (const id of machines) this.allowOneResponse(id);
       });
     }
-    this.after(TAKEOVER_ROUNDS.count * TAKEOVER_ROUNDS.every, () => {
-      for (const id of machines) this.setCutOff(id, false);
+    this.after(TAKEOVER_ROUNDS.count * TAKEOVER_ROUNDS.intervalMs, () => {
+      for (const id of machines) this.setIsolated(id, false);
     });
   }
 
-  private setCutOff(id: string, cut: boolean): void {
-    this.site.workers.setFaults(id, { heartbeatsRefused: cut, commandsHeld: cut });
+  private setIsolated(id: string, isolated: boolean): void {
+    this.site.workers.setFaults(id, { heartbeatsRefused: isolated, commandsHeld: isolated });
   }
 
-  /** Until the machine has seen a higher token. */
+  /** Ends the isolation of a machine until it has received a higher fencing token. */
   private allowOneResponse(id: string): void {
     const token = this.site.workers.worker(id)?.fencingToken ?? 0;
-    this.setCutOff(id, false);
-    const look = () => {
+    this.setIsolated(id, false);
+    const poll = () => {
       const worker = this.site.workers.worker(id);
-      if (worker && worker.fencingToken > token) this.setCutOff(id, true);
-      else if (worker) this.after(TOKEN_POLL_INTERVAL_MS, look);
+      if (worker && worker.fencingToken > token) this.setIsolated(id, true);
+      else if (worker) this.after(TOKEN_POLL_INTERVAL_MS, poll);
     };
-    look();
+    poll();
   }
 }
--- a/packages/testing/src/soak/main.ts
+++ b/packages/testing/src/soak/main.ts
@@ -3,12 +3,12 @@
 import { parseArgs } from 'node:util';
 import { parseSeeds } from '../simulation/seeded-random.js';
 import { endWithParent } from './child-guard.js';
-import { playSeed, type SoakResult } from './soak-run.js';
+import { runSeed, type SoakResult } from './soak-run.js';
 
-/** A run with as many machines as controllers have trouble with, for each so many others. */
-const LARGE_RUN_INTERVAL = 10;
+/** Seeds divisible by this run with a fleet so large that it strains the controllers. */
+const LARGE_RUN_SEED_INTERVAL = 10;
 const LARGE_MACHINE_COUNT = 300;
-/** A run whose stand-ins stood still for longer says nothing about the rules. */
+/** A run fails if its stand-ins were blocked for longer: it then says nothing about the rules. */
 const MAX_STALL_MS = 1000;
 
 const { values } = parseArgs({
@@ -24,15 +24,15 @@
 
 const print = (text: string): void => void process.stdout.write(`${text}\n`);
 
-const machinesFor = (seed: number): number =>
-  seed % LARGE_RUN_INTERVAL === 0 ? LARGE_MACHINE_COUNT : Number(values.machines);
+const machineCountFor = (seed: number): number =>
+  seed % LARGE_RUN_SEED_INTERVAL === 0 ? LARGE_MACHINE_COUNT : Number(values.machines);
 
 /**
- * Plays a seed in a process of its own, so that runs do not hold each other up. It ends with this
- * one, which it knows by the IPC channel.
+ * Runs a seed in a child process, so that concurrent runs don't block each other's event loop. The
+ * child exits when its IPC channel to this process closes.
  */
-function playInChild(seed: number): Promise<SoakResult> {
-  const args = ['--one', '--seeds', String(seed), '--machines', String(machinesFor(seed))];
+function runInChild(seed: number): Promise<SoakResult> {
+  const args = ['--one', '--seeds', String(seed), '--machines', String(machineCountFor(seed))];
   const script = process.argv[1] ?? '';
   if (values.log !== undefined) args.push('--log', values.log);
   const child = spawn(process.execPath, [script, ...args, '--seconds', values.seconds], {
@@ -48,14 +48,14 @@
   );
 }
 
-const isFine = (result: SoakResult): boolean =>
+const hasPassed = (result: SoakResult): boolean =>
   result.problems.length === 0 && result.longestStallMs <= MAX_STALL_MS;
 
-function show(result: SoakResult): void {
+function printResult(result: SoakResult): void {
   const { seed, machines, faults, accepted, cancellationsConfirmed, startsChecked } = result;
   const { answersChecked, longestStallMs, tookMs } = result;
   print(
-    `${isFine(result) ? 'ok' : 'not ok'} seed ${seed}: ${machines} machines, ${faults} faults, ` +
+    `${hasPassed(result) ? 'ok' : 'not ok'} seed ${seed}: ${machines} machines, ${faults} faults, ` +
       `${accepted} jobs, ${cancellationsConfirmed} cancellations confirmed, ` +
       `${startsChecked} starts, ${answersChecked} answers, ` +
       `stall ${longestStallMs} ms, ${Math.round(tookMs / 1000)} s`,
@@ -63,19 +63,20 @@
   for (const problem of result.problems) print(`    ${problem}`);
 }
 
-async function playAll(seeds: number[]): Promise<void> {
-  const left = [...seeds];
+async function runAll(seeds: number[]): Promise<void> {
+  const pendingSeeds = [...seeds];
   const results: SoakResult[] = [];
-  const work = async () => {
-    for (let seed = left.shift(); seed !== undefined; seed = left.shift()) {
-      const result = await playInChild(seed);
-      show(result);
+  const runPending = async () => {
+    for (let seed = pendingSeeds.shift(); seed !== undefined; seed = pendingSeeds.shift()) {
+      const result = await runInChild(seed);
+      printResult(result);
       results.push(result);
     }
   };
-  await Promise.all(Array.from({ length: Number(values.jobs) }, work));
-  const sum = (of: (result: SoakResult) => number) => results.reduce((all, r) => all + of(r), 0);
-  const failed = results.filter((result) => !isFine(result)).length;
+  await Promise.all(Array.from({ length: Number(values.jobs) }, runPending));
+  const sum = (valueOf: (result: SoakResult) => number) =>
+    results.reduce((total, r) => total + valueOf(r), 0);
+  const failed = results.filter((result) => !hasPassed(result)).length;
   print(
     `soak: ${sum((r) => r.faults)} faults, ${sum((r) => r.cancellationsConfirmed)} cancellations ` +
       `confirmed, ${sum((r) => r.startsChecked)} starts, ${sum((r) => r.answersChecked)} answers`,
@@ -94,5 +95,5 @@
     faultPeriod: Number(values.seconds) * 1000,
     logFolder: values.log ?? null,
   };
-  print(JSON.stringify(await playSeed(options)));
-} else await playAll(seeds);
+  print(JSON.stringify(await runSeed(options)));
+} else await runAll(seeds);
--- a/packages/testing/src/soak/site-times.ts
+++ b/packages/testing/src/soak/site-times.ts
@@ -1,8 +1,8 @@
-/** Times and sizes of the site that a soak runs, and the settings files of its controllers. */
+/** Times of the site that a soak runs, and the ports and settings files of its controllers. */
 import type { Duration } from '@tealdock/wire';
 import { LOOPBACK } from './loopback.js';
 
-/** Times of a site. */
+/** Timing settings of a site. */
 export interface SiteTimes {
   heartbeatInterval: Duration;
   lease: Duration;
@@ -10,15 +10,15 @@
   leaderLease: Duration;
 }
 
-/** Short times, so that many leases and limits pass within a run. */
-export const TIMES: SiteTimes = {
+/** Short times, so that many leases and cancellation limits expire within a run. */
+export const SOAK_TIMES: SiteTimes = {
   heartbeatInterval: 1000,
   lease: 8000,
   cancellationLimit: 16_000,
   leaderLease: 2000,
 };
 
-/** Times of a deployment. */
+/** Times as in a deployment. */
 export const DEPLOYED_TIMES: SiteTimes = {
   heartbeatInterval: 3000,
   lease: 26_000,
@@ -31,36 +31,37 @@
 /** Name of a controller. */
 export type NodeName = (typeof NODES)[number];
 
-/** Where the controllers of a site live. */
-const ZONE_OF: Record<NodeName, string> = { 'n-0': 'a', 'n-1': 'b', 'n-2': 'a' };
+/** Zone of each controller. */
+const ZONE_BY_NODE: Record<NodeName, string> = { 'n-0': 'a', 'n-1': 'b', 'n-2': 'a' };
 
 /**
- * Controllers listen on ports that are never given out as free ones: a worker's server that
- * took one while its controller is away would answer in its place. The address is the run's own.
+ * Controllers listen on fixed ports, which the system never assigns as free ones. Otherwise a
+ * worker's server could get the port of a controller that is down and answer in its place. Runs
+ * don't conflict, since each has its own address.
  */
 const FIRST_HTTP_PORT = 8080;
 const FIRST_PEER_PORT = 9080;
 
-/** Where a controller listens. */
+/** The ports on which a controller listens. */
 export function listenPortsOf(name: NodeName): Pick<NodePorts, 'http' | 'peer'> {
   const index = NODES.indexOf(name);
   return { http: FIRST_HTTP_PORT + index, peer: FIRST_PEER_PORT + index };
 }
 
-/** Ports of one controller and of what it is told to use. */
+/** Ports of a controller, and of the services and peers in its settings. */
 export interface NodePorts {
   http: number;
   peer: number;
   state: number;
-  /** What it dials to reach each other controller. */
-  links: Map<NodeName, number>;
+  /** Ports to dial for the other controllers; each belongs to a `TcpLink`. */
+  peerLinkPorts: Map<NodeName, number>;
 }
 
-/** The operators' settings file, which all controllers share. */
+/** Text of the operators' settings file, which is the same for all controllers. */
 export const operatorSettings = (times: SiteTimes): string =>
   ['[leadership]', `lease_s = ${times.leaderLease / 1000}`, 'resign_deaf_s = 4', ''].join('\n');
 
-/** The platform's settings file of one controller. */
+/** Text of a controller's platform settings file. */
 export function platformSettings(
   name: NodeName,
   ports: NodePorts,
@@ -68,15 +69,15 @@
   times: SiteTimes,
   limits: { cpus: number; sockets: number },
 ): string {
-  const members = [...ports.links].flatMap(([member, port]) => [
+  const members = [...ports.peerLinkPorts].flatMap(([member, port]) => [
     '[[members]]',
     `member = "${member}"`,
-    `zone = "${ZONE_OF[member]}"`,
+    `zone = "${ZONE_BY_NODE[member]}"`,
     `addr = "${LOOPBACK}:${port}"`,
   ]);
   return [
     `member = "${name}"`,
-    `zone = "${ZONE_OF[name]}"`,
+    `zone = "${ZONE_BY_NODE[name]}"`,
     `public_addr = "${LOOPBACK}:${ports.http}"`,
     `cluster_listen = "${LOOPBACK}:${ports.peer}"`,
     ...members,
--- a/packages/testing/src/soak/stand-in-server.ts
+++ b/packages/testing/src/soak/stand-in-server.ts
@@ -1,25 +1,25 @@
-/** HTTP servers with MessagePack bodies for the stand-ins, on loopback. */
+/** HTTP servers on loopback with MessagePack bodies, through which the stand-ins are reached. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import type { CallResult } from '@tealdock/controller';
 import { packBody, unpackBody } from '@tealdock/wire';
 import { LOOPBACK } from './loopback.js';
 
-/** Handles a request; a result other than an answer leaves the caller without any. */
-export type Handler = (
+/** Handles a request. If `done` gets a result other than an answer, no response is sent. */
+export type RequestHandler = (
   method: string,
   path: string,
   body: unknown,
   done: (result: CallResult) => void,
 ) => void;
 
-/** A server that listens. */
-export interface Listening {
+/** A listening server and its port. */
+export interface StandInServer {
   server: Server;
   port: number;
 }
 
-function receive(handle: Handler, req: IncomingMessage, res: ServerResponse): void {
+function handleRequest(handle: RequestHandler, req: IncomingMessage, res: ServerResponse): void {
   const chunks: Buffer[] = [];
   req.on('data', (chunk: Buffer) => chunks.push(chunk));
   req.on('error', () => res.destroy());
@@ -34,17 +34,17 @@
   });
 }
 
-/** Serves on a free port of the loopback interface. */
-export async function serveStandIn(handle: Handler): Promise<Listening> {
+/** Starts a server on a free port of the run's loopback address. */
+export async function serveStandIn(handle: RequestHandler): Promise<StandInServer> {
   const server = createServer({ noDelay: true, keepAliveTimeout: 0 }, (req, res) =>
-    receive(handle, req, res),
+    handleRequest(handle, req, res),
   );
   await new Promise<void>((resolve) => server.listen(0, LOOPBACK, resolve));
   return { server, port: (server.address() as AddressInfo).port };
 }
 
-/** Ends a stand-in with all its connections. */
-export function closeStandIn({ server }: Listening): void {
+/** Closes a server and all its connections. */
+export function closeStandIn({ server }: StandInServer): void {
   server.closeAllConnections();
   server.close();
 }
--- a/packages/testing/src/soak/tcp-link.ts
+++ b/packages/testing/src/soak/tcp-link.ts
@@ -1,38 +1,39 @@
-/** One direction of dialling between two controllers, which can be held up or reset. */
+/** A TCP proxy for the connections from one controller to another; it can stall or reset them. */
 import { createServer, connect, type AddressInfo, type Server, type Socket } from 'node:net';
 import { LOOPBACK } from './loopback.js';
 
 /**
- * Passes connections on to a port. While it is held, bytes and new connections wait, and go on
- * in order once it is released, as packets do after a cut.
+ * Forwards connections to a port. While the link is stalled, bytes and new connections are
+ * buffered. They are delivered in order once it resumes, as after a network partition.
  */
 export class TcpLink {
   private readonly server: Server;
   private readonly sockets = new Set<Socket>();
-  private waiting: (() => void)[] = [];
-  private held = false;
+  private pendingConnections: (() => void)[] = [];
+  private stalled = false;
 
   constructor(private readonly targetPort: number) {
     this.server = createServer((socket) => this.accept(socket));
   }
 
-  /** The port to dial. */
+  /** Starts listening; returns the port to dial. */
   async listen(): Promise<number> {
     await new Promise<void>((resolve) => this.server.listen(0, LOOPBACK, resolve));
     return (this.server.address() as AddressInfo).port;
   }
 
-  hold(): void {
-    this.held = true;
+  stall(): void {
+    this.stalled = true;
     for (const socket of this.sockets) socket.pause();
   }
 
-  release(): void {
-    this.held = false;
+  resume(): void {
+    this.stalled = false;
     for (const socket of this.sockets) socket.resume();
-    for (const go of this.waiting.splice(0)) go();
+    for (const openConnection of this.pendingConnections.splice(0)) openConnection();
   }
 
+  /** Closes all connections; new ones can be opened. */
   reset(): void {
     for (const socket of this.sockets) socket.destroy();
   }
@@ -45,11 +46,11 @@
   private accept(incoming: Socket): void {
     this.track(incoming);
     incoming.pause();
-    if (this.held) this.waiting.push(() => this.join(incoming));
-    else this.join(incoming);
+    if (this.stalled) this.pendingConnections.push(() => this.openOutgoing(incoming));
+    else this.openOutgoing(incoming);
   }
 
-  private join(incoming: Socket): void {
+  private openOutgoing(incoming: Socket): void {
     if (incoming.destroyed) return;
     const outgoing = this.track(connect(this.targetPort, LOOPBACK));
     this.forward(incoming, outgoing);
--- a/packages/testing/src/soak/worker-host.ts
+++ b/packages/testing/src/soak/worker-host.ts
@@ -1,4 +1,4 @@
-/** Workers of a soak: they send heartbeats over real connections, and are commanded over their own. */
+/** Workers of a soak: fake workers that send heartbeats and receive commands over real sockets. */
 import type { CallResult } from '@tealdock/controller';
 import { HttpClient } from '@tealdock/adapters';
 import type { Duration, Instant, JobSpec } from '@tealdock/wire';
@@ -6,24 +6,24 @@
 import { FakeWorker } from '../fakes/fake-worker.js';
 import type { WireCommands, WorkerHost, WorkerTask } from '../fakes/worker-protocol.js';
 import type { RuleChecker } from '../checker/rule-checker.js';
-import { closeStandIn, serveStandIn, type Listening } from './stand-in-server.js';
+import { closeStandIn, serveStandIn, type StandInServer } from './stand-in-server.js';
 import { NODES, type SiteTimes } from './site-times.js';
 import { LOOPBACK } from './loopback.js';
 
-/** Longer than a worker waits, so that it is the worker that gives up. */
+/** Longer than a worker waits for a response, so that the worker's timeout comes first. */
 const CALL_TIMEOUT_MS: Duration = 8000;
 
-/** What befalls the traffic of one machine. */
+/** Faults of the traffic of one machine. */
 export interface MachineFaults {
-  /** Heartbeats leave, and no answer comes. */
+  /** Heartbeats are sent, but their responses are lost. */
   responsesLost: boolean;
-  /** Heartbeats don't leave. */
+  /** Heartbeats are not sent, and the worker gets no result. */
   heartbeatsLost: boolean;
-  /** No connection for a heartbeat can be opened. */
+  /** Heartbeats fail at once, as if the connection were refused. */
   heartbeatsRefused: boolean;
-  /** Direct commands arrive only after this is over, in order. */
+  /** Direct commands are queued and delivered in order when this fault ends. */
   commandsHeld: boolean;
-  /** What an answer takes beyond the usual. */
+  /** Additional delay of each heartbeat response. */
   responseDelay: Duration;
 }
 
@@ -37,56 +37,56 @@
 
 interface SoakMachine {
   worker: FakeWorker;
-  server: Listening;
+  server: StandInServer;
   client: HttpClient;
   faults: MachineFaults;
   heldCommands: (() => void)[];
 }
 
-const jobOf = (piece: string): string => piece.split('/')[0] ?? '';
+const jobIdOf = (piece: string): string => piece.split('/')[0] ?? '';
 
-/** What the workers of a site share with the rest of it. */
-interface WorkerSite {
+/** The parts of a site that its workers use. */
+interface SoakWorkersOptions {
   now: () => Instant;
   times: SiteTimes;
   checker: RuleChecker;
-  jobs: ReadonlyMap<string, JobSpec>;
-  /** Port of each controller's public address, by the name of the node. */
-  ports: ReadonlyMap<string, number>;
+  jobSpecs: ReadonlyMap<string, JobSpec>;
+  /** Port of each controller's public address, by the controller's name. */
+  httpPorts: ReadonlyMap<string, number>;
 }
 
-/** Carries the heartbeats and commands of all workers, and tells the checker what runs where. */
+/** Carries the heartbeats and commands of all workers, and reports starts and ends of tasks. */
 export class SoakWorkers implements WorkerHost {
   readonly nodeNames = [...NODES];
   readonly heartbeatInterval: Duration;
   readonly leaseDuration: Duration;
-  /** How long heartbeats waited for their answers. */
+  /** Times from heartbeats to their results, which include failed calls. */
   readonly responseTimes: Duration[] = [];
-  /** When the last task of each job left its machine. */
+  /** When a task of each job last ended. */
   readonly lastEndByJob = new Map<string, Instant>();
   private readonly machines = new Map<string, SoakMachine>();
   private readonly starting = new Set<string>();
 
-  constructor(private readonly site: WorkerSite) {
-    this.heartbeatInterval = site.times.heartbeatInterval;
-    this.leaseDuration = site.times.lease;
+  constructor(private readonly options: SoakWorkersOptions) {
+    this.heartbeatInterval = options.times.heartbeatInterval;
+    this.leaseDuration = options.times.lease;
   }
 
   now(): Instant {
-    return this.site.now();
+    return this.options.now();
   }
 
-  get names(): string[] {
+  get machineIds(): string[] {
     return [...this.machines.keys()];
   }
 
-  get running(): number {
+  get runningTaskCount(): number {
     return this.runningTasks().length;
   }
 
-  /** Jobs of which a task runs. */
-  runningJobs(): Set<string> {
-    return new Set(this.runningTasks().map((t) => jobOf(t.piece)));
+  /** Ids of the jobs with a running task. */
+  runningJobIds(): Set<string> {
+    return new Set(this.runningTasks().map((t) => jobIdOf(t.piece)));
   }
 
   private runningTasks(): WorkerTask[] {
@@ -114,8 +114,8 @@
     });
   }
 
-  /** The machine and all on it are gone. */
-  drop(id: string): void {
+  /** Removes a machine, which ends its running tasks. */
+  removeMachine(id: string): void {
     const machine = this.machines.get(id);
     if (!machine) return;
     for (const t of machine.worker.tasks)
@@ -134,7 +134,8 @@
     const machine = this.machines.get(id);
     if (!machine) return;
     Object.assign(machine.faults, faults);
-    if (!machine.faults.commandsHeld) for (const go of machine.heldCommands.splice(0)) go();
+    if (!machine.faults.commandsHeld)
+      for (const execute of machine.heldCommands.splice(0)) execute();
   }
 
   endFaults(): void {
@@ -145,15 +146,15 @@
   }
 
   close(): void {
-    for (const id of this.names) this.drop(id);
+    for (const id of this.machineIds) this.removeMachine(id);
   }
 
   private command(id: string, body: unknown, done: (result: CallResult) => void): void {
     const machine = this.machines.get(id);
     if (!machine) return done({ kind: 'lost' });
-    const carryOut = () => machine.worker.receiveCommands(body as WireCommands, done);
-    if (machine.faults.commandsHeld) machine.heldCommands.push(carryOut);
-    else carryOut();
+    const execute = () => machine.worker.receiveCommands(body as WireCommands, done);
+    if (machine.faults.commandsHeld) machine.heldCommands.push(execute);
+    else execute();
   }
 
   commandAddress(machine: string): string {
@@ -167,7 +168,7 @@
     done: (r: CallResult) => void,
   ): void {
     const machine = this.machines.get(worker.machine.id);
-    const port = this.site.ports.get(node);
+    const port = this.options.httpPorts.get(node);
     if (!machine || port === undefined || machine.faults.heartbeatsLost) return;
     if (machine.faults.heartbeatsRefused) return done({ kind: 'unsent' });
     const sent = this.now();
@@ -186,7 +187,7 @@
   }
 
   runTimeOf(piece: string): number | null {
-    const job = this.site.jobs.get(jobOf(piece));
+    const job = this.options.jobSpecs.get(jobIdOf(piece));
     return job?.estimate ?? null;
   }
 
@@ -199,11 +200,11 @@
   }
 
   noteStart(piece: string, machine: string): void {
-    this.site.checker.noteStart(piece, machine);
+    this.options.checker.noteStart(piece, machine);
   }
 
   noteEnd(piece: string, machine: string, reason: string): void {
-    this.lastEndByJob.set(jobOf(piece), this.now());
-    this.site.checker.noteEnd(piece, machine, reason);
+    this.lastEndByJob.set(jobIdOf(piece), this.now());
+    this.options.checker.noteEnd(piece, machine, reason);
   }
 }
