--- a/packages/testing/src/fakes/fake-cloud.ts
+++ b/packages/testing/src/fakes/fake-cloud.ts
@@ -1,19 +1,20 @@
-/** The cloud in memory. */
+/** In-memory stand-in for the cloud service. */
 import type { CallResult } from '@tealdock/controller';
 
-/** A rented machine, from the request on. */
+/** A machine of the cloud, owned or rented, booting or running; times in ms. */
 export interface CloudMachine {
   id: string;
   type: string;
   zone: string;
   spot: boolean;
   requestedAt: number;
+  /** When its boot is complete. */
   readyAt: number;
 }
 
 const answer = (status: number, body: unknown): CallResult => ({ kind: 'answer', status, body });
 
-/** The one machine type of the cloud, in the protocol's form. */
+/** The only machine type in the catalog, with the field names of the cloud's interface. */
 export const MACHINE_TYPE = {
   label: 'small',
   cpus: 4,
@@ -27,22 +28,29 @@
   halls: ['a', 'b'],
 };
 
-/** The cloud in memory: one machine type, a capacity, and outages on demand. */
+/** Serves the cloud's interface for one machine type; rents machines until `capacity` exist. */
 export class FakeCloud {
+  /** Machines that exist now, owned and rented, by id. */
   readonly machines = new Map<string, CloudMachine>();
+  /** Ids of all machines that were ever rented, in the order of their rental. */
   readonly rentedIds: string[] = [];
+  /** Rental requests received, including repeated and refused ones. */
   rentalRequestCount = 0;
+  /** During an outage every request is answered with 503. */
   down = false;
+  /** Machine ids by idempotency key, so that a repeated request rents nothing more. */
   private readonly hostsByRental = new Map<string, string[]>();
   private lastNumber = 0;
 
   constructor(
     private readonly now: () => number,
     private readonly capacity: number,
-    private readonly onGone: (id: string) => void,
+    /** Called for each machine that is returned or reclaimed. */
+    private readonly onMachineRemoved: (id: string) => void,
   ) {}
 
-  add(zone: string, spot = false, boot = 0): CloudMachine {
+  /** Adds a machine, also beyond the capacity; it is ready after `bootTime` ms. */
+  add(zone: string, spot = false, bootTime = 0): CloudMachine {
     const id = `m-${String(++this.lastNumber).padStart(6, '0')}`;
     const machine = {
       id,
@@ -50,16 +58,18 @@
       zone,
       spot,
       requestedAt: this.now(),
-      readyAt: this.now() + boot,
+      readyAt: this.now() + bootTime,
     };
     this.machines.set(id, machine);
     return machine;
   }
 
+  /** Removes a machine, because it is returned or because the cloud reclaims it. */
   take(id: string): void {
-    if (this.machines.delete(id)) this.onGone(id);
+    if (this.machines.delete(id)) this.onMachineRemoved(id);
   }
 
+  /** Answers a request of a controller. */
   handle(path: string, body: unknown): CallResult {
     if (this.down) return answer(503, { error: 'trouble' });
     if (path === '/catalog') return answer(200, { flavours: [MACHINE_TYPE] });
@@ -67,13 +77,14 @@
       for (const id of (body as { hosts: string[] }).hosts) this.take(id);
       return answer(200, {});
     }
-    return path === '/machines' ? this.rent(body as Rental) : this.list(path);
+    return path === '/machines' ? this.rent(body as RentalRequest) : this.list(path);
   }
 
-  private rent(r: Rental): CallResult {
+  /** Rents as many machines as the capacity allows, or answers 503 if it allows none. */
+  private rent(r: RentalRequest): CallResult {
     this.rentalRequestCount++;
-    const known = this.hostsByRental.get(r.rental);
-    if (known) return answer(200, { hosts: known });
+    const rented = this.hostsByRental.get(r.rental);
+    if (rented) return answer(200, { hosts: rented });
     const freeCount = this.capacity - this.machines.size;
     if (freeCount <= 0) return answer(503, { error: 'no capacity' });
     const hosts: string[] = [];
@@ -102,7 +113,8 @@
   }
 }
 
-interface Rental {
+interface RentalRequest {
+  /** Idempotency key. */
   rental: string;
   hall: string;
   spare: boolean;
--- a/packages/testing/src/fakes/fake-worker.ts
+++ b/packages/testing/src/fakes/fake-worker.ts
@@ -1,4 +1,4 @@
-/** A worker in memory. */
+/** In-memory stand-in for a worker. */
 import type { CallResult } from '@tealdock/controller';
 import type { CloudMachine } from './fake-cloud.js';
 import type {
@@ -9,31 +9,43 @@
   WorkerTask,
 } from './worker-protocol.js';
 
-/** A worker gives a response up after this time, and turns to the next node. */
+/** Without a response within this time, a worker sends its heartbeats to the next node. */
 const RESPONSE_TIMEOUT_MS = 4000;
 
 /**
- * A worker as the protocol describes it: one heartbeat in flight, fencing tokens, agent epochs and
- * its lease.
+ * A worker that follows the protocol: it has one heartbeat in flight at a time, rejects commands
+ * with an outdated fencing token or of another agent epoch, and ends all its tasks when its lease
+ * expires.
  */
 export class FakeWorker {
   tasks: WorkerTask[] = [];
+  /** Increases with each reboot and each expiry of the lease. */
   agentEpoch = 1;
+  /** Number of the last heartbeat or state response. */
   sequenceNumber = 0;
+  /** The largest fencing token received. */
   fencingToken = 0;
+  /** Preemption notice of the cloud: seconds until the machine is reclaimed; null without one. */
   reclaimWarningSeconds: number | null = null;
+  /** The machine has been terminated: it sends no heartbeats and ignores responses. */
   isGone = false;
-  /** Nothing runs and nothing is heard; commands wait, as a machine's sockets hold them. */
+  /**
+   * The machine makes no progress and sends nothing; received commands are buffered, as in its
+   * sockets, and responses to heartbeats are lost.
+   */
   isHung = false;
   private readonly pendingCommands: (() => void)[] = [];
+  /** The node to which heartbeats are sent, as an index into `nodeNames`. */
   private nodeIndex = 0;
   private nextHeartbeatAt = 0;
+  /** Start of the lease: when the last accepted heartbeat was sent, or when the epoch started. */
   private leaseRenewedAt: number;
   private inFlight: { sentAt: number; agentEpoch: number; id: number } | null = null;
   private lastHeartbeatId = 0;
+  /** Whether a change must still be reported by a heartbeat. */
   private hasUnsentChange = false;
   private readonly cachedImages = new Set<string>();
-  /** GB that have come of images that tasks wait for. */
+  /** GB fetched so far of each image that a task waits for. */
   private readonly fetchedGb = new Map<string, number>();
   private lastTickAt: number;
 
@@ -48,7 +60,7 @@
   tick(): void {
     if (this.isGone) return;
     const now = this.host.now();
-    // A hanging machine may go on within its lease only, so its end counts at once.
+    // The lease also expires while the machine hangs: its tasks may not resume afterwards.
     if (now - this.leaseRenewedAt > this.host.leaseDuration) this.startNewEpoch(now);
     const elapsed = now - this.lastTickAt;
     this.lastTickAt = now;
@@ -60,11 +72,12 @@
     if (!this.inFlight && now >= this.nextHeartbeatAt) this.sendHeartbeat(now);
   }
 
+  /** Running tasks make no progress while the machine hangs. */
   private postponeEnds(elapsed: number): void {
     for (const t of this.tasks) if (t.status === 'running') t.endsAt += elapsed;
   }
 
-  /** `POST /commands`; a machine that hangs carries it out when it goes on. */
+  /** Handles `POST /commands` in the next tick in which the machine does not hang. */
   receiveCommands(body: WireCommands, done: (r: CallResult) => void): void {
     this.pendingCommands.push(() => done(this.executeCommands(body)));
   }
@@ -78,6 +91,7 @@
     return this.stateResponse(200);
   }
 
+  /** A response with the same body as a heartbeat. */
   private stateResponse(status: number): CallResult {
     return { kind: 'answer', status, body: this.heartbeatBody() };
   }
@@ -85,17 +99,17 @@
   private finishTasks(now: number): void {
     for (const t of this.tasks) {
       if (t.status !== 'running' || t.endsAt > now) continue;
-      this.exit(t, this.host.taskFails(t.piece, this.machine.id) ? 'error' : 'done');
+      this.endTask(t, this.host.taskFails(t.piece, this.machine.id) ? 'error' : 'done');
     }
   }
 
-  /** Its cache is emptied, which no heartbeat says. */
+  /** Empties the image cache, which heartbeats do not report. */
   dropImages(): void {
     this.cachedImages.clear();
     this.fetchedGb.clear();
   }
 
-  /** Images that tasks wait for at present. */
+  /** Names of the images that tasks are waiting for. */
   imagesBeingFetched(): string[] {
     const names = this.tasks
       .filter((t) => t.status === 'pulling')
@@ -104,17 +118,18 @@
   }
 
   private advanceFetches(seconds: number): void {
-    const wanted = this.imagesBeingFetched();
+    const pending = this.imagesBeingFetched();
     for (const name of this.fetchedGb.keys())
-      if (!wanted.includes(name)) this.fetchedGb.delete(name);
+      if (!pending.includes(name)) this.fetchedGb.delete(name);
     for (const t of this.tasks) {
       const image = t.status === 'pulling' ? this.host.imageOf(t.piece) : null;
-      if (!image || !wanted.includes(image.name)) continue;
-      wanted.splice(wanted.indexOf(image.name), 1);
-      const part = image.shared ? 1 / this.imagesBeingFetched().length : 1;
-      const came = (this.fetchedGb.get(image.name) ?? 0) + seconds * image.gbPerS * part;
-      this.fetchedGb.set(image.name, came);
-      if (came >= image.gb) this.cachedImages.add(image.name);
+      if (!image || !pending.includes(image.name)) continue;
+      pending.splice(pending.indexOf(image.name), 1);
+      const bandwidthShare = image.shared ? 1 / this.imagesBeingFetched().length : 1;
+      const fetchedGb =
+        (this.fetchedGb.get(image.name) ?? 0) + seconds * image.gbPerS * bandwidthShare;
+      this.fetchedGb.set(image.name, fetchedGb);
+      if (fetchedGb >= image.gb) this.cachedImages.add(image.name);
     }
     for (const t of this.tasks) if (t.status === 'pulling') this.runIfFetched(t);
   }
@@ -128,24 +143,26 @@
     this.scheduleHeartbeatSoon();
   }
 
-  private exit(t: WorkerTask, reason: string): void {
+  private endTask(t: WorkerTask, reason: string): void {
     t.status = 'exited';
     t.reason = reason;
     this.scheduleHeartbeatSoon();
     this.host.noteEnd(t.piece, this.machine.id, reason);
   }
 
+  /** Reports a change within 500 ms, unless a heartbeat is in flight. */
   private scheduleHeartbeatSoon(): void {
     this.hasUnsentChange = true;
     this.nextHeartbeatAt = Math.min(this.nextHeartbeatAt, this.host.now() + 500);
   }
 
-  /** The machine goes down and is back at once: its tasks are gone, its agent epoch advances. */
+  /** Restarts the machine without downtime: its tasks are lost and its agent epoch advances. */
   reboot(): void {
     this.inFlight = null;
     this.startNewEpoch(this.host.now());
   }
 
+  /** Ends all tasks, forgets those that have exited, and advances the agent epoch. */
   private startNewEpoch(now: number): void {
     for (const t of this.tasks) {
       if (t.status === 'running') this.host.noteEnd(t.piece, this.machine.id, 'lease');
@@ -199,27 +216,29 @@
     };
   }
 
+  /** Follows a 421 to the node that it names; tries the next node after any other failure. */
   private handleResponse(r: CallResult): void {
-    const flight = this.inFlight!;
+    const heartbeat = this.inFlight!;
     this.inFlight = null;
     const body = r.kind === 'answer' ? (r.body as WireHeartbeatResponse) : {};
-    if (r.kind === 'answer' && r.status === 200) return this.applyResponse(flight, body);
-    const named = r.kind === 'answer' && r.status === 421 ? body.upstream : undefined;
-    const at = named === undefined ? -1 : this.host.nodeNames.indexOf(named);
-    if (at < 0 || at === this.nodeIndex) return this.tryNextNode();
-    this.switchToNode(at);
+    if (r.kind === 'answer' && r.status === 200) return this.applyResponse(heartbeat, body);
+    const redirect = r.kind === 'answer' && r.status === 421 ? body.upstream : undefined;
+    const target = redirect === undefined ? -1 : this.host.nodeNames.indexOf(redirect);
+    if (target < 0 || target === this.nodeIndex) return this.tryNextNode();
+    this.switchToNode(target);
     this.nextHeartbeatAt = this.host.now();
   }
 
+  /** Ignores a response with an outdated fencing token or to a heartbeat of an earlier epoch. */
   private applyResponse(
-    flight: { sentAt: number; agentEpoch: number },
+    heartbeat: { sentAt: number; agentEpoch: number },
     body: WireHeartbeatResponse,
   ): void {
     const fence = body.fence ?? -1;
-    if (fence < this.fencingToken || flight.agentEpoch !== this.agentEpoch) return;
+    if (fence < this.fencingToken || heartbeat.agentEpoch !== this.agentEpoch) return;
     if (fence > this.fencingToken) this.scheduleHeartbeatSoon();
     this.fencingToken = fence;
-    this.leaseRenewedAt = flight.sentAt;
+    this.leaseRenewedAt = heartbeat.sentAt;
     for (const order of body.orders ?? []) this.execute(order);
     if (this.hasUnsentChange) this.scheduleHeartbeatSoon();
   }
@@ -229,7 +248,7 @@
     if (order.verb === 'forget') {
       if (known?.status === 'exited') this.tasks = this.tasks.filter((t) => t !== known);
     } else if (order.verb === 'kill') {
-      if (known && known.status !== 'exited') this.exit(known, 'stopped');
+      if (known && known.status !== 'exited') this.endTask(known, 'stopped');
     } else if (!known) this.startTask(order);
   }
 
@@ -241,16 +260,16 @@
       endsAt: 0,
     };
     this.tasks.push(task);
-    const busy = this.tasks.some(
+    const hasOtherAttempt = this.tasks.some(
       (t) => t !== task && t.piece === order.piece && t.status !== 'exited',
     );
-    if (this.host.runTimeOf(order.piece) === null) return this.refuse(task, 'no_such');
-    if (busy) return this.refuse(task, 'in_use');
+    if (this.host.runTimeOf(order.piece) === null) return this.rejectTask(task, 'no_such');
+    if (hasOtherAttempt) return this.rejectTask(task, 'in_use');
     this.scheduleHeartbeatSoon();
     this.runIfFetched(task);
   }
 
-  private refuse(task: WorkerTask, reason: string): void {
+  private rejectTask(task: WorkerTask, reason: string): void {
     task.status = 'exited';
     task.reason = reason;
     this.scheduleHeartbeatSoon();
--- a/packages/testing/src/fakes/worker-protocol.ts
+++ b/packages/testing/src/fakes/worker-protocol.ts
@@ -1,31 +1,33 @@
-/** What passes between a fake worker and its surroundings. */
+/** Messages between a fake worker and the controllers, and the environment it needs. */
 import type { CallResult } from '@tealdock/controller';
 import type { FakeWorker } from './fake-worker.js';
 
-/** A task on a worker, as its heartbeats show it. */
+/** A task attempt on a worker, with the field names of its heartbeats. */
 export interface WorkerTask {
   piece: string;
   try_no: number;
   status: 'pulling' | 'running' | 'exited';
+  /** Why it has exited. */
   reason?: string;
+  /** When it is done, in ms; 0 until it runs. */
   endsAt: number;
 }
 
-/** One command of a controller to a worker. */
+/** A controller's command about one task attempt. */
 export interface WireCommand {
   verb: 'start' | 'kill' | 'forget';
   piece: string;
   try_no: number;
 }
 
-/** What a controller sends to a worker's own address. */
+/** Body of `POST /commands`, which a controller sends directly to a worker. */
 export interface WireCommands {
   fence?: number;
   shift?: number;
   orders?: WireCommand[];
 }
 
-/** A controller's response to a heartbeat. */
+/** Body of the response to a heartbeat; `upstream` is the node to which a 421 redirects. */
 export interface WireHeartbeatResponse {
   fence?: number;
   orders?: WireCommand[];
@@ -36,37 +38,37 @@
 export interface TaskImage {
   name: string;
   gb: number;
-  /** What is fetched of it in a second. */
+  /** Fetch rate of the machine in GB per second. */
   gbPerS: number;
-  /** Whether fetches at the same time share that rate. */
+  /** Whether concurrent fetches share that rate. */
   shared: boolean;
 }
 
-/** What the simulated cluster does for a worker: carries its heartbeats and knows the jobs. */
+/** A fake worker's environment: it delivers heartbeats, knows the jobs and records task events. */
 export interface WorkerHost {
   now(): number;
   nodeNames: string[];
   heartbeatInterval: number;
   leaseDuration: number;
-  /** Where direct commands to a machine go. */
+  /** Address for direct commands to a machine. */
   commandAddress(machine: string): string;
-  /** How long a task runs; null if no such task is known. */
+  /** Run time of a task in ms; null if the task is unknown. */
   runTimeOf(piece: string): number | null;
-  /** The image that a task needs; null if it is on the machine. */
+  /** The image that a task must fetch; null if it need not fetch any. */
   imageOf(piece: string): TaskImage | null;
-  /** Whether a task fails on a machine, in place of being done. */
+  /** Whether a task ends with an error on a machine. */
   taskFails(piece: string, machine: string): boolean;
-  /** The worker closes its connection to a node. */
+  /** Closes the worker's connection to a node. */
   closeConnection(worker: FakeWorker, node: string): void;
-  /** `done` is not called where no response comes. */
+  /** Sends a heartbeat; `done` is not called if the heartbeat or its response is lost. */
   sendHeartbeat(
     worker: FakeWorker,
     node: string,
     body: unknown,
     done: (r: CallResult) => void,
   ): void;
-  /** A task has started to run. */
+  /** Records that a task has started to run. */
   noteStart(piece: string, machine: string): void;
-  /** A task that ran has ended. */
+  /** Records that a task has ended. */
   noteEnd(piece: string, machine: string, reason: string): void;
 }
--- a/packages/testing/src/simulation/simulated-users.ts
+++ b/packages/testing/src/simulation/simulated-users.ts
@@ -57,12 +57,12 @@
     const answered = this.checker.beginRequest(jobId);
     const { sockets } = this.processes.running.get(node) ?? {};
     const connection = sockets?.request(`user of ${jobId}`, 'user');
-    if (connection === 'turned away') {
+    if (connection === 'rejected') {
       return done?.({ status: 503, body: {}, retryAfter: RETRY_AFTER_MS });
     }
     const request = { method, path, body: packBody(body), via: 'public' as const };
     this.processes.request(node, request, (reply) => {
-      connection?.answered();
+      connection?.markAnswered();
       if (reply) answered(reply.status, reply.body);
       done?.(reply);
     });
--- a/packages/testing/src/simulation/worker-fleet.ts
+++ b/packages/testing/src/simulation/worker-fleet.ts
@@ -109,9 +109,9 @@
       );
     clock.after(latency, () => {
       const connection = processes.running.get(node)?.sockets.request(id, 'worker');
-      if (connection === 'turned away') return respond({ status: 503, body: {} });
+      if (connection === 'rejected') return respond({ status: 503, body: {} });
       this.post(node, packBody(body), (reply) => {
-        connection?.answered();
+        connection?.markAnswered();
         if (reply && !network.isCut(node, id)) respond(reply);
       });
     });
@@ -119,7 +119,7 @@
 
   /** The worker closes its connection to a node; a machine that dies closes nothing. */
   closeConnection(worker: FakeWorker, node: string): void {
-    this.context.processes.running.get(node)?.sockets.hangUp(worker.machine.id);
+    this.context.processes.running.get(node)?.sockets.closeConnectionOf(worker.machine.id);
   }
 
   runTimeOf(piece: string): Duration | null {
