--- a/packages/testing/src/simulation/cluster-options.ts
+++ b/packages/testing/src/simulation/cluster-options.ts
@@ -1,67 +1,78 @@
-/** What a simulated cluster is made of: nodes, settings and times. */
+/** Options of a simulated cluster, and the settings of its nodes. */
 import type { Duration, Settings } from '@tealdock/wire';
 import type { WireObserver } from '../wire-trace/wire-trace.js';
 import type { StateLimits } from '../fakes/fake-state.js';
 
 const DEFAULT_MAX_VALUE_BYTES = 4096;
 const DEFAULT_TRANSACTION_WRITE_LIMIT = 8;
-/** CPUs that a team may use where a test names no limit. */
+/** CPU limit of each team if a test sets none. */
 export const DEFAULT_CPU_LIMIT = 100;
 
 /** Names of the controllers. */
 export const NODES = ['n-0', 'n-1', 'n-2'];
 
-/** What a simulated cluster is made of. */
+/** Options of a simulated cluster; each has a default. */
 export interface ClusterOptions {
   seed?: number;
+  /** Number of machines from which on the cloud refuses to rent more. */
   capacity?: number;
+  /** CPU limit of each of the two teams, `team` and `other`. */
   cpuLimit?: number;
-  /** Guarantee of each of two teams, `team` and `other`. */
+  /** CPUs guaranteed to each of the two teams. */
   guarantee?: number;
-  /** Changes that one transaction may hold. */
+  /** Largest number of writes in one transaction of the state service. */
   maxTransactionWrites?: number;
+  /** Run time of every task in ms; the estimate of its job by default. */
   runTime?: number;
-  /** Run times of single tasks, in place of `runTime`. */
+  /** Run time of a task in ms, which overrides `runTime`; undefined does not override it. */
   runTimeOf?: (piece: string) => number | undefined;
-  /** A task that fails wherever it runs, or on one machine. */
+  /** Whether a task fails on a machine. */
   fails?: (piece: string, machine: string) => boolean;
-  /** GB a second of a machine's image fetches, and whether those at the same time share it. */
+  /**
+   * Rate of a machine's image fetches, and whether concurrent fetches share it; without this option
+   * tasks start without fetching their images.
+   */
   fetches?: { gbPerS: number; shared: boolean };
-  /** Sockets of a process, and what the state service serves a second; enforced if named. */
+  /** Sockets per process, and rate limits of the state service; enforced only if set. */
   limits?: { sockets: number; requestsPerSecond: number; writesPerSecond: number };
+  /** Size of the largest value that the state service accepts. */
   maxValueBytes?: number;
-  /** What the limits of the state service will be lowered to. */
+  /** Lower limits of the state service to come; the nodes' settings respect them beforehand. */
   announcedLimits?: StateLimits;
-  /** What the controllers take for the workers' lease; a wrong one breaks a guard on purpose. */
+  /**
+   * Worker lease in the controllers' settings, if it differs from the workers' own. A shorter one
+   * breaks a safety guard on purpose.
+   */
   believedLease?: number;
   times?: DeploymentTimes;
-  /** Sees everything that crosses the boundary of the nodes. */
+  /** Notified of everything that crosses the boundary of the nodes. */
   observer?: WireObserver;
 }
 
-/** Times of a deployment. */
+/** Intervals and leases of a deployment. */
 export interface DeploymentTimes {
   heartbeatInterval: Duration;
   /** A worker's lease. */
   lease: Duration;
+  /** How long a task may still run after the cancellation of its job was confirmed. */
   cancellationLimit: Duration;
   leaderLease: Duration;
 }
 
-/** Times where a test names none. */
-export const USUAL_TIMES: DeploymentTimes = {
+/** Times if a test sets none. */
+export const DEFAULT_TIMES: DeploymentTimes = {
   heartbeatInterval: 3000,
   lease: 20_000,
   cancellationLimit: 45_000,
   leaderLease: 10_000,
 };
 
-/** A node's settings, as a platform would hand them over. */
+/** A node's platform settings with default limits of the state service. */
 export function settingsFor(
   member: string,
   cpuLimit: number,
   guarantee = 0,
-  times = USUAL_TIMES,
+  times = DEFAULT_TIMES,
 ): Settings {
   const peers = NODES.filter((n) => n !== member).map((n) => ({ member: n, address: `${n}:1` }));
   return {
@@ -96,7 +107,7 @@
   };
 }
 
-/** The limits of the state service that hold, or the lower of these and announced ones. */
+/** Size limits of the state service; with announced limits, the lower of both. */
 export function stateLimits(options: ClusterOptions, announced?: StateLimits): StateLimits {
   const {
     maxValueBytes = DEFAULT_MAX_VALUE_BYTES,
@@ -111,13 +122,13 @@
   };
 }
 
-/** Settings of a node of a cluster with these options, under these limits of the state service. */
+/** Platform settings of a node of a cluster with these options and state service limits. */
 export function clusterSettings(
   member: string,
   options: ClusterOptions,
   limits: StateLimits,
 ): Settings {
-  const { cpuLimit = DEFAULT_CPU_LIMIT, guarantee, believedLease, times = USUAL_TIMES } = options;
+  const { cpuLimit = DEFAULT_CPU_LIMIT, guarantee, believedLease, times = DEFAULT_TIMES } = options;
   const settings = settingsFor(member, cpuLimit, guarantee, times);
   settings.workerLeaseDuration = believedLease ?? times.lease;
   settings.maxConnections = options.limits?.sockets ?? settings.maxConnections;
--- a/packages/testing/src/simulation/controller-process.ts
+++ b/packages/testing/src/simulation/controller-process.ts
@@ -1,4 +1,4 @@
-/** One process incarnation of a controller in a simulated cluster. */
+/** One incarnation of a controller process in a simulated cluster. */
 import { parseOperatorSettings, type Settings } from '@tealdock/wire';
 import {
   Controller,
@@ -14,29 +14,30 @@
 import { FakeSockets } from '../fakes/fake-sockets.js';
 import type { SimulatedClock } from './simulated-clock.js';
 
-/** What a process is started with. */
+/** Settings and environment of a process. */
 export interface ProcessOptions {
   settings: Settings;
   /** Text of the operators' settings file. */
   operatorSettings: string;
-  /** Whether calls wait for their share of the state service's limits. */
+  /** Whether calls are subject to the node's share of the rate limits. */
   hasRateLimits: boolean;
   clock: SimulatedClock;
   random: Random;
   log: Log;
 }
 
-/** A controller with its queue and its sockets. Restarting a node makes a new one of these. */
+/** A controller with its command queue and sockets; each restart of a node creates a new one. */
 export class ControllerProcess {
-  /** A hung process takes no turn; what arrives waits. */
+  /** A hung process handles no commands; they stay in its queue. */
   isHung = false;
   readonly name: string;
   readonly sockets: FakeSockets;
-  /** Null where the limits of the state service are not enforced. */
+  /** Null if rate limits are not enforced. */
   readonly rateLimiter: CallRateLimiter | null;
   private readonly controller: Controller;
   private readonly clock: SimulatedClock;
   private readonly queue = new CommandQueue();
+  /** Callbacks for the replies, by request id. */
   private readonly pendingReplies = new Map<number, (reply: Reply) => void>();
   private lastRequestId = 0;
 
@@ -59,24 +60,28 @@
       : null;
   }
 
+  /** Queues a command. */
   push(command: Command): void {
     this.queue.push(command);
   }
 
-  /** Processes what has arrived; returns what the controller wants done. */
-  takeTurn(): Effect[] {
+  /** Processes queued commands; returns the effects that the controller asks for. */
+  processBatch(): Effect[] {
     if (this.isHung) return [];
     return this.controller.process(this.queue.nextBatch(), this.clock.now(), this.clock.date());
   }
 
-  /** Numbers a request and keeps who waits for its reply; the caller pushes it. */
-  register(request: Omit<HttpRequest, 'kind' | 'id'>, done: (reply: Reply) => void): HttpRequest {
+  /** Assigns an id to a request and registers the callback for its reply; the caller pushes it. */
+  registerRequest(
+    request: Omit<HttpRequest, 'kind' | 'id'>,
+    done: (reply: Reply) => void,
+  ): HttpRequest {
     const id = ++this.lastRequestId;
     this.pendingReplies.set(id, done);
     return { kind: 'request', id, ...request };
   }
 
-  /** Hands a reply to whoever waits for it; one that has expired becomes a 503. */
+  /** Delivers a reply to its requester; one whose `validUntil` has passed becomes a 503. */
   respond(id: number, reply: Reply): void {
     const done = this.pendingReplies.get(id);
     this.pendingReplies.delete(id);
--- a/packages/testing/src/simulation/controller-processes.ts
+++ b/packages/testing/src/simulation/controller-processes.ts
@@ -1,4 +1,4 @@
-/** The controllers of a simulated cluster, and what crosses between them. */
+/** The controllers of a simulated cluster, and the messages between them. */
 import type { LeaderBroadcast, PeerMessage } from '@tealdock/wire';
 import type {
   Call,
@@ -12,7 +12,7 @@
 } from '@tealdock/controller';
 import type { StateLimits } from '../fakes/fake-state.js';
 import {
-  USUAL_TIMES,
+  DEFAULT_TIMES,
   clusterSettings,
   stateLimits,
   type ClusterOptions,
@@ -21,15 +21,15 @@
 import type { SimulatedClock } from './simulated-clock.js';
 import type { SimulatedNetwork } from './simulated-network.js';
 
-/** One way between two parties of the cluster takes so long. */
+/** One-way latency between any two parties of the cluster. */
 export const ONE_WAY_LATENCY_MS = 5;
 
-/** Carries a node's call out; the result takes its way back afterwards. */
+/** Delivers a node's call to its target. Neither way includes the latency; the caller adds it. */
 type CallRouter = (from: string, call: Call, done: (result: CallResult) => void) => void;
 
-/** What the controllers run in. */
+/** Options and environment of the controllers. */
 export interface ProcessesOptions {
-  /** Read at each start of a process, so that a test may change them. */
+  /** Read at each start of a process, so that a test can change them at run time. */
   options: ClusterOptions;
   clock: SimulatedClock;
   network: SimulatedNetwork;
@@ -39,16 +39,16 @@
   route: CallRouter;
 }
 
-/** Starts and ends the processes of controllers, runs their turns and carries out their effects. */
+/** Starts and ends the processes of controllers, runs them and executes their effects. */
 export class ControllerProcesses {
-  /** The process of each node that runs. */
+  /** The process of each running node. */
   readonly running = new Map<string, ControllerProcess>();
-  /** Nodes that run as the version before job chains does, as far as others can see. */
+  /** Nodes whose observable behaviour is that of the version before job chains. */
   private readonly olderVersions = new Set<string>();
 
   constructor(private readonly context: ProcessesOptions) {}
 
-  /** Starts a node; it knows of limits that the state service will have. */
+  /** Starts a node; its settings respect the announced limits of the state service. */
   boot(name: string): void {
     this.olderVersions.delete(name);
     const { options } = this.context;
@@ -56,8 +56,8 @@
   }
 
   /**
-   * Starts a node as the version before job chains: it knows nothing of limits to come and
-   * does not write when a job ended. Users ask it for nothing that is new.
+   * Starts a node as the version before job chains: its settings ignore announced limits, and it
+   * stores no end times of jobs. Scenarios must not send it requests that use newer features.
    */
   bootOlderVersion(name: string): void {
     this.olderVersions.add(name);
@@ -68,26 +68,26 @@
     return this.olderVersions.has(name);
   }
 
-  /** Ends a process at once. */
+  /** Ends a process immediately. */
   crash(name: string): void {
     this.running.delete(name);
   }
 
-  /** A process that hangs takes no turn until it is called with `false`. */
+  /** Suspends a node's process, or resumes it if `isHung` is false. */
   hang(name: string, isHung: boolean): void {
     const process = this.running.get(name);
     if (process) process.isHung = isHung;
   }
 
-  /** Every process closes idle connections and takes a turn. */
-  takeTurns(): void {
+  /** Lets every process close idle connections and process its queued commands. */
+  processBatches(): void {
     for (const process of this.running.values()) {
       process.sockets.tick();
-      for (const effect of process.takeTurn()) this.carryOut(process, effect);
+      for (const effect of process.processBatch()) this.executeEffect(process, effect);
     }
   }
 
-  /** A request to a node; null is the answer of one that does not run. */
+  /** Sends a request to a node; the reply is null if the node does not run. */
   request(
     name: string,
     request: Omit<HttpRequest, 'kind' | 'id'>,
@@ -95,23 +95,23 @@
   ): void {
     const process = this.running.get(name);
     if (!process) return done(null);
-    const registered = process.register(request, done);
+    const registered = process.registerRequest(request, done);
     this.context.options.observer?.request(this.context.clock.now(), name, registered);
     this.push(process, registered);
   }
 
-  /** A connection from one node to another is refused. */
+  /** Notifies node `from` that node `to` has refused its connection. */
   refuseConnection(from: string, to: string): void {
     const process = this.running.get(from);
     if (process) this.push(process, { kind: 'peer_refused', member: to });
   }
 
-  /** The most sockets that a living process has held, its own calls included. */
+  /** The largest number of sockets that a running process has used, including its own calls. */
   maxSocketCount(): number {
     return Math.max(...[...this.running.values()].map(({ sockets }) => sockets.maxCount));
   }
 
-  /** Requests that found no socket at the living processes. */
+  /** Requests that the running processes have rejected for lack of a socket. */
   turnedAwayCount(): number {
     return [...this.running.values()].reduce(
       (sum, { sockets }) => sum + sockets.turnedAwayCount,
@@ -121,7 +121,7 @@
 
   private start(name: string, limits: StateLimits): void {
     const { options, clock, random, logOf } = this.context;
-    const { leaderLease } = options.times ?? USUAL_TIMES;
+    const { leaderLease } = options.times ?? DEFAULT_TIMES;
     const process = new ControllerProcess({
       settings: clusterSettings(name, options, limits),
       operatorSettings: `[leadership]\nlease_s = ${leaderLease / 1000}\n`,
@@ -133,12 +133,12 @@
     this.running.set(name, process);
   }
 
-  /** What arrives for a process that has ended reaches no later one of its node. */
+  /** Drops a command for a process that has ended, even if its node has been restarted since. */
   private push(process: ControllerProcess, command: Command): void {
     if (this.running.get(process.name) === process) process.push(command);
   }
 
-  private carryOut(process: ControllerProcess, effect: Effect): void {
+  private executeEffect(process: ControllerProcess, effect: Effect): void {
     if (effect.kind === 'reply') this.reply(process, effect.id, effect.reply);
     else if (effect.kind === 'heartbeat') this.sendHeartbeats(process, effect);
     else if (effect.kind === 'broadcast') this.broadcast(process, effect.message);
@@ -151,13 +151,13 @@
     const { options, clock, route } = this.context;
     options.observer?.call(clock.now(), process.name, id, call);
     const done = (result: CallResult) =>
-      clock.after(ONE_WAY_LATENCY_MS, () => this.returnResult(process, id, result));
+      clock.after(ONE_WAY_LATENCY_MS, () => this.deliverResult(process, id, result));
     const send = () => clock.after(ONE_WAY_LATENCY_MS, () => route(process.name, call, done));
     if (process.rateLimiter) process.rateLimiter.submit(call, send, () => done({ kind: 'unsent' }));
     else send();
   }
 
-  private returnResult(process: ControllerProcess, id: number, result: CallResult): void {
+  private deliverResult(process: ControllerProcess, id: number, result: CallResult): void {
     this.context.options.observer?.result(this.context.clock.now(), process.name, id, result);
     this.push(process, { kind: 'result', id, result });
   }
--- a/packages/testing/src/simulation/random-faults.ts
+++ b/packages/testing/src/simulation/random-faults.ts
@@ -1,4 +1,4 @@
-/** Random faults on a simulated cluster, drawn from a seed. */
+/** Runs of a simulated cluster with random faults, reproducible from a seed. */
 import type { ClusterOptions } from './cluster-options.js';
 import { SimulatedCluster } from './simulated-cluster.js';
 import { job } from './small-job.js';
@@ -7,10 +7,11 @@
 const FAULT_PERIOD_MS = 120_000;
 const FAULT_INTERVAL_MS = 4000;
 
+/** A random element; undefined if there is none. */
 const pick = <T>(cluster: SimulatedCluster, from: T[]): T | undefined =>
   from[Math.floor(cluster.random() * from.length)];
 
-function crash(cluster: SimulatedCluster): void {
+function crashNode(cluster: SimulatedCluster): void {
   const name = pick(cluster, cluster.nodeNames)!;
   if (!cluster.processes.running.has(name)) return;
   cluster.crash(name);
@@ -20,7 +21,7 @@
   );
 }
 
-function hang(cluster: SimulatedCluster): void {
+function hangNode(cluster: SimulatedCluster): void {
   const name = pick(cluster, cluster.nodeNames)!;
   cluster.hang(name, true);
   cluster.at(cluster.random() * 25_000, () => cluster.hang(name, false));
@@ -33,7 +34,8 @@
   cluster.at(cluster.random() * 25_000, () => (worker.isHung = false));
 }
 
-function cut(cluster: SimulatedCluster): void {
+/** Cuts all traffic of a node or machine, or the direction from a node to it. */
+function cutTraffic(cluster: SimulatedCluster): void {
   const name = pick(cluster, [...cluster.nodeNames, ...cluster.workers.keys()])!;
   const other = pick(cluster, cluster.nodeNames)!;
   const cut = cluster.random() < 0.5 ? name : `${other}>${name}`;
@@ -41,15 +43,16 @@
   cluster.at(cluster.random() * 30_000, () => cluster.network.cuts.delete(cut));
 }
 
-function outage(cluster: SimulatedCluster): void {
+function stopStateService(cluster: SimulatedCluster): void {
   cluster.state.down = true;
   cluster.at(cluster.random() * 15_000, () => cluster.state.restore());
 }
 
+/** Loses 10 % of the calls to the state service before their execution and 10 % after it. */
 function loseStateCalls(cluster: SimulatedCluster): void {
   cluster.stateLink.fault = () => {
-    const dice = cluster.random();
-    return dice < 0.1 ? 'lost_before' : dice < 0.2 ? 'lost_after' : undefined;
+    const sample = cluster.random();
+    return sample < 0.1 ? 'lost_before' : sample < 0.2 ? 'lost_after' : undefined;
   };
   cluster.at(cluster.random() * 10_000, () => (cluster.stateLink.fault = null));
 }
@@ -72,7 +75,7 @@
   cluster.at(cluster.random() * 20_000, () => (cluster.fleet.duplicateDelay = null));
 }
 
-function isolate(cluster: SimulatedCluster): void {
+function isolateNode(cluster: SimulatedCluster): void {
   cluster.network.isolate(pick(cluster, cluster.nodeNames)!);
   cluster.at(cluster.random() * 30_000, () => cluster.network.cuts.clear());
 }
@@ -90,7 +93,7 @@
   pick(cluster, [...cluster.workers.values()])?.reboot();
 }
 
-function restartQuickly(cluster: SimulatedCluster): void {
+function restartNodeQuickly(cluster: SimulatedCluster): void {
   const name = pick(cluster, cluster.nodeNames)!;
   if (!cluster.processes.running.has(name)) return;
   cluster.crash(name);
@@ -100,8 +103,8 @@
   );
 }
 
-/** Transactions get no answer and are carried out after newer ones. */
-function lateWrites(cluster: SimulatedCluster): void {
+/** Some transactions are answered as lost and executed 2 to 12 s later, after newer ones. */
+function delayTransactions(cluster: SimulatedCluster): void {
   cluster.stateLink.fault = (_node, call) =>
     call.writeCount > 0 && cluster.random() < 0.3 ? 2000 + cluster.random() * 10_000 : undefined;
   cluster.at(cluster.random() * 15_000, () => (cluster.stateLink.fault = null));
@@ -119,19 +122,20 @@
   cluster.at(cluster.random() * 40_000, () => cluster.network.restoreHeartbeatsOf(id));
 }
 
-/** The state service refuses one node, perhaps the leader, and soon perhaps everybody. */
+/** The state service refuses one node, usually the leader; in half the cases an outage follows. */
 function refuseNode(cluster: SimulatedCluster): void {
   const name =
     (cluster.random() < 0.7 ? cluster.leader() : null) ?? pick(cluster, cluster.nodeNames)!;
   cluster.state.refusedNodes.add(name);
   cluster.at(5000 + cluster.random() * 15_000, () => cluster.state.refusedNodes.delete(name));
-  if (cluster.random() < 0.5) cluster.at(500 + cluster.random() * 3000, () => outage(cluster));
+  if (cluster.random() < 0.5)
+    cluster.at(500 + cluster.random() * 3000, () => stopStateService(cluster));
 }
 
-/** Users call off what runs, and its machines hang. */
+/** A user cancels a job with a running task, and the machine of that task hangs. */
 function cancelOnHungMachine(cluster: SimulatedCluster): void {
-  const here = [...cluster.workers.values()].filter((w) => w.tasks.length > 0);
-  const worker = pick(cluster, here);
+  const workersWithTasks = [...cluster.workers.values()].filter((w) => w.tasks.length > 0);
+  const worker = pick(cluster, workersWithTasks);
   const piece = worker?.tasks.find((t) => t.status === 'running')?.piece;
   const node = pick(cluster, [...cluster.processes.running.keys()]);
   if (!worker || !piece || !node) return;
@@ -141,7 +145,8 @@
   cluster.at(cluster.random() * 30_000, () => (worker.isHung = false));
 }
 
-function changeLeaders(cluster: SimulatedCluster): void {
+/** Crashes the current leader five times, every 6 s, and restarts it. */
+function crashLeadersRepeatedly(cluster: SimulatedCluster): void {
   for (let i = 0; i < 5; i++) {
     cluster.at(i * 6000, () => {
       const leader = cluster.leader();
@@ -155,8 +160,9 @@
   }
 }
 
+/** One fault is drawn every `FAULT_INTERVAL_MS`; an entry listed twice is twice as likely. */
 const FAULTS = [
-  lateWrites,
+  delayTransactions,
   slowStateService,
   cutHeartbeats,
   cutHeartbeats,
@@ -164,31 +170,32 @@
   refuseNode,
   cancelOnHungMachine,
   cancelOnHungMachine,
-  changeLeaders,
-  crash,
-  crash,
-  hang,
+  crashLeadersRepeatedly,
+  crashNode,
+  crashNode,
+  hangNode,
   hangWorker,
-  cut,
-  cut,
-  outage,
+  cutTraffic,
+  cutTraffic,
+  stopStateService,
   loseStateCalls,
   reclaimMachine,
   cutResponses,
   duplicateHeartbeats,
-  isolate,
+  isolateNode,
   partition,
   partition,
   rebootMachine,
-  restartQuickly,
+  restartNodeQuickly,
 ];
 
-function addUser(cluster: SimulatedCluster, number: number, { jobFields }: Workload): void {
-  const node = () => pick(cluster, [...cluster.processes.running.keys()]);
+/** Schedules a user who submits a job, retries until it is accepted, polls it and may cancel it. */
+function scheduleUser(cluster: SimulatedCluster, number: number, { jobFields }: Workload): void {
+  const randomNode = () => pick(cluster, [...cluster.processes.running.keys()]);
   const id = `run-${String(number).padStart(6, '0')}`;
-  // Some wait for earlier ones, as far as those were accepted.
-  const chained = cluster.random() < 0.4;
-  const earlier = () =>
+  // 40 % of the jobs have predecessors: those of three earlier jobs that have been accepted.
+  const hasPredecessors = cluster.random() < 0.4;
+  const predecessors = () =>
     [number - 1, number - 2, number - 5]
       .map((n) => `run-${String(n).padStart(6, '0')}`)
       .filter((other) => cluster.checker.isAccepted(other));
@@ -199,37 +206,37 @@
     ...jobFields(cluster),
   });
   const step = () => {
-    const at = node();
+    const node = randomNode();
     if (cluster.checker.finalStatus(id) !== null) return;
-    // A retry is the same request again, so what it names is settled at the first.
-    if (chained) body['waits_on'] ??= earlier();
-    if (at && !cluster.checker.isAccepted(id)) cluster.submit(body, at);
-    else if (at) cluster.poll(id, at);
+    // A retry must repeat the same request, so the predecessors are chosen only once.
+    if (hasPredecessors) body['waits_on'] ??= predecessors();
+    if (node && !cluster.checker.isAccepted(id)) cluster.submit(body, node);
+    else if (node) cluster.poll(id, node);
     cluster.at(2500, step);
   };
   cluster.at(cluster.random() * FAULT_PERIOD_MS, step);
   if (cluster.random() < 0.3) {
     cluster.at(cluster.random() * FAULT_PERIOD_MS * 1.2, () => {
-      const at = node();
-      if (at && cluster.checker.isAccepted(id)) cluster.cancel(id, at);
+      const node = randomNode();
+      if (node && cluster.checker.isAccepted(id)) cluster.cancel(id, node);
     });
   }
 }
 
-/** What a site consists of beside its options, and what its users submit. */
+/** Owned machines of a cluster, and the fields that vary between its users' jobs. */
 interface Workload {
-  ownedMachines: number;
+  ownedMachineCount: number;
   jobFields: (cluster: SimulatedCluster) => Record<string, unknown>;
 }
 
-/** Owned machines, and small job arrays of one team. */
-const OWNED_FLEET: Workload = { ownedMachines: 3, jobFields: () => ({}) };
+/** Owned machines, and small array jobs of one team. */
+const OWNED_FLEET: Workload = { ownedMachineCount: 3, jobFields: () => ({}) };
 
-/** Only machines that are scaled out, and jobs of all kinds, teams and placement constraints. */
-const RENTED_FLEET: Workload = { ownedMachines: 0, jobFields: mixedJobFields };
+/** Rented machines alone, and jobs of all kinds, teams and placement constraints. */
+const RENTED_FLEET: Workload = { ownedMachineCount: 0, jobFields: mixedJobFields };
 
 function mixedJobFields(cluster: SimulatedCluster): Record<string, unknown> {
-  const chance = (share: number) => cluster.random() < share;
+  const chance = (probability: number) => cluster.random() < probability;
   const checkpoints = chance(0.4);
   return {
     owner: pick(cluster, ['team', 'other']),
@@ -246,8 +253,8 @@
   };
 }
 
-/** Options of a site under which limits of sockets and of the state service are enforced. */
-const RENTED_SITE: ClusterOptions = {
+/** Options that enforce limits of sockets and of the state service. */
+const RENTED_FLEET_OPTIONS: ClusterOptions = {
   capacity: 10,
   cpuLimit: 24,
   guarantee: 8,
@@ -255,22 +262,27 @@
   limits: { sockets: 400, requestsPerSecond: 120, writesPerSecond: 30 },
 };
 
-/** The same on a rented fleet with enforced limits and jobs of all kinds. */
-export const playOnRentedFleet = (options: ClusterOptions): ReturnType<typeof playRandomFaults> =>
-  playRandomFaults({ ...RENTED_SITE, ...options }, RENTED_FLEET);
+/** `runRandomFaults` on a rented fleet with enforced limits and jobs of all kinds. */
+export const runRandomFaultsOnRentedFleet = (
+  options: ClusterOptions,
+): ReturnType<typeof runRandomFaults> =>
+  runRandomFaults({ ...RENTED_FLEET_OPTIONS, ...options }, RENTED_FLEET);
 
-/** Random faults for a while, then none; returns the numbers of jobs that have not ended. */
-export function playRandomFaults(
+/**
+ * Injects random faults for `FAULT_PERIOD_MS`, then ends all faults and waits for the jobs to end.
+ * Returns the cluster and the ids of the jobs that have not ended.
+ */
+export function runRandomFaults(
   options: ClusterOptions,
   workload: Workload = OWNED_FLEET,
 ): {
   cluster: SimulatedCluster;
-  open: string[];
+  unfinishedJobs: string[];
 } {
   const cluster = new SimulatedCluster({ capacity: 6, cpuLimit: 16, ...options });
-  for (let i = 0; i < workload.ownedMachines; i++) cluster.cloud.add(i % 2 ? 'a' : 'b');
+  for (let i = 0; i < workload.ownedMachineCount; i++) cluster.cloud.add(i % 2 ? 'a' : 'b');
   const ids = Array.from({ length: JOB_COUNT }, (_, i) => i + 1);
-  for (const i of ids) addUser(cluster, i, workload);
+  for (const i of ids) scheduleUser(cluster, i, workload);
   for (let at = 8000; at < FAULT_PERIOD_MS; at += FAULT_INTERVAL_MS) {
     cluster.at(at, () => pick(cluster, FAULTS)!(cluster));
   }
@@ -278,7 +290,8 @@
   cluster.run(30_000);
   cluster.endFaults();
   const name = (i: number) => `run-${String(i).padStart(6, '0')}`;
-  const open = () => ids.map(name).filter((id) => cluster.checker.finalStatus(id) === null);
-  cluster.runUntil(() => open().length === 0, 400_000);
-  return { cluster, open: open() };
+  const unfinishedJobs = () =>
+    ids.map(name).filter((id) => cluster.checker.finalStatus(id) === null);
+  cluster.runUntil(() => unfinishedJobs().length === 0, 400_000);
+  return { cluster, unfinishedJobs: unfinishedJobs() };
 }
--- a/packages/testing/src/simulation/simulated-clock.ts
+++ b/packages/testing/src/simulation/simulated-clock.ts
@@ -1,20 +1,20 @@
-/** Simulated time, and the events that are planned in it. */
+/** Simulated time, and the events that are scheduled in it. */
 import type { Duration, Instant } from '@tealdock/wire';
 
-/** The calendar time at which every simulation starts. */
+/** The calendar time at which every simulation starts, in ms since the epoch. */
 const START_DATE_MS = Date.UTC(2026, 0, 1);
 
-interface PlannedEvent {
+interface ScheduledEvent {
   at: Instant;
-  /** Events due at the same instant run in the order in which they were planned. */
+  /** Events due at the same instant run in the order in which they were scheduled. */
   sequenceNumber: number;
   run: () => void;
 }
 
-/** Time that stands still until it is advanced, in ms since the start of the simulation. */
+/** A clock that only `advance` moves; times in ms since the start of the simulation. */
 export class SimulatedClock {
   private time: Instant = 0;
-  private events: PlannedEvent[] = [];
+  private events: ScheduledEvent[] = [];
   private nextSequenceNumber = 0;
 
   now(): Instant {
@@ -26,12 +26,12 @@
     return new Date(START_DATE_MS + this.time);
   }
 
-  /** Plans an event. */
+  /** Schedules an event. */
   after(delay: Duration, run: () => void): void {
     this.events.push({ at: this.time + delay, sequenceNumber: this.nextSequenceNumber++, run });
   }
 
-  /** Moves time on and runs all that is due; events that these plan wait for the next call. */
+  /** Advances the time and runs the events due; those that they schedule wait for the next call. */
   advance(duration: Duration): void {
     this.time += duration;
     const due = this.events.filter((event) => event.at <= this.time);
--- a/packages/testing/src/simulation/simulated-cluster.ts
+++ b/packages/testing/src/simulation/simulated-cluster.ts
@@ -1,4 +1,4 @@
-/** A whole cluster in one process and in simulated time. */
+/** A whole cluster simulated in one process. */
 import type { Duration, Instant, JobSpec } from '@tealdock/wire';
 import type { Call, CallResult, Log, Random, Reply } from '@tealdock/controller';
 import { RuleChecker } from '../checker/rule-checker.js';
@@ -8,7 +8,7 @@
 import {
   DEFAULT_CPU_LIMIT,
   NODES,
-  USUAL_TIMES,
+  DEFAULT_TIMES,
   stateLimits,
   type ClusterOptions,
   type DeploymentTimes,
@@ -22,26 +22,31 @@
 import { WorkerFleet } from './worker-fleet.js';
 
 const STEP_MS = 50;
-/** The free capacity of the machines is checked this often. */
+/** How often the checker looks for jobs that wait although machines have free capacity. */
 const CAPACITY_CHECK_INTERVAL_MS = 1000;
-/** A response to `request` comes within this time, or not at all. */
+/** `request` returns null after this time without a reply. */
 const REQUEST_TIMEOUT_MS = 500;
 const DEFAULT_SEED = 1;
 const DEFAULT_MACHINE_LIMIT = 4;
 
-/** A line that a controller logged. */
+/** A log line of a controller. */
 export interface LogLine {
   node: string;
   message: string;
   fields: Record<string, unknown>;
 }
 
-/** Everything in memory and in simulated time: nodes, workers, users, state, cloud, network. */
+/**
+ * Nodes, workers, users, state service, cloud and network in memory and in simulated time. A run is
+ * reproducible from its seed.
+ */
 export class SimulatedCluster {
   readonly nodeNames = NODES;
   readonly times: DeploymentTimes;
   readonly random: Random;
+  /** Every job that was submitted, by id. */
   readonly jobs = new Map<string, JobSpec>();
+  /** The log of all nodes. */
   readonly logLines: LogLine[] = [];
   readonly state: FakeState;
   readonly cloud: FakeCloud;
@@ -58,12 +63,12 @@
     const now = () => clock.now();
     const { cpuLimit = DEFAULT_CPU_LIMIT, capacity = DEFAULT_MACHINE_LIMIT } = options;
     const cpuLimits = new Map(['team', 'other'].map((team) => [team, cpuLimit]));
-    const times = options.times ?? USUAL_TIMES;
+    const times = options.times ?? DEFAULT_TIMES;
     this.times = times;
     this.random = seededRandom(options.seed ?? DEFAULT_SEED);
     this.state = new FakeState(now, options.limits);
     this.state.limits = stateLimits(options);
-    this.cloud = new FakeCloud(now, capacity, (id) => this.fleet.drop(id));
+    this.cloud = new FakeCloud(now, capacity, (id) => this.fleet.removeMachine(id));
     const checker = new RuleChecker(now, cpuLimits, times.cancellationLimit);
     this.checker = checker;
     const processes = new ControllerProcesses({
@@ -92,17 +97,18 @@
     return this.clock.now();
   }
 
-  /** Plans an event of the scenario. */
+  /** Schedules an event of the scenario. */
   at(delay: Duration, run: () => void): void {
     this.clock.after(delay, run);
   }
 
+  /** Runs the cluster for this time. */
   run(duration: Duration): void {
     const end = this.now() + duration;
     while (this.now() < end) this.step();
   }
 
-  /** Runs until the condition holds; false if it does not within the limit. */
+  /** Runs until the condition holds; returns false if it does not within the limit. */
   runUntil(condition: () => boolean, limit: Duration): boolean {
     const end = this.now() + limit;
     while (this.now() < end && !condition()) this.run(STEP_MS);
@@ -133,7 +139,7 @@
     this.users.cancel(id, node, done);
   }
 
-  /** The reply to a request with any body at all; null if none comes within 500 ms. */
+  /** Sends a request with an arbitrary body; returns its reply, or null if none comes in 500 ms. */
   request(node: string, method: string, path: string, body: Buffer): Reply | null {
     let reply: Reply | null = null;
     const request = { method, path, body, via: 'public' as const };
@@ -142,7 +148,7 @@
     return reply;
   }
 
-  /** Name of the node whose leader key stands; null if there is none. */
+  /** Name of the node in the leader key of the state service; null if there is no such key. */
   leader(): string | null {
     const leaderKey = [...this.state.keys.values()].find(
       (entry) => typeof (entry.v as { nonce?: string } | null)?.nonce === 'string',
@@ -150,12 +156,15 @@
     return leaderKey ? (leaderKey.v as { member: string }).member : null;
   }
 
-  /** The state service lowers its limits, without notice. */
+  /** Makes the state service enforce the announced limits; the nodes are not notified. */
   lowerStateLimits(): void {
     this.state.limits = stateLimits(this.options, this.options.announcedLimits);
   }
 
-  /** All faults are over: from now on nothing excuses a job that waits or is not known. */
+  /**
+   * Ends all faults and restarts stopped nodes. From now on the checker reports jobs that get no
+   * answer or wait although machines have free capacity.
+   */
   endFaults(): void {
     this.network.cuts.clear();
     this.state.refusedNodes.clear();
@@ -173,7 +182,7 @@
     this.clock.advance(STEP_MS);
     this.state.tick();
     this.fleet.tick(this.cloud.machines.values());
-    this.processes.takeTurns();
+    this.processes.processBatches();
     this.checker.check();
     if (this.now() % CAPACITY_CHECK_INTERVAL_MS === 0) {
       this.checker.checkFreeCapacity(freeCapacityOf(this.workers.values(), this.jobs));
@@ -184,11 +193,11 @@
     return (_level, fields, message) => void this.logLines.push({ node, message, fields });
   }
 
-  /** Carries a call of a node to whom it is for; one that is lost is so after its timeout. */
+  /** Delivers a node's call to its target; a lost call gets its result after its timeout. */
   private route(from: string, call: Call, done: (result: CallResult) => void): void {
     const lost = () => this.clock.after(call.timeout, () => done({ kind: 'lost' }));
     if (call.target === 'peer') return this.forwardToPeer(from, call, done, lost);
-    if (call.target === 'worker') return this.fleet.command(from, call, done, lost);
+    if (call.target === 'worker') return this.fleet.sendCommands(from, call, done, lost);
     if (this.network.isCut(from, call.target)) return lost();
     if (call.target === 'cloud') return done(this.cloud.handle(call.path, call.body));
     this.stateLink.send(from, call, done, lost);
--- a/packages/testing/src/simulation/simulated-network.ts
+++ b/packages/testing/src/simulation/simulated-network.ts
@@ -1,9 +1,9 @@
-/** Cuts in the network of a simulated cluster. */
+/** Network partitions of a simulated cluster. */
 import { NODES } from './cluster-options.js';
 
-/** Which traffic is cut. Cuts of one direction make a one-way partition. */
+/** The traffic that is cut; cuts of one direction form a one-way partition. */
 export class SimulatedNetwork {
-  /** Names whose traffic is cut; `a>b` cuts one direction of one pair. */
+  /** A name cuts all traffic of that party; `a>b` cuts only the direction from `a` to `b`. */
   readonly cuts = new Set<string>();
 
   constructor(private readonly machineNames: () => Iterable<string>) {}
@@ -22,7 +22,7 @@
     }
   }
 
-  /** Heartbeats of a machine arrive, but no response reaches it. */
+  /** Heartbeats of a machine arrive, but no response or direct command reaches it. */
   cutResponsesTo(machine: string): void {
     for (const node of NODES) this.cuts.add(`${node}>${machine}`);
   }
@@ -32,7 +32,7 @@
     for (const node of NODES) this.cuts.delete(`${node}>${machine}`);
   }
 
-  /** A machine reaches no controller, while direct commands reach it. */
+  /** Heartbeats of a machine are lost, but direct commands reach it. */
   cutHeartbeatsOf(machine: string): void {
     for (const node of NODES) this.cuts.add(`${machine}>${node}`);
   }
@@ -42,7 +42,7 @@
     for (const node of NODES) this.cuts.delete(`${machine}>${node}`);
   }
 
-  /** Cuts these nodes and machines off from all others, but from nothing regional. */
+  /** Cuts these nodes and machines off from all others, but not from state service and cloud. */
   partition(side: string[]): void {
     const others = [...NODES, ...this.machineNames()].filter((name) => !side.includes(name));
     for (const here of side) {
--- a/packages/testing/src/simulation/simulated-users.ts
+++ b/packages/testing/src/simulation/simulated-users.ts
@@ -4,10 +4,10 @@
 import type { RuleChecker } from '../checker/rule-checker.js';
 import type { ControllerProcesses } from './controller-processes.js';
 
-/** Takes the reply to a request; null if the node does not run. */
+/** Receives the reply to a request; null if the node does not run. */
 export type OnReply = (reply: Reply | null) => void;
 
-/** How long a client waits where a node has no socket for it, as the node says. */
+/** Retry time in the 503 that a client receives if the node has no socket for it. */
 const RETRY_AFTER_MS = 1000;
 
 interface UserRequest {
@@ -18,7 +18,7 @@
   jobId: string;
 }
 
-/** Sends the users' requests, and tells the rule checker what they asked and were answered. */
+/** Sends the users' requests, and records requests and replies with the rule checker. */
 export class SimulatedUsers {
   constructor(
     private readonly processes: ControllerProcesses,
@@ -33,7 +33,7 @@
     this.post('/api/jobs', job, spec.id, node, done);
   }
 
-  /** A submission that must be refused: it fits no machine or lacks a field. */
+  /** Submits a job that must be refused because it fits no machine or lacks a field. */
   submitInvalid(job: Record<string, unknown>, node: string, done?: OnReply): void {
     const id = String(job['ref']);
     this.checker.mustRefuse(id);
@@ -54,7 +54,7 @@
   }
 
   private send({ node, method, path, body, jobId }: UserRequest, done?: OnReply): void {
-    const answered = this.checker.beginRequest(jobId);
+    const recordReply = this.checker.beginRequest(jobId);
     const { sockets } = this.processes.running.get(node) ?? {};
     const connection = sockets?.request(`user of ${jobId}`, 'user');
     if (connection === 'rejected') {
@@ -63,7 +63,7 @@
     const request = { method, path, body: packBody(body), via: 'public' as const };
     this.processes.request(node, request, (reply) => {
       connection?.markAnswered();
-      if (reply) answered(reply.status, reply.body);
+      if (reply) recordReply(reply.status, reply.body);
       done?.(reply);
     });
   }
--- a/packages/testing/src/simulation/small-job.ts
+++ b/packages/testing/src/simulation/small-job.ts
@@ -1,7 +1,7 @@
-/** Jobs for scenarios. */
+/** Job descriptions for scenarios. */
 
-/** A small job; anything in it can be replaced. */
-export function job(id: number, over: Record<string, unknown> = {}): Record<string, unknown> {
+/** A description of a small job, as a user submits it; `overrides` replace or add fields. */
+export function job(id: number, overrides: Record<string, unknown> = {}): Record<string, unknown> {
   return {
     ref: `run-${String(id).padStart(6, '0')}`,
     jobclass: 'plain',
@@ -23,6 +23,6 @@
     snapshot_s: 0,
     flush_s: 0,
     due_s: null,
-    ...over,
+    ...overrides,
   };
 }
--- a/packages/testing/src/simulation/state-service-link.ts
+++ b/packages/testing/src/simulation/state-service-link.ts
@@ -1,20 +1,23 @@
-/** The way between the controllers and the state service of a simulated cluster. */
+/** The link between the controllers and the state service of a simulated cluster. */
 import type { Duration } from '@tealdock/wire';
 import type { Call, CallResult } from '@tealdock/controller';
 import type { FakeState } from '../fakes/fake-state.js';
 import type { SimulatedClock } from './simulated-clock.js';
 
-/** A call that is carried out late is so by this much, where no time is given. */
+/** Delay of the execution of a call with the fault `late`. */
 const LATE_EXECUTION_MS = 9000;
 
-/** A call is lost before or after it is carried out, or is lost and carried out (so much) later. */
+/**
+ * Fault of a call. `lost_before`: it is not executed. `lost_after`: it is executed, but its answer
+ * is lost. `late` or a duration: it counts as lost and is executed after that delay.
+ */
 export type StateFault = 'lost_before' | 'lost_after' | 'late' | Duration;
 
-/** Carries calls to the state service, with faults that a scenario injects. */
+/** Delivers calls to the state service, with faults that a scenario injects. */
 export class StateServiceLink {
-  /** What a state call of a node comes to instead; undefined leaves it alone. */
+  /** Chooses the fault of a node's call; undefined for none. */
   fault: ((node: string, call: Call) => StateFault | undefined) | null = null;
-  /** By how much longer an answer takes; one that takes longer than the call's timeout is lost. */
+  /** Additional delay of an answer; if it reaches the call's timeout, the answer is lost. */
   extraDelay: (() => Duration) | null = null;
   /** Transactions of nodes of the current version that were refused as too large. */
   oversizedCount = 0;
@@ -29,7 +32,7 @@
     this.fault = this.extraDelay = null;
   }
 
-  /** Carries a call out, unless a fault befalls it; `lost` answers after the call's timeout. */
+  /** Executes a call, subject to faults; `lost` reports it as lost after the call's timeout. */
   send(from: string, call: Call, done: (result: CallResult) => void, lost: () => void): void {
     if (this.runsOlderVersion(from)) removeEndTimes(call);
     const fault = this.fault?.(from, call);
--- a/packages/testing/src/simulation/worker-fleet.ts
+++ b/packages/testing/src/simulation/worker-fleet.ts
@@ -1,4 +1,4 @@
-/** The workers of a simulated cluster, and the way of their heartbeats. */
+/** The workers of a simulated cluster, and the delivery of their heartbeats. */
 import { packBody, type Duration, type JobSpec } from '@tealdock/wire';
 import type { Call, CallResult, Reply } from '@tealdock/controller';
 import type { CloudMachine } from '../fakes/fake-cloud.js';
@@ -12,9 +12,9 @@
 
 const HEARTBEAT_PATH = '/hello';
 
-/** What the workers run in. */
+/** Options and environment of the workers. */
 export interface FleetOptions {
-  /** Read at each task, so that a test may change them. */
+  /** Read for each task, so that a test can change them at run time. */
   options: ClusterOptions;
   times: DeploymentTimes;
   clock: SimulatedClock;
@@ -24,23 +24,23 @@
   jobs: ReadonlyMap<string, JobSpec>;
 }
 
-/** Starts a worker on each machine that is up, carries its heartbeats, and runs its tasks. */
+/** Runs a worker on each machine that has booted, and delivers its heartbeats and commands. */
 export class WorkerFleet implements WorkerHost {
   readonly nodeNames = NODES;
   readonly heartbeatInterval: Duration;
   readonly leaseDuration: Duration;
-  /** The worker of each machine that is up. */
+  /** The worker of each running machine, by machine id. */
   readonly workers = new Map<string, FakeWorker>();
-  /** What the way between a worker and a node takes beyond the usual. */
+  /** Additional one-way latency between workers and nodes. */
   extraLatency: Duration = 0;
   /**
-   * After what time a copy of a heartbeat arrives once more; null is not at all. Nobody gets the
-   * answer to a copy.
+   * Chooses for each heartbeat the delay after which a copy of it arrives; null for no copy. The
+   * response to a copy is discarded.
    */
   duplicateDelay: (() => Duration | null) | null = null;
-  /** Where such a copy arrives, if not where the heartbeat went. */
+  /** Chooses the node at which a copy arrives; null for the node of the heartbeat. */
   duplicateTarget: (() => string | null) | null = null;
-  /** Direct commands that reached a machine. */
+  /** Calls with direct commands that reached a machine. */
   directCommandCount = 0;
 
   constructor(private readonly context: FleetOptions) {
@@ -52,7 +52,7 @@
     return this.context.clock.now();
   }
 
-  /** Starts a worker on each machine that has come up, and gives every worker its turn. */
+  /** Starts a worker on each machine that has booted since, and advances every worker. */
   tick(machines: Iterable<CloudMachine>): void {
     for (const machine of machines) {
       if (machine.readyAt <= this.now() && !this.workers.has(machine.id)) {
@@ -62,8 +62,8 @@
     for (const worker of this.workers.values()) worker.tick();
   }
 
-  /** The machine is gone, with all that runs on it. */
-  drop(id: string): void {
+  /** Terminates a machine and its running tasks. */
+  removeMachine(id: string): void {
     const worker = this.workers.get(id);
     if (!worker) return;
     for (const task of worker.tasks) {
@@ -79,8 +79,13 @@
     for (const worker of this.workers.values()) worker.isHung = false;
   }
 
-  /** To a worker's own address: held up where the machine hangs, lost where it is cut off. */
-  command(from: string, call: Call, done: (result: CallResult) => void, lost: () => void): void {
+  /** Delivers direct commands; a hung machine executes them later, one that is cut off never. */
+  sendCommands(
+    from: string,
+    call: Call,
+    done: (result: CallResult) => void,
+    lost: () => void,
+  ): void {
     const id = call.to.split(':')[0]!;
     const worker = this.workers.get(id);
     if (!worker || this.context.network.isCut(from, id)) return lost();
@@ -101,7 +106,7 @@
     const { network, processes, clock } = this.context;
     const id = worker.machine.id;
     if (network.isCut(id, node)) return;
-    this.planDuplicate(node, body);
+    this.scheduleDuplicate(node, body);
     const latency = ONE_WAY_LATENCY_MS + this.extraLatency;
     const respond = ({ status, body: content }: Reply) =>
       clock.after(ONE_WAY_LATENCY_MS + this.extraLatency, () =>
@@ -110,14 +115,14 @@
     clock.after(latency, () => {
       const connection = processes.running.get(node)?.sockets.request(id, 'worker');
       if (connection === 'rejected') return respond({ status: 503, body: {} });
-      this.post(node, packBody(body), (reply) => {
+      this.postHeartbeat(node, packBody(body), (reply) => {
         connection?.markAnswered();
         if (reply && !network.isCut(node, id)) respond(reply);
       });
     });
   }
 
-  /** The worker closes its connection to a node; a machine that dies closes nothing. */
+  /** Closes a worker's connection to a node; a terminated machine leaves its connection open. */
   closeConnection(worker: FakeWorker, node: string): void {
     this.context.processes.running.get(node)?.sockets.closeConnectionOf(worker.machine.id);
   }
@@ -148,16 +153,16 @@
     this.context.checker.noteEnd(piece, machine, reason);
   }
 
-  private planDuplicate(node: string, body: unknown): void {
+  private scheduleDuplicate(node: string, body: unknown): void {
     const delay = this.duplicateDelay?.() ?? null;
     if (delay === null) return;
     const copy = packBody(body);
     this.context.clock.after(delay, () => {
-      this.post(this.duplicateTarget?.() ?? node, copy, () => undefined);
+      this.postHeartbeat(this.duplicateTarget?.() ?? node, copy, () => undefined);
     });
   }
 
-  private post(node: string, body: Buffer, done: (reply: Reply | null) => void): void {
+  private postHeartbeat(node: string, body: Buffer, done: (reply: Reply | null) => void): void {
     const request = { method: 'POST', path: HEARTBEAT_PATH, body, via: 'public' as const };
     this.context.processes.request(node, request, done);
   }
--- a/packages/testing/src/wire-trace/trace-of.ts
+++ b/packages/testing/src/wire-trace/trace-of.ts
@@ -1,9 +1,9 @@
 /** Plays the random faults of a seed and digests what crosses. */
-import { playOnRentedFleet, playRandomFaults } from '../simulation/random-faults.js';
+import { runRandomFaultsOnRentedFleet, runRandomFaults } from '../simulation/random-faults.js';
 import { WireTrace } from './wire-trace.js';
 
 /** Sites whose traces can be compared. */
-export const SITES = { owned: playRandomFaults, rented: playOnRentedFleet } as const;
+export const SITES = { owned: runRandomFaults, rented: runRandomFaultsOnRentedFleet } as const;
 
 /** Name of a site. */
 export type Site = keyof typeof SITES;
