--- a/packages/testing/src/fakes/fake-worker.ts
+++ b/packages/testing/src/fakes/fake-worker.ts
@@ -72,7 +72,7 @@
     if (!this.inFlight && now >= this.nextHeartbeatAt) this.sendHeartbeat(now);
   }
 
-  /** Running tasks make no progress while the machine hangs. */
+  /** Postpones the ends of running tasks, which make no progress while the machine hangs. */
   private postponeEnds(elapsed: number): void {
     for (const t of this.tasks) if (t.status === 'running') t.endsAt += elapsed;
   }
--- a/packages/testing/src/index.ts
+++ b/packages/testing/src/index.ts
@@ -1,4 +1,4 @@
-/** Fakes of the external services and of workers, a simulated cluster, and a checker of its rules. */
+/** Fakes of the external services and workers, a simulated cluster, and a checker of its rules. */
 export * from './simulation/simulated-cluster.js';
 export * from './simulation/cluster-options.js';
 export * from './simulation/small-job.js';
--- a/packages/testing/src/simulation/cluster-options.ts
+++ b/packages/testing/src/simulation/cluster-options.ts
@@ -14,7 +14,7 @@
 /** Options of a simulated cluster; each has a default. */
 export interface ClusterOptions {
   seed?: number;
-  /** Number of machines from which on the cloud refuses to rent more. */
+  /** The cloud rents no more machines once this many exist. */
   capacity?: number;
   /** CPU limit of each of the two teams, `team` and `other`. */
   cpuLimit?: number;
--- a/packages/testing/src/simulation/controller-processes.ts
+++ b/packages/testing/src/simulation/controller-processes.ts
@@ -21,7 +21,7 @@
 import type { SimulatedClock } from './simulated-clock.js';
 import type { SimulatedNetwork } from './simulated-network.js';
 
-/** One-way latency between any two parties of the cluster. */
+/** One-way latency of the nodes' calls and of the workers' heartbeats. */
 export const ONE_WAY_LATENCY_MS = 5;
 
 /** Delivers a node's call to its target. Neither way includes the latency; the caller adds it. */
--- a/packages/testing/src/wire-trace/main.ts
+++ b/packages/testing/src/wire-trace/main.ts
@@ -1,6 +1,6 @@
 /**
- * Prints for each seed a digest of everything that crosses the boundary of the nodes, to compare the
- * behaviour of two versions of the sources. Usage:
+ * Prints for each seed a digest of everything that crosses the boundary of the nodes, to compare
+ * the behaviour of two versions of the sources. Usage:
  * `npm run --silent wire-trace -- --seeds 1-20 --site rented`.
  */
 import { parseArgs } from 'node:util';
