--- a/packages/testing/src/fakes/fake-worker.ts
+++ b/packages/testing/src/fakes/fake-worker.ts
@@ -126,10 +126,10 @@
       if (!image || !pending.includes(image.name)) continue;
       pending.splice(pending.indexOf(image.name), 1);
       const bandwidthShare = image.shared ? 1 / this.imagesBeingFetched().length : 1;
-      const fetchedGb =
+      const receivedGb =
         (this.fetchedGb.get(image.name) ?? 0) + seconds * image.gbPerS * bandwidthShare;
-      this.fetchedGb.set(image.name, fetchedGb);
-      if (fetchedGb >= image.gb) this.cachedImages.add(image.name);
+      this.fetchedGb.set(image.name, receivedGb);
+      if (receivedGb >= image.gb) this.cachedImages.add(image.name);
     }
     for (const t of this.tasks) if (t.status === 'pulling') this.runIfFetched(t);
   }
