--- a/packages/testing/src/simulation/seeded-random.ts
+++ b/packages/testing/src/simulation/seeded-random.ts
@@ -31,7 +31,10 @@
   return chosen;
 }
 
-/** Parses seeds like `7`, `1-50` or `1,3,6`; throws `RangeError` for anything else. */
+/**
+ * Parses seeds like `7`, `1-50` or `1,3,6`; throws `RangeError` if a seed is not an integer or a
+ * range ends before it starts.
+ */
 export function parseSeeds(text: string): number[] {
   return text.split(',').flatMap((range) => {
     const [from = NaN, to = from] = range.split('-').map(Number);
