--- a/packages/adapters/src/peer-link.ts
+++ b/packages/adapters/src/peer-link.ts
@@ -3,7 +3,7 @@
 import {
   PeerDecoder,
   packBody,
-  packPeer,
+  packPeerMessage,
   unpackBody,
   type LeaderBroadcast,
   type PeerHeartbeat,
@@ -62,7 +62,7 @@
 
   /** Sends a message to all connected peers. */
   send(message: PeerHeartbeat | LeaderBroadcast): void {
-    const frame = packPeer(message);
+    const frame = packPeerMessage(message);
     for (const socket of this.sockets.values()) this.write(socket, frame);
   }
 
@@ -77,7 +77,10 @@
       onResult(result);
     });
     const { method, path } = call;
-    this.write(socket, packPeer({ kind: 'ask', id, method, path, body: call.body as Buffer }));
+    this.write(
+      socket,
+      packPeerMessage({ kind: 'ask', id, method, path, body: call.body as Buffer }),
+    );
   }
 
   private settle(id: number, result: CallResult): void {
@@ -142,7 +145,7 @@
       case 'ask':
         return this.events.onRequest(message, (status, body) => {
           const answer = { kind: 'answer' as const, id: message.id, status, body: packBody(body) };
-          this.write(socket, packPeer(answer));
+          this.write(socket, packPeerMessage(answer));
         });
     }
   }
--- a/packages/controller/src/autoscaling/fleet-capacity.ts
+++ b/packages/controller/src/autoscaling/fleet-capacity.ts
@@ -9,8 +9,8 @@
 import type { RentalRequests } from './rental-requests.js';
 import type { ReturnRules } from './return-rules.js';
 
-/** Objects from which the free capacity is determined. */
-export interface FleetCapacityParts {
+/** Dependencies of `FleetCapacity`. */
+export interface FleetCapacityDependencies {
   readonly runtime: Runtime;
   readonly term: Term;
   readonly catalog: MachineTypes;
@@ -21,11 +21,11 @@
 
 /** Takes into account usable machines, those being provisioned, and pending requests. */
 export class FleetCapacity {
-  constructor(private readonly parts: FleetCapacityParts) {}
+  constructor(private readonly dependencies: FleetCapacityDependencies) {}
 
   /** One entry for each machine with free capacity. */
   list(): FreeCapacity[] {
-    const { term, catalog, inventory, rentals } = this.parts;
+    const { term, catalog, inventory, rentals } = this.dependencies;
     const types = new Map(catalog.types.map((type) => [type.name, type]));
     const capacities: FreeCapacity[] = [];
     const add = ({ type, zone, spot }: MachinePool, free: Resources | undefined) => {
@@ -47,7 +47,7 @@
    * for which no socket is left would cost money but could connect only in place of another.
    */
   unusedWorkerSocketCount(): number {
-    const { runtime, term, inventory, rentals } = this.parts;
+    const { runtime, term, inventory, rentals } = this.dependencies;
     let used = term.machines.size + inventory.provisioning.size;
     for (const { count } of rentals.pending) used += count;
     const left = socketShares(runtime.settings).workers - used;
@@ -59,8 +59,8 @@
   private isUsable(machine: Machine): boolean {
     const { registration, heartbeats, health } = machine;
     if (registration.isReturning || heartbeats.preemptionDeadline !== null) return false;
-    if (health.isQuarantined(this.parts.runtime.now)) return false;
+    if (health.isQuarantined(this.dependencies.runtime.now)) return false;
     if (!registration.isReconciled) return true;
-    return heartbeats.lastCountedAt !== null && !this.parts.returnRules.isLongSilent(machine);
+    return heartbeats.lastCountedAt !== null && !this.dependencies.returnRules.isInactive(machine);
   }
 }
--- a/packages/controller/src/autoscaling/machine-inventory.ts
+++ b/packages/controller/src/autoscaling/machine-inventory.ts
@@ -1,7 +1,7 @@
 /** The machines that the cloud lists, and which of them the operator owns. */
 import {
-  listPath,
-  parseList,
+  machinePagePath,
+  parseMachinePage,
   type Instant,
   type ListedMachine,
   type OperatorSettings,
@@ -112,10 +112,10 @@
     machines: Map<string, ListedMachine>,
     requestedAt: Instant,
   ): void {
-    const path = listPath(after);
+    const path = machinePagePath(after);
     const call = { method: 'GET', path, body: null, priority: PRIORITY.leader };
     this.cloud.send(call, (result) => {
-      const page = parseResponse(result, parseList);
+      const page = parseResponse(result, parseMachinePage);
       if (!page) return;
       for (const machine of page.machines) machines.set(machine.id, machine);
       const last = page.machines.at(-1);
--- a/packages/controller/src/autoscaling/rental-requests.ts
+++ b/packages/controller/src/autoscaling/rental-requests.ts
@@ -1,5 +1,10 @@
 /** Requests for machines, each repeated under the same name until the cloud has answered. */
-import { MACHINES_PATH, parseRented, renderRent, type Instant } from '@tealdock/wire';
+import {
+  MACHINES_PATH,
+  parseRentedMachines,
+  renderRentalRequest,
+  type Instant,
+} from '@tealdock/wire';
 import { listOfferings, type MachinePool, type Offering } from '@tealdock/scheduler';
 import type { MachineTypes } from '../placement/fleet-policy.js';
 import { parseOrNull } from '../runtime/call-results.js';
@@ -23,8 +28,8 @@
   requestedAt: Instant;
 }
 
-/** Objects that rental requests use. */
-export interface RentalRequestsParts {
+/** Dependencies of `RentalRequests`. */
+export interface RentalRequestsDependencies {
   readonly runtime: Runtime;
   readonly term: TermStatus;
   readonly catalog: MachineTypes;
@@ -44,7 +49,7 @@
   private readonly refusedUntil = new Map<string, Instant>();
   private lastRequestNumber = 0;
 
-  constructor(private readonly parts: RentalRequestsParts) {}
+  constructor(private readonly dependencies: RentalRequestsDependencies) {}
 
   /** Requests without an answer yet. */
   get pending(): readonly Readonly<RentalRequest>[] {
@@ -53,7 +58,7 @@
 
   /** Offerings that may be rented now: those of pools not refused recently. */
   offerings(): Offering[] {
-    const { catalog, runtime } = this.parts;
+    const { catalog, runtime } = this.dependencies;
     const isRefused = (pool: MachinePool) =>
       (this.refusedUntil.get(poolKey(pool)) ?? 0) > runtime.now;
     return listOfferings(catalog.types, isRefused);
@@ -63,8 +68,8 @@
   request({ type, zone, spot }: MachinePool, count: number): void {
     const key = poolKey({ type, zone, spot });
     if (this.pending.some((pending) => poolKey(pending) === key)) return;
-    const request = `${this.parts.term.fencingToken}-${++this.lastRequestNumber}`;
-    const requestedAt = this.parts.runtime.now;
+    const request = `${this.dependencies.term.fencingToken}-${++this.lastRequestNumber}`;
+    const requestedAt = this.dependencies.runtime.now;
     const rental = { request, type, zone, spot, count, requestedAt };
     this.requests.set(request, rental);
     this.send(rental);
@@ -72,24 +77,24 @@
 
   /** Repeats overdue requests under the same name, so that no machine is rented twice. */
   repeatUnanswered(): void {
-    const { now } = this.parts.runtime;
+    const { now } = this.dependencies.runtime;
     for (const rental of this.requests.values()) {
       if (now - rental.requestedAt > REPEAT_INTERVAL_MS) this.send(rental);
     }
   }
 
   private send(rental: RentalRequest): void {
-    rental.requestedAt = this.parts.runtime.now;
-    const body = renderRent(rental);
+    rental.requestedAt = this.dependencies.runtime.now;
+    const body = renderRentalRequest(rental);
     const call = { method: 'POST', path: MACHINES_PATH, body, priority: PRIORITY.leader };
-    this.parts.cloud.send(call, (result) => this.receiveResult(rental, result));
+    this.dependencies.cloud.send(call, (result) => this.receiveResult(rental, result));
   }
 
   private receiveResult(rental: RentalRequest, result: CallResult): void {
     if (result.kind !== 'answer' || !this.requests.has(rental.request)) return;
     const hosts = rentedMachines(result);
     if (hosts === null) return;
-    const { runtime, inventory, onAllAnswered } = this.parts;
+    const { runtime, inventory, onAllAnswered } = this.dependencies;
     this.requests.delete(rental.request);
     const { type, zone, spot } = rental;
     for (const id of hosts) {
@@ -108,7 +113,7 @@
   status,
   body,
 }: Extract<CallResult, { kind: 'answer' }>): string[] | null {
-  if (status === 200) return parseOrNull(() => parseRented(body));
+  if (status === 200) return parseOrNull(() => parseRentedMachines(body));
   const lacksCapacity = status === 503 && /capacity/.test(JSON.stringify(body));
   return lacksCapacity || status === 400 ? [] : null;
 }
--- a/packages/controller/src/autoscaling/return-rules.ts
+++ b/packages/controller/src/autoscaling/return-rules.ts
@@ -61,7 +61,7 @@
   }
 
   /** Whether the machine has no bindings, and none of its heartbeats counted for a whole lease. */
-  isLongSilent(machine: Machine): boolean {
+  isInactive(machine: Machine): boolean {
     const { heartbeats, registration, bindings } = machine;
     const observedAt = Math.min(registration.firstObservedAt, this.runtime.now);
     const lastCountedAt = heartbeats.lastCountedAt ?? Math.max(this.term.electedAt, observedAt);
@@ -86,7 +86,7 @@
     if (this.inventory.isOwned(id) || !this.inventory.isOwnershipKnown) return false;
     if (health.consecutiveLostStartCount >= MAX_LOST_START_COUNT) return true;
     if (!registration.isReconciled) return includeUnreconciled;
-    return this.isLongSilent(machine) || this.isLongIdle(machine);
+    return this.isInactive(machine) || this.isLongIdle(machine);
   }
 
   /**
--- a/packages/controller/src/jobs/dependency-graph.ts
+++ b/packages/controller/src/jobs/dependency-graph.ts
@@ -117,15 +117,15 @@
   }
 
   private recordPredecessorDone(job: LiveJob, id: string, { at, revision }: JobEnd): void {
-    const doneAt = this.steadyInstant(at ?? -Infinity);
+    const doneAt = this.toMonotonicInstant(at ?? -Infinity);
     const isReleased = job.dependencies.recordPredecessorDone({ id, doneAt, revision });
     if (!isReleased) return;
     const ageMs = Math.round(this.runtime.now - job.dependencies.startableAt);
     this.runtime.log('debug', { job: job.id, ageMs }, 'job released');
   }
 
-  /** Converts a Unix time to this process's steady clock; a future time becomes now. */
-  private steadyInstant(unixTimeMs: number): Instant {
+  /** Converts a Unix time to this process's monotonic clock; a future time becomes now. */
+  private toMonotonicInstant(unixTimeMs: number): Instant {
     return this.runtime.now - Math.max(0, this.runtime.wallClock.getTime() - unixTimeMs);
   }
 
--- a/packages/controller/src/jobs/job-dependencies.ts
+++ b/packages/controller/src/jobs/job-dependencies.ts
@@ -4,7 +4,7 @@
 /** A predecessor that has ended as done. */
 interface DonePredecessor {
   readonly id: string;
-  /** When it was done, on this process's steady clock; -Infinity if unknown. */
+  /** When it was done, on this process's monotonic clock; -Infinity if unknown. */
   readonly doneAt: Instant;
   /** Revision of the commit that wrote its ended key. */
   readonly revision: number;
@@ -40,8 +40,8 @@
   }
 
   /**
-   * Earliest instant at which the tasks could start, on this process's steady clock: the later of
-   * the submission and the last predecessor's end. Infinity until the job is released.
+   * Earliest instant at which the tasks could start, on this process's monotonic clock: the later
+   * of the submission and the last predecessor's end. Infinity until the job is released.
    */
   get startableAt(): Instant {
     return this.releasedAt ?? Infinity;
--- a/packages/controller/src/jobs/live-job.ts
+++ b/packages/controller/src/jobs/live-job.ts
@@ -10,7 +10,7 @@
 /** What scheduling cycles remember of a job from one to the next; nothing else uses it. */
 interface PlacementState {
   /** When a task first found no machine since the last assignment; null if none has. */
-  starvedSince: Instant | null;
+  unplacedSince: Instant | null;
   /**
    * Start of the wait for a machine that holds the image, restarted by each assignment to such a
    * machine; null before the first wait or such assignment.
@@ -29,7 +29,7 @@
   readonly dependencies: JobDependencies;
   readonly backoff = new FailureBackoff();
   readonly placement: PlacementState = {
-    starvedSince: null,
+    unplacedSince: null,
     imageHolderWaitSince: null,
     nextPreemptionPlanAt: 0,
     gangZone: null,
@@ -44,7 +44,7 @@
     readonly acceptedSpec: JobSpec,
     /** Version of the job's key. */
     readonly version: number,
-    /** Time of the submission, on this process's steady clock. */
+    /** Time of the submission, on this process's monotonic clock. */
     readonly submittedAt: Instant,
   ) {
     this.effectiveSpec = acceptedSpec;
--- a/packages/controller/src/machines/machine-registration.ts
+++ b/packages/controller/src/machines/machine-registration.ts
@@ -36,7 +36,7 @@
     return this.reconciled;
   }
 
-  /** When its worker's first heartbeat came, on this process's steady clock; Infinity before. */
+  /** When its worker's first heartbeat came, on this process's monotonic clock; Infinity before. */
   get firstObservedAt(): Instant {
     return this.observedAt;
   }
--- a/packages/controller/src/placement/capacity-reservation.ts
+++ b/packages/controller/src/placement/capacity-reservation.ts
@@ -132,7 +132,7 @@
       cycle.hasLowerPriorityTasks(job) ||
       (cycle.hasTasksOfOtherTeams(job) && this.urgency.mayReclaimGuarantee(job));
     if (!hasVictims) return false;
-    const waited = now - (job.placement.starvedSince ?? now);
+    const waited = now - (job.placement.unplacedSince ?? now);
     return !this.fleetPolicy.canScaleOut() || waited >= this.urgency.scaleOutWait(job);
   }
 
--- a/packages/controller/src/placement/job-placement.ts
+++ b/packages/controller/src/placement/job-placement.ts
@@ -21,8 +21,8 @@
 /** Longest fetch on a volunteer, as a multiple of its time without others; see `FetchLimits`. */
 const MAX_SLOWDOWN_FACTOR = 2;
 
-/** Objects that placement uses, beside the runtime and the term. */
-export interface PlacementParts {
+/** Dependencies of `JobPlacement`, beside the runtime and the term. */
+export interface JobPlacementDependencies {
   readonly teams: TeamCapacity;
   readonly urgency: JobUrgency;
   readonly reservation: CapacityReservation;
@@ -37,13 +37,13 @@
   constructor(
     private readonly runtime: Runtime,
     private readonly term: Term,
-    private readonly parts: PlacementParts,
+    private readonly dependencies: JobPlacementDependencies,
   ) {}
 
   /** Assigns the tasks that fit now, and may reserve capacity for the others. */
   place(job: LiveJob, cycle: SchedulingCycle): void {
     const closed = job.openTasks.list().filter((task) => this.isWindowClosed(task));
-    const isStarving = this.parts.urgency.isStarving(job);
+    const isStarving = this.dependencies.urgency.isStarving(job);
     const tasks = isStarving ? closed.slice(0, MAX_STARVING_TASK_COUNT) : closed;
     const search = this.searchFor(job, cycle);
     if (cycle.unplaceableDemandKeys.has(search.demandKey))
@@ -51,13 +51,14 @@
     // A zone that had enough capacity in an earlier cycle may not have it now.
     job.placement.gangZone = null;
     const isGang = job.spec.kind === 'gang';
-    if (isGang && !fitGang(job, cycle.allowedWithFreeCapacity(job), this.parts.teams)) return;
+    if (isGang && !fitGang(job, cycle.allowedWithFreeCapacity(job), this.dependencies.teams))
+      return;
     this.assignTasks(search, tasks, cycle);
   }
 
   private assignTasks(search: PlacementSearch, tasks: OpenTask[], cycle: SchedulingCycle): void {
     const { job } = search;
-    const { teams, urgency, reservation } = this.parts;
+    const { teams, urgency, reservation } = this.dependencies;
     const isProtected = urgency.isStarving(job);
     let volunteers = this.volunteersFor(search, cycle);
     for (const [index, task] of tasks.entries()) {
@@ -75,7 +76,7 @@
         job.placement.imageHolderWaitSince = this.runtime.now;
       this.term.bindings.assign(job, task.index, chosen.machine, isProtected);
       cycle.recordAssignment();
-      job.placement.starvedSince = null;
+      job.placement.unplacedSince = null;
       volunteers.recordAssignment(chosen);
       if (!job.spec.oneZone && !job.spec.spread) continue;
       // The zone of this task restricts the machines that the next one may use.
@@ -86,12 +87,13 @@
 
   private volunteersFor({ job, ranks }: PlacementSearch, cycle: SchedulingCycle): Volunteers {
     const machines = cycle.allowedWithFreeCapacity(job);
-    return new Volunteers(job, machines, { ranks, fleetPolicy: this.parts.fleetPolicy });
+    return new Volunteers(job, machines, { ranks, fleetPolicy: this.dependencies.fleetPolicy });
   }
 
   private searchFor(job: LiveJob, cycle: SchedulingCycle): PlacementSearch {
     // Slow fetches exclude no machine for a gang, which is placed as a whole, or a starving job.
-    const ignoresFetchDelays = job.spec.kind === 'gang' || this.parts.urgency.isStarving(job);
+    const ignoresFetchDelays =
+      job.spec.kind === 'gang' || this.dependencies.urgency.isStarving(job);
     const { isShared } = this.term.fetchSharing;
     const ranks = new ImageRanks(job.spec, this.runtime.now, isShared, {
       maxSlowdownFactor: ignoresFetchDelays ? Infinity : MAX_SLOWDOWN_FACTOR,
@@ -106,18 +108,18 @@
    * early: recent heartbeats have shown which machines volunteer.
    */
   private isWindowClosed(task: OpenTask): boolean {
-    const { closeEarly, lambda } = this.runtime.operator.window;
-    return this.runtime.now - task.windowOpenedAt >= Math.min(closeEarly, lambda);
+    const { closeEarlyAfter, lambda } = this.runtime.operator.window;
+    return this.runtime.now - task.windowOpenedAt >= Math.min(closeEarlyAfter, lambda);
   }
 
   /** Restarts windows that have lasted λ, and reserves capacity for tasks that fit nowhere now. */
   private deferTasks(search: PlacementSearch, tasks: OpenTask[], cycle: SchedulingCycle): void {
     if (tasks.length === 0) return;
     const { now, operator } = this.runtime;
-    search.job.placement.starvedSince ??= now;
+    search.job.placement.unplacedSince ??= now;
     for (const task of tasks) {
       if (now - task.windowOpenedAt >= operator.window.lambda) task.windowOpenedAt = now;
     }
-    this.parts.reservation.reserve(search, tasks.length, cycle);
+    this.dependencies.reservation.reserve(search, tasks.length, cycle);
   }
 }
--- a/packages/controller/src/placement/job-urgency.ts
+++ b/packages/controller/src/placement/job-urgency.ts
@@ -76,7 +76,7 @@
   mayReclaimGuarantee(job: LiveJob): boolean {
     const { now } = this.runtime;
     const untilDeadline = this.startDeadline(job, true) - now;
-    const waited = now - (job.placement.starvedSince ?? now);
+    const waited = now - (job.placement.unplacedSince ?? now);
     return untilDeadline < RECLAIM_LEAD_MS || waited > RECLAIM_WAIT_MS;
   }
 
--- a/packages/controller/src/placement/volunteers.ts
+++ b/packages/controller/src/placement/volunteers.ts
@@ -81,7 +81,7 @@
     return {
       capacity,
       allocatedFraction: allocatedFraction(type, free),
-      price: this.rules.fleetPolicy.marginalPrice(machine, type),
+      marginalPrice: this.rules.fleetPolicy.marginalPrice(machine, type),
       recentComputeTime: machine.usage.recentComputeTime / Math.max(1, type.cpus),
       imageRank,
     };
@@ -90,4 +90,4 @@
 
 /** Orders by marginal price, lowest first, then by allocated fraction, fullest first. */
 const compareForConsolidation = (a: Volunteer, b: Volunteer): number =>
-  a.price - b.price || b.allocatedFraction - a.allocatedFraction;
+  a.marginalPrice - b.marginalPrice || b.allocatedFraction - a.allocatedFraction;
--- a/packages/controller/src/runtime/call-results.test.ts
+++ b/packages/controller/src/runtime/call-results.test.ts
@@ -7,9 +7,9 @@
   parseFailedPreconditions,
   parseItem,
   parseLeaseId,
-  parseList,
-  parsePage,
-  parseRented,
+  parseMachinePage,
+  parseItems,
+  parseRentedMachines,
 } from '@tealdock/wire';
 import { parseOrNull, parseResponse } from './call-results.js';
 import type { CallResult } from './ports.js';
@@ -33,9 +33,9 @@
     [parseFailedPreconditions, { failed: [1] }],
     [parseItem, { key: 'key', v: 1, stamp: 0.5 }],
     [parseLeaseId, { tenancy: '1' }],
-    [parseList, { hosts: [{}] }],
-    [parsePage, { epoch: 1, items: [null] }],
-    [parseRented, { hosts: [null] }],
+    [parseMachinePage, { hosts: [{}] }],
+    [parseItems, { epoch: 1, items: [null] }],
+    [parseRentedMachines, { hosts: [null] }],
   ];
   const bodies = [
     undefined,
--- a/packages/controller/src/state/sharded-table.ts
+++ b/packages/controller/src/state/sharded-table.ts
@@ -39,7 +39,7 @@
 export interface ShardedTableOptions<V> {
   keyPrefix: string;
   /** Time for which changes are collected before they are written together. */
-  gatherTime: Duration;
+  batchDelay: Duration;
   /** True if new values may wait for spare write capacity; removals always may. */
   valuesDeferrable: boolean;
   /** Receives the entries that a commit has stored, as they were when it was sent. */
@@ -120,7 +120,7 @@
     if (this.packing.remove(id)) this.scheduleFlush();
   }
 
-  private scheduleFlush(delay: Duration = this.options.gatherTime): void {
+  private scheduleFlush(delay: Duration = this.options.batchDelay): void {
     if (this.flushScheduled) return;
     this.flushScheduled = true;
     // An urgent change must not wait behind deferrable ones.
--- a/packages/controller/src/state/state-store.ts
+++ b/packages/controller/src/state/state-store.ts
@@ -4,13 +4,13 @@
   LEASES_PATH,
   keyPath,
   leasePath,
-  pagePath,
+  keyPagePath,
   parseChanges,
   parseCommitRevision,
   parseFailedPreconditions,
   parseItem,
   parseLeaseId,
-  parsePage,
+  parseItems,
   renderTransaction,
   renewPath,
   watchPath,
@@ -97,9 +97,9 @@
     const items: StateItem[] = [];
     let firstRevision: number | null = null;
     const readPage = (afterKey: string) => {
-      const path = pagePath(prefix, afterKey, PAGE_SIZE_LIMIT);
+      const path = keyPagePath(prefix, afterKey, PAGE_SIZE_LIMIT);
       this.calls.send({ method: 'GET', path, priority }, (result) => {
-        const page = parseResponse(result, parsePage);
+        const page = parseResponse(result, parseItems);
         if (!page) return onResult({ kind: 'failed' });
         items.push(...page.items);
         firstRevision ??= page.revision;
--- a/packages/controller/src/term/live-jobs.ts
+++ b/packages/controller/src/term/live-jobs.ts
@@ -51,7 +51,7 @@
     });
     this.progress = new ShardedTable(runtime, state, leadership, {
       keyPrefix: PROGRESS_PREFIX,
-      gatherTime: 0,
+      batchDelay: 0,
       valuesDeferrable: true,
       onStored: (entries) => this.applyStoredProgress(entries),
     });
--- a/packages/controller/src/term/machine-registry.ts
+++ b/packages/controller/src/term/machine-registry.ts
@@ -41,7 +41,7 @@
   ) {
     this.table = new ShardedTable(runtime, state, leadership, {
       keyPrefix: REGISTRY_PREFIX,
-      gatherTime: JOIN_BATCH_DELAY_MS,
+      batchDelay: JOIN_BATCH_DELAY_MS,
       valuesDeferrable: false,
       onStored: (entries) => this.markRegistered(entries),
     });
--- a/packages/controller/src/term/term-view.ts
+++ b/packages/controller/src/term/term-view.ts
@@ -7,7 +7,7 @@
 export interface TermStatus {
   /** Identifies the term to workers and the state service. */
   readonly fencingToken: number;
-  /** When this process won the election, on its steady clock. */
+  /** When this process won the election, on its monotonic clock. */
   readonly electedAt: Instant;
   /** True once the stored state has been read. */
   readonly stateLoaded: boolean;
--- a/packages/scheduler/src/pareto-front.ts
+++ b/packages/scheduler/src/pareto-front.ts
@@ -5,7 +5,7 @@
   /** Allocated fraction of the machine's most allocated resource, from 0 to 1. */
   allocatedFraction: number;
   /** How much a task on the machine adds to the hourly cost of the fleet; 0 if nothing. */
-  price: number;
+  marginalPrice: number;
   /** Computing time of the machine's tasks in ms per CPU; earlier time counts less. */
   recentComputeTime: number;
   /**
@@ -18,10 +18,10 @@
 /** Whether `a` is at least as good as `b` by each of the three criteria, and better by one. */
 export const dominates = (a: Volunteer, b: Volunteer): boolean =>
   a.allocatedFraction <= b.allocatedFraction &&
-  a.price <= b.price &&
+  a.marginalPrice <= b.marginalPrice &&
   a.recentComputeTime <= b.recentComputeTime &&
   (a.allocatedFraction < b.allocatedFraction ||
-    a.price < b.price ||
+    a.marginalPrice < b.marginalPrice ||
     a.recentComputeTime < b.recentComputeTime);
 
 /**
--- a/packages/testing/src/checker/rule-checker.test.ts
+++ b/packages/testing/src/checker/rule-checker.test.ts
@@ -75,7 +75,7 @@
 
 test('an invalid job that is accepted is reported', () => {
   const harness = new CheckerHarness();
-  harness.checker.mustRefuse('run-000009');
+  harness.checker.expectRefusal('run-000009');
   harness.checker.noteResponse('run-000009', 422, undefined, false, null);
   assert.deepEqual(harness.violatedRules(), []);
   harness.checker.noteResponse('run-000009', 201, 'queued', false, null);
@@ -171,7 +171,7 @@
     cancellationLimit: 45_000,
     leaderLease: 5000,
   };
-  const cluster = readyCluster({ times, believedLease: 20_000 });
+  const cluster = readyCluster({ times, configuredWorkerLease: 20_000 });
   cluster.submit(job(1, { batch: 4, expected_s: 500 }), 'n-0');
   assert.ok(cluster.runUntil(() => runningTaskCount(cluster) === 4, 20_000));
   for (const w of cluster.workers.values()) w.isHung = true;
--- a/packages/testing/src/checker/rule-checker.ts
+++ b/packages/testing/src/checker/rule-checker.ts
@@ -51,7 +51,7 @@
   }
 
   /** Submissions under this id are invalid, so that none may be accepted. */
-  mustRefuse(id: string): void {
+  expectRefusal(id: string): void {
     if (!this.jobs.has(id)) this.invalidIds.add(id);
   }
 
--- a/packages/testing/src/fakes/fake-cloud.ts
+++ b/packages/testing/src/fakes/fake-cloud.ts
@@ -50,7 +50,7 @@
   ) {}
 
   /** Adds a machine, also beyond the capacity; it is ready after `bootTime` ms. */
-  add(zone: string, spot = false, bootTime = 0): CloudMachine {
+  addMachine(zone: string, spot = false, bootTime = 0): CloudMachine {
     const id = `m-${String(++this.lastNumber).padStart(6, '0')}`;
     const machine = {
       id,
@@ -65,7 +65,7 @@
   }
 
   /** Removes a machine, because it is returned or because the cloud reclaims it. */
-  take(id: string): void {
+  removeMachine(id: string): void {
     if (this.machines.delete(id)) this.onMachineRemoved(id);
   }
 
@@ -74,7 +74,7 @@
     if (this.down) return answer(503, { error: 'trouble' });
     if (path === '/catalog') return answer(200, { flavours: [MACHINE_TYPE] });
     if (path === '/machines/return') {
-      for (const id of (body as { hosts: string[] }).hosts) this.take(id);
+      for (const id of (body as { hosts: string[] }).hosts) this.removeMachine(id);
       return answer(200, {});
     }
     return path === '/machines' ? this.rent(body as RentalRequest) : this.list(path);
@@ -89,7 +89,7 @@
     if (freeCount <= 0) return answer(503, { error: 'no capacity' });
     const hosts: string[] = [];
     for (let i = 0; i < Math.min(freeCount, r.count); i++) {
-      hosts.push(this.add(r.hall, r.spare, 6000).id);
+      hosts.push(this.addMachine(r.hall, r.spare, 6000).id);
     }
     this.rentedIds.push(...hosts);
     this.hostsByRental.set(r.rental, hosts);
--- a/packages/testing/src/fakes/fake-sockets.ts
+++ b/packages/testing/src/fakes/fake-sockets.ts
@@ -32,7 +32,7 @@
   /** The largest number of sockets open at once, including `ownSocketCount`. */
   maxCount = 0;
   /** Requests that were rejected for lack of a socket. */
-  turnedAwayCount = 0;
+  rejectedRequestCount = 0;
   private readonly connections: Connections;
   private readonly connectionsByClient = new Map<string, ClientConnection>();
   private readonly maxClientCount: number;
@@ -59,7 +59,7 @@
   request(client: string, kind: ClientKind): ClientConnection | 'rejected' {
     const connection = this.connectionsByClient.get(client) ?? this.open(client);
     if (connection && this.connections.admitRequest(connection, kind)) return connection;
-    this.turnedAwayCount++;
+    this.rejectedRequestCount++;
     connection?.destroy();
     return 'rejected';
   }
--- a/packages/testing/src/fakes/fake-worker.ts
+++ b/packages/testing/src/fakes/fake-worker.ts
@@ -28,7 +28,7 @@
   /** Preemption notice of the cloud: seconds until the machine is reclaimed; null without one. */
   reclaimWarningSeconds: number | null = null;
   /** The machine has been terminated: it sends no heartbeats and ignores responses. */
-  isGone = false;
+  isTerminated = false;
   /**
    * The machine makes no progress and sends nothing; received commands are buffered, as in its
    * sockets, and responses to heartbeats are lost.
@@ -58,7 +58,7 @@
   }
 
   tick(): void {
-    if (this.isGone) return;
+    if (this.isTerminated) return;
     const now = this.host.now();
     // The lease also expires while the machine hangs: its tasks may not resume afterwards.
     if (now - this.leaseRenewedAt > this.host.leaseDuration) this.startNewEpoch(now);
@@ -104,7 +104,7 @@
   }
 
   /** Empties the image cache, which heartbeats do not report. */
-  dropImages(): void {
+  clearImageCache(): void {
     this.cachedImages.clear();
     this.fetchedGb.clear();
   }
@@ -191,7 +191,7 @@
     this.inFlight = { sentAt: now, agentEpoch: this.agentEpoch, id };
     const node = this.host.nodeNames[this.nodeIndex]!;
     this.host.sendHeartbeat(this, node, this.heartbeatBody(), (r) => {
-      if (this.inFlight?.id === id && !this.isGone && !this.isHung) this.handleResponse(r);
+      if (this.inFlight?.id === id && !this.isTerminated && !this.isHung) this.handleResponse(r);
     });
   }
 
--- a/packages/testing/src/scenarios/combined-faults.test.ts
+++ b/packages/testing/src/scenarios/combined-faults.test.ts
@@ -243,9 +243,9 @@
     cluster.submit(job(3, { batch: 5, apart: true, expected_s: 20 }), 'n-2');
     assert.ok(cluster.runUntil(() => runningTaskCount(cluster) > 10, 40_000));
     for (const w of workers(cluster).filter((x) => x.machine.zone === 'b'))
-      cluster.cloud.take(w.machine.id);
+      cluster.cloud.removeMachine(w.machine.id);
     cluster.run(times.lease);
-    for (let i = 0; i < 2; i++) cluster.cloud.add('b');
+    for (let i = 0; i < 2; i++) cluster.cloud.addMachine('b');
     assertRecovery(cluster, [1, 2, 3]);
   },
 );
--- a/packages/testing/src/scenarios/fetches.test.ts
+++ b/packages/testing/src/scenarios/fetches.test.ts
@@ -79,7 +79,7 @@
   submitJobsWithOwnImages(cluster, 1, 1, 20);
   maxConcurrentFetches(cluster, 1, 1);
   const worker = [...cluster.workers.values()][0]!;
-  worker.dropImages();
+  worker.clearImageCache();
   cluster.submit(job(2, { batch: 1, bundle: 'img-1', image_gb: 20, expected_s: 5 }), 'n-0');
   cluster.run(2500);
   assert.deepEqual(worker.imagesBeingFetched(), ['img-1']);
--- a/packages/testing/src/scenarios/fleet.test.ts
+++ b/packages/testing/src/scenarios/fleet.test.ts
@@ -52,7 +52,7 @@
   const expiredLeases = [...cluster.workers.values()].filter((w) => w.agentEpoch > 2).length;
   assert.equal(expiredLeases, 0, 'no lease expired while heartbeats were queued');
   assert.ok(cluster.processes.maxSocketCount() <= LIMITS.sockets);
-  assert.equal(cluster.processes.turnedAwayCount(), 0);
+  assert.equal(cluster.processes.rejectedRequestCount(), 0);
 });
 
 const SHARES = socketShares({ maxConnections: 200, peers: [] });
@@ -64,7 +64,7 @@
   private readonly connections = new Connections(SHARES, 5000, () => this.time);
   private readonly sockets = new Map<string, Closable>();
 
-  /** A client sends a request, and connects first if needed; false if it is turned away. */
+  /** A client sends a request, and connects first if needed; false if it is rejected. */
   request(name: string, client: 'worker' | 'user' | 'probe', answered = true): boolean {
     const socket = this.sockets.get(name) ?? { destroy: () => this.closedSockets.push(name) };
     if (!this.sockets.has(name)) this.connections.connectionOpened(socket);
@@ -149,7 +149,7 @@
     `${cluster.cloud.rentedIds.length} machines`,
   );
   assert.ok(cluster.cloud.rentedIds.length > workers / 2);
-  assert.equal(cluster.processes.turnedAwayCount(), 0);
+  assert.equal(cluster.processes.rejectedRequestCount(), 0);
   assertNoViolations(cluster);
 });
 
--- a/packages/testing/src/scenarios/scale.test.ts
+++ b/packages/testing/src/scenarios/large-clusters.test.ts
@@ -20,7 +20,7 @@
 test('a thousand machines are registered with few writes to the state service', () => {
   const cluster = readyCluster({}, 1);
   const calls = recordCalls(cluster);
-  for (let i = 0; i < 1000; i++) cluster.cloud.add(i % 2 ? 'a' : 'b');
+  for (let i = 0; i < 1000; i++) cluster.cloud.addMachine(i % 2 ? 'a' : 'b');
   cluster.run(15_000);
   const enrolled = [...cluster.state.keys]
     .filter(([key]) => key.includes('/roster/'))
@@ -77,7 +77,7 @@
   const draw = (steps: number) => Math.floor(uniformFloat64(generator) * steps);
   return Array.from({ length: count }, () => ({
     allocatedFraction: draw(9) / 8,
-    price: draw(4) / 10,
+    marginalPrice: draw(4) / 10,
     recentComputeTime: draw(1000),
     imageRank: draw(4),
   }));
--- a/packages/testing/src/scenarios/late-messages.test.ts
+++ b/packages/testing/src/scenarios/late-messages.test.ts
@@ -103,7 +103,7 @@
     for (const w of workers(cluster)) cluster.network.cutHeartbeatsOf(w.machine.id);
     cluster.fleet.duplicateTarget = () => cluster.leader();
     cluster.crash(cluster.leader()!);
-    for (let i = 0; i < 4; i++) cluster.cloud.add('a');
+    for (let i = 0; i < 4; i++) cluster.cloud.addMachine('a');
     cluster.run(18_000);
     for (const w of workers(cluster)) cluster.network.restoreHeartbeatsOf(w.machine.id);
     assertRecovery(cluster, [1]);
@@ -125,7 +125,7 @@
     };
     for (const n of numbers) cluster.at(n * 2000, () => submitWithRetries(n));
     for (const n of [2, 5]) cluster.at(n * 2000 + 9000, () => cluster.cancel(jobId(n), 'n-1'));
-    cluster.at(15_000, () => cluster.cloud.add('b'));
+    cluster.at(15_000, () => cluster.cloud.addMachine('b'));
     cluster.run(30_000);
     cluster.crash(cluster.leader()!);
     cluster.run(40_000);
--- a/packages/testing/src/scenarios/older-versions.test.ts
+++ b/packages/testing/src/scenarios/older-versions.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import {
   PeerDecoder,
-  packPeer,
+  packPeerMessage,
   predecessorsOf,
   type JobSpec,
   type PeerMessage,
@@ -52,7 +52,7 @@
   }
   cluster.state.epoch = recorded.epoch;
   // Machine ids are never reused, so the recorded machines no longer exist: use up their ids.
-  for (let i = 0; i < 60; i++) cluster.cloud.take(cluster.cloud.add('a').id);
+  for (let i = 0; i < 60; i++) cluster.cloud.removeMachine(cluster.cloud.addMachine('a').id);
   for (const n of cluster.nodeNames) {
     cluster.crash(n);
     cluster.boot(n);
@@ -96,7 +96,7 @@
         const decodedValue = (decoded as unknown as Record<string, unknown>)[name];
         assert.equal(JSON.stringify(decodedValue), JSON.stringify(value), name);
       }
-      assert.deepEqual(packPeer(sent as PeerMessage), bytes);
+      assert.deepEqual(packPeerMessage(sent as PeerMessage), bytes);
     }
   },
 );
@@ -150,7 +150,7 @@
   'a new job may depend on jobs that were done or cancelled under the older version',
   (recorded) => {
     const cluster = clusterOnStoredState(recorded);
-    for (let i = 0; i < 2; i++) cluster.cloud.add('a');
+    for (let i = 0; i < 2; i++) cluster.cloud.addMachine('a');
     cluster.run(40_000);
     const ended = recorded.keys.filter((k) => k.key.includes('/ended/'));
     const doneJob = ended
@@ -237,7 +237,7 @@
   (recorded) => {
     for (const seed of [1, 2, 3]) {
       const cluster = clusterOnStoredState(recorded, { seed, capacity: 8, runTime: 5000 });
-      for (let i = 0; i < 4; i++) cluster.cloud.add(i % 2 ? 'a' : 'b');
+      for (let i = 0; i < 4; i++) cluster.cloud.addMachine(i % 2 ? 'a' : 'b');
       cluster.run(5000);
       for (let n = 101; n <= 112; n++) {
         const waits = n > 104 ? [jobId(n - 1), jobId(n - 3)] : [];
--- a/packages/testing/src/scenarios/placement.test.ts
+++ b/packages/testing/src/scenarios/placement.test.ts
@@ -49,8 +49,8 @@
   cluster.run(12_000);
   const ids = [...cluster.workers.keys()].slice(0, 3);
   cluster.workers.get(ids[0]!)!.reclaimWarningSeconds = 6;
-  cluster.at(6000, () => cluster.cloud.take(ids[0]!));
-  for (const id of ids.slice(1)) cluster.cloud.take(id);
+  cluster.at(6000, () => cluster.cloud.removeMachine(ids[0]!));
+  for (const id of ids.slice(1)) cluster.cloud.removeMachine(id);
   assert.ok(runUntilDone(cluster, JOB1, 300_000));
   assertNoViolations(cluster);
 });
--- a/packages/testing/src/scenarios/rolling-upgrade.test.ts
+++ b/packages/testing/src/scenarios/rolling-upgrade.test.ts
@@ -37,7 +37,7 @@
     cluster.crash(n);
     cluster.processes.bootOlderVersion(n);
   }
-  for (let i = 0; i < 8; i++) cluster.cloud.add(i % 2 ? 'a' : 'b');
+  for (let i = 0; i < 8; i++) cluster.cloud.addMachine(i % 2 ? 'a' : 'b');
   cluster.run(8000);
   for (let n = 1; n <= 6; n++) {
     cluster.submit(job(n, { batch: 4, expected_s: n % 2 ? 60 : 15 }), cluster.nodeNames[n % 3]!);
--- a/packages/testing/src/scenarios/single-faults.test.ts
+++ b/packages/testing/src/scenarios/single-faults.test.ts
@@ -201,8 +201,8 @@
     call.writeCount > 0 && JSON.stringify(call.body).includes('tealdock/roster') && late++ === 0
       ? 'late'
       : undefined;
-  cluster.cloud.add('a');
-  cluster.at(5000, () => cluster.cloud.add('b'));
+  cluster.cloud.addMachine('a');
+  cluster.at(5000, () => cluster.cloud.addMachine('b'));
   cluster.run(25_000);
   assert.ok(late > 1, 'one commit was late, others came after it');
   const registry = [...cluster.state.keys]
--- a/packages/testing/src/scenarios/steps.ts
+++ b/packages/testing/src/scenarios/steps.ts
@@ -17,7 +17,7 @@
 /** A cluster with an elected leader and this many machines, in zones `a` and `b` in turn. */
 export function readyCluster(options: ClusterOptions = {}, machineCount = 2): SimulatedCluster {
   const cluster = new SimulatedCluster(options);
-  for (let i = 0; i < machineCount; i++) cluster.cloud.add(i % 2 === 0 ? 'a' : 'b');
+  for (let i = 0; i < machineCount; i++) cluster.cloud.addMachine(i % 2 === 0 ? 'a' : 'b');
   cluster.run(8000);
   assert.ok(cluster.leader(), 'a leader is elected');
   return cluster;
--- a/packages/testing/src/scenarios/zones.test.ts
+++ b/packages/testing/src/scenarios/zones.test.ts
@@ -97,7 +97,7 @@
   const cluster = busyCluster();
   const { machines } = partitionZones(cluster);
   cluster.run(15_000);
-  cluster.cloud.take(machines[0]!);
+  cluster.cloud.removeMachine(machines[0]!);
   cluster.run(20_000);
   cluster.network.cuts.clear();
   assert.ok(runUntilDone(cluster, JOB1, 300_000));
@@ -116,7 +116,7 @@
   };
   refuse();
   cluster.run(10_000);
-  for (let i = 0; i < 3; i++) cluster.cloud.add('a');
+  for (let i = 0; i < 3; i++) cluster.cloud.addMachine('a');
   cluster.run(10_000);
   const delegated = cluster.logLines.some((l) => l.message === 'lease renewal delegated');
   assert.ok(!delegated, 'no grant is requested');
--- a/packages/testing/src/simulation/cluster-options.ts
+++ b/packages/testing/src/simulation/cluster-options.ts
@@ -43,7 +43,7 @@
    * Worker lease in the controllers' settings, if it differs from the workers' own. A shorter one
    * breaks a safety guard on purpose.
    */
-  believedLease?: number;
+  configuredWorkerLease?: number;
   times?: DeploymentTimes;
   /** Notified of everything that crosses the boundary of the nodes. */
   observer?: WireObserver;
@@ -128,9 +128,14 @@
   options: ClusterOptions,
   limits: StateLimits,
 ): Settings {
-  const { cpuLimit = DEFAULT_CPU_LIMIT, guarantee, believedLease, times = DEFAULT_TIMES } = options;
+  const {
+    cpuLimit = DEFAULT_CPU_LIMIT,
+    guarantee,
+    configuredWorkerLease,
+    times = DEFAULT_TIMES,
+  } = options;
   const settings = settingsFor(member, cpuLimit, guarantee, times);
-  settings.workerLeaseDuration = believedLease ?? times.lease;
+  settings.workerLeaseDuration = configuredWorkerLease ?? times.lease;
   settings.maxConnections = options.limits?.sockets ?? settings.maxConnections;
   settings.state = { ...settings.state, ...limits, ...options.limits };
   return settings;
--- a/packages/testing/src/simulation/controller-processes.ts
+++ b/packages/testing/src/simulation/controller-processes.ts
@@ -112,9 +112,9 @@
   }
 
   /** Requests that the running processes have rejected for lack of a socket. */
-  turnedAwayCount(): number {
+  rejectedRequestCount(): number {
     return [...this.running.values()].reduce(
-      (sum, { sockets }) => sum + sockets.turnedAwayCount,
+      (sum, { sockets }) => sum + sockets.rejectedRequestCount,
       0,
     );
   }
--- a/packages/testing/src/simulation/random-faults.test.ts
+++ b/packages/testing/src/simulation/random-faults.test.ts
@@ -16,7 +16,7 @@
 
 test('the checker detects that controllers with too short a worker lease run tasks twice', () => {
   const violations = SEEDS.flatMap(
-    (seed) => runRandomFaults({ seed, believedLease: 1000 }).cluster.checker.violations,
+    (seed) => runRandomFaults({ seed, configuredWorkerLease: 1000 }).cluster.checker.violations,
   );
   assert.ok(violations.some((v) => v.startsWith('ran_twice')));
 });
--- a/packages/testing/src/simulation/random-faults.ts
+++ b/packages/testing/src/simulation/random-faults.ts
@@ -59,7 +59,7 @@
 
 function reclaimMachine(cluster: SimulatedCluster): void {
   const id = pick(cluster, [...cluster.cloud.machines.keys()]);
-  if (id) cluster.cloud.take(id);
+  if (id) cluster.cloud.removeMachine(id);
 }
 
 function cutResponses(cluster: SimulatedCluster): void {
@@ -280,7 +280,7 @@
   unfinishedJobs: string[];
 } {
   const cluster = new SimulatedCluster({ capacity: 6, cpuLimit: 16, ...options });
-  for (let i = 0; i < workload.ownedMachineCount; i++) cluster.cloud.add(i % 2 ? 'a' : 'b');
+  for (let i = 0; i < workload.ownedMachineCount; i++) cluster.cloud.addMachine(i % 2 ? 'a' : 'b');
   const ids = Array.from({ length: JOB_COUNT }, (_, i) => i + 1);
   for (const i of ids) scheduleUser(cluster, i, workload);
   for (let at = 8000; at < FAULT_PERIOD_MS; at += FAULT_INTERVAL_MS) {
--- a/packages/testing/src/simulation/simulated-users.ts
+++ b/packages/testing/src/simulation/simulated-users.ts
@@ -36,7 +36,7 @@
   /** Submits a job that must be refused because it fits no machine or lacks a field. */
   submitInvalid(job: Record<string, unknown>, node: string, done?: OnReply): void {
     const id = String(job['ref']);
-    this.checker.mustRefuse(id);
+    this.checker.expectRefusal(id);
     this.post('/api/jobs', job, id, node, done);
   }
 
--- a/packages/testing/src/simulation/worker-fleet.ts
+++ b/packages/testing/src/simulation/worker-fleet.ts
@@ -69,7 +69,7 @@
     for (const task of worker.tasks) {
       if (task.status === 'running') this.noteEnd(task.piece, id, 'gone');
     }
-    worker.isGone = true;
+    worker.isTerminated = true;
     this.workers.delete(id);
   }
 
--- a/packages/testing/src/soak/fault-injector.ts
+++ b/packages/testing/src/soak/fault-injector.ts
@@ -195,8 +195,8 @@
       machine_replaced: (fault: PlannedFault) => {
         const [first] = this.affectedMachineIds(fault);
         if (first === undefined) return;
-        this.site.cloud.take(first);
-        this.site.cloud.add('a');
+        this.site.cloud.removeMachine(first);
+        this.site.cloud.addMachine('a');
       },
     };
   }
--- a/packages/testing/src/soak/loopback-site.ts
+++ b/packages/testing/src/soak/loopback-site.ts
@@ -130,7 +130,7 @@
       this.httpPorts.set(name, own.http);
       this.processes.set(name, this.createProcess(name, file, operatorFile));
     }
-    for (let i = 0; i < this.machineCount; i++) this.cloud.add(i % 2 === 0 ? 'a' : 'b');
+    for (let i = 0; i < this.machineCount; i++) this.cloud.addMachine(i % 2 === 0 ? 'a' : 'b');
     for (const process of this.processes.values()) process.start();
     this.tick(performance.now());
   }
--- a/packages/testing/src/soak/worker-host.ts
+++ b/packages/testing/src/soak/worker-host.ts
@@ -120,7 +120,7 @@
     if (!machine) return;
     for (const t of machine.worker.tasks)
       if (t.status === 'running') this.noteEnd(t.piece, id, 'gone');
-    machine.worker.isGone = true;
+    machine.worker.isTerminated = true;
     this.machines.delete(id);
     machine.client.close();
     closeStandIn(machine.server);
--- a/packages/testing/src/unit/typed-errors.test.ts
+++ b/packages/testing/src/unit/typed-errors.test.ts
@@ -5,14 +5,14 @@
   PeerProtocolError,
   SettingsError,
   WireError,
-  packPeer,
+  packPeerMessage,
   parseItem,
   parseOperatorSettings,
   parseSettings,
   unpackBody,
 } from '@tealdock/wire';
 
-/** A frame as `packPeer` makes it, with these bytes as its record. */
+/** A frame as `packPeerMessage` makes it, with these bytes as its record. */
 function frame(kind: number, record: Buffer, length = record.length): Buffer {
   const header = Buffer.alloc(5);
   header.writeUInt32BE(length, 0);
@@ -43,7 +43,7 @@
 });
 
 test('a frame in pieces is decoded once it is complete', () => {
-  const bytes = packPeer({ kind: 'answer', id: 1, status: 200, body: Buffer.from('b') });
+  const bytes = packPeerMessage({ kind: 'answer', id: 1, status: 200, body: Buffer.from('b') });
   const decoder = new PeerDecoder();
   assert.deepEqual(decoder.push(bytes.subarray(0, 3)), []);
   assert.equal(decoder.push(bytes.subarray(3)).length, 1);
--- a/packages/testing/src/wire-trace/wire-trace.ts
+++ b/packages/testing/src/wire-trace/wire-trace.ts
@@ -1,6 +1,6 @@
 /** A digest of everything that crosses the boundary of a simulated cluster's nodes. */
 import { createHash } from 'node:crypto';
-import { packBody, packPeer, type PeerMessage } from '@tealdock/wire';
+import { packBody, packPeerMessage, type PeerMessage } from '@tealdock/wire';
 import type { Call, CallResult, HttpRequest, Reply } from '@tealdock/controller';
 
 /** Observer of the messages that cross the boundary of the nodes; `at` is the time in ms. */
@@ -53,7 +53,7 @@
   }
 
   frame(at: number, from: string, to: string, message: PeerMessage): void {
-    this.add(['frame', at, from, to], packPeer(message));
+    this.add(['frame', at, from, to], packPeerMessage(message));
   }
 
   /** Adds the state service's entries at the end of a run, each with its revision. */
--- a/packages/wire/src/cloud.ts
+++ b/packages/wire/src/cloud.ts
@@ -81,7 +81,7 @@
 }
 
 /** The body of a rental request. */
-export const renderRent = (request: RentRequest): Record<string, unknown> => ({
+export const renderRentalRequest = (request: RentRequest): Record<string, unknown> => ({
   rental: request.request,
   flavour: request.type,
   hall: request.zone,
@@ -90,17 +90,18 @@
 });
 
 /** Parses the response to a rental: the ids of the rented machines; throws `WireError`. */
-export const parseRented = (body: unknown): string[] => validateBody(rentedSchema, body).hosts;
+export const parseRentedMachines = (body: unknown): string[] =>
+  validateBody(rentedSchema, body).hosts;
 
 /** The body of a request that returns machines, by their ids. */
 export const renderReturn = (machines: string[]): Record<string, unknown> => ({ hosts: machines });
 
 /** The path of the page of the machine list that follows the id `after`; '' for the first page. */
-export const listPath = (after: string): string =>
+export const machinePagePath = (after: string): string =>
   `${MACHINES_PATH}?after=${encodeURIComponent(after)}&most=${MAX_PAGE_MACHINE_COUNT}`;
 
 /** Parses a page of the machine list; `more` if another page follows. Throws `WireError`. */
-export function parseList(body: unknown): { machines: ListedMachine[]; more: boolean } {
+export function parseMachinePage(body: unknown): { machines: ListedMachine[]; more: boolean } {
   const page = validateBody(machinePageSchema, body);
   return {
     more: page.has_next ?? false,
--- a/packages/wire/src/operator-settings.ts
+++ b/packages/wire/src/operator-settings.ts
@@ -35,7 +35,7 @@
     /** Longest time that a task waits for candidate machines: λ of the paper. */
     lambda: Duration;
     /** Time after which a window may close early: recent heartbeats have shown candidates. */
-    closeEarly: Duration;
+    closeEarlyAfter: Duration;
     /** How long the answer to a heartbeat may be held back in case a start gets assigned. */
     longPollTimeout: Duration;
   };
@@ -66,7 +66,7 @@
   return {
     window: {
       lambda: millisecondsOf(window.lambda_s),
-      closeEarly: millisecondsOf(window.close_early_s),
+      closeEarlyAfter: millisecondsOf(window.close_early_s),
       longPollTimeout: millisecondsOf(window.hold_answer_s),
     },
     leadership: {
--- a/packages/wire/src/peers.ts
+++ b/packages/wire/src/peers.ts
@@ -105,7 +105,7 @@
 }
 
 /** Encodes a message as a frame: header, then the Avro record. */
-export function packPeer(message: PeerMessage): Buffer {
+export function packPeerMessage(message: PeerMessage): Buffer {
   const body = TYPES[message.kind].toBuffer(toRecord(message));
   const frame = Buffer.alloc(HEADER_BYTES + body.length);
   frame.writeUInt32BE(body.length, 0);
--- a/packages/wire/src/state.ts
+++ b/packages/wire/src/state.ts
@@ -61,7 +61,7 @@
 /** The path of a key. */
 export const keyPath = (key: string): string => `/keys/${key}`;
 /** The path of the page of keys with a prefix that follows the key `after`; '' for the first. */
-export const pagePath = (prefix: string, after: string, limit: number): string =>
+export const keyPagePath = (prefix: string, after: string, limit: number): string =>
   `/keys?starts=${prefix}&most=${limit}${after ? `&after=${after}` : ''}`;
 /** The path of a watch that waits up to `timeout` for changes after a revision. */
 export const watchPath = (prefix: string, afterRevision: number, timeout: Duration): string =>
@@ -77,7 +77,7 @@
  * Parses a page of stored keys and the store's revision; `more` if another page follows. Throws
  * `WireError`.
  */
-export function parsePage(body: unknown): { items: StateItem[]; more: boolean; revision: number } {
+export function parseItems(body: unknown): { items: StateItem[]; more: boolean; revision: number } {
   const page = validateBody(pageSchema, body);
   return { items: page.items.map(itemFrom), more: page.has_next ?? false, revision: page.epoch };
 }
