--- a/packages/adapters/src/connections.ts
+++ b/packages/adapters/src/connections.ts
@@ -10,7 +10,7 @@
 
 /** The part of a socket's interface that `Connections` needs. */
 export interface Closable {
-  /** Closes the socket at once. */
+  /** Closes the socket immediately. */
   destroy(): unknown;
 }
 
@@ -28,7 +28,7 @@
 /** Idle timeout of surplus connections: short, since there are few places for rejected clients. */
 const SURPLUS_TIMEOUT_MS = 2000;
 const USER_IDLE_TIMEOUT_MS = 60_000;
-/** After this many missed heartbeats, a worker is gone or will open a new connection. */
+/** A worker that has missed this many heartbeats has failed or will open a new connection. */
 const MISSED_HEARTBEAT_COUNT = 4;
 const MIN_WORKER_IDLE_TIMEOUT_MS = 15_000;
 
--- a/packages/adapters/src/token-bucket.ts
+++ b/packages/adapters/src/token-bucket.ts
@@ -9,7 +9,7 @@
 
 /** A request for tokens; exactly one of `run` and `drop` is called. */
 export interface TokenRequest {
-  /** Number of tokens to take; a request for 0 runs at once. */
+  /** Number of tokens to take; a request for 0 runs immediately. */
   cost: number;
   /** Requests with a lower number run first. */
   priority: number;
@@ -23,7 +23,7 @@
   expiresAt: Instant;
 }
 
-/** Requests that may be queued at the same time; further ones are dropped at once. */
+/** Requests that may be queued at the same time; further ones are dropped immediately. */
 const MAX_QUEUE_COUNT = 500;
 const MIN_REFILL_DELAY_MS = 1;
 
--- a/packages/controller/src/authority/authority.ts
+++ b/packages/controller/src/authority/authority.ts
@@ -36,8 +36,9 @@
 }
 
 /**
- * Decides what a leader may do now (docs/safety.md, "What each path acts on"). Decisions have no
- * side effects and can be requested at any time; the callers that act on them write the log.
+ * Decides which actions a leader may take now (docs/safety.md, "What each path acts on").
+ * Decisions have no side effects and can be requested at any time; the callers that act on them
+ * write the log.
  */
 export class Authority {
   constructor(
--- a/packages/controller/src/autoscaling/autoscaler.ts
+++ b/packages/controller/src/autoscaling/autoscaler.ts
@@ -109,7 +109,10 @@
     this.rentForBacklog();
   }
 
-  /** Requests machines that are still missing at once, from other pools if some were refused. */
+  /**
+   * Requests machines that are still missing. Does not wait for the next check; uses other pools
+   * if some were refused.
+   */
   private scaleOutAgain(): void {
     if (this.mayAct() && this.rentals.pending.length === 0) this.rentForBacklog();
   }
--- a/packages/controller/src/autoscaling/rental-backlog.ts
+++ b/packages/controller/src/autoscaling/rental-backlog.ts
@@ -23,7 +23,7 @@
   startDeadline: Instant;
 }
 
-/** Lists unbound tasks, and the headroom: spare capacity for tasks to come. */
+/** Lists unbound tasks, and the headroom: spare capacity for future tasks. */
 export class RentalBacklog {
   constructor(
     private readonly runtime: Runtime,
@@ -88,7 +88,7 @@
     return minSlotPrice(offerings, job.spec) * CHEAP_PRICE_FACTOR;
   }
 
-  /** With the policy `fast`: capacity for jobs to come, in proportion to the work of live jobs. */
+  /** With the policy `fast`: capacity for future jobs, in proportion to the work of live jobs. */
   private headroomEntries(): BacklogEntry[] {
     if (this.inventory.policy !== 'fast') return [];
     const { headroom } = this.runtime.operator.fleet;
--- a/packages/controller/src/autoscaling/return-rules.ts
+++ b/packages/controller/src/autoscaling/return-rules.ts
@@ -91,7 +91,7 @@
 
   /**
    * Whether the machine is silent, and missing from the list although it should be on it. This
-   * does not prove that the machine is gone; the answer to its return will.
+   * does not prove that the machine is terminated; the answer to its return does.
    */
   private hasVanished({ id, heartbeats, registration }: Machine): boolean {
     const { listCompleteUntil, listedMachines } = this.inventory;
@@ -113,14 +113,14 @@
 
   /**
    * Whether to return rented machines that are not reconciled, since they are few. The answers to
-   * their returns prove that they are gone sooner than the expiry of their leases would.
+   * their returns prove their termination sooner than their leases would expire.
    */
   private shouldReturnUnreconciled(): boolean {
     const termAge = this.runtime.now - this.term.electedAt;
     if (termAge < FEW_UNRECONCILED_TIMEOUT_MS) return false;
     const unreconciledCount = this.term.unreconciledMachines().length;
     const machineCount = this.term.machines.size;
-    // In a small fleet, the last such machine is more likely slow than gone, and costly to lose.
+    // In a small fleet, the last such machine is more likely slow than failed, and costly to lose.
     if (termAge < UNRECONCILED_TIMEOUT_MS)
       return unreconciledCount <= machineCount * FEW_UNRECONCILED_FRACTION;
     return unreconciledCount <= Math.max(1, machineCount * UNRECONCILED_FRACTION);
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -60,7 +60,7 @@
 
   /**
    * Applies commands and runs the timers that are due, and returns the effects to carry out. `now`
-   * is the time on the process's monotonic clock, `wallClock` the time of day. The first call
+   * is the time on the process's monotonic clock, `wallClock` the wall-clock time. The first call
    * starts the node.
    */
   process(commands: Command[], now: Instant, wallClock: Date): Effect[] {
--- a/packages/controller/src/jobs/ancestor-check.ts
+++ b/packages/controller/src/jobs/ancestor-check.ts
@@ -6,11 +6,11 @@
 
 /**
  * `unknown`: some lookup gave no answer, or there were more ancestors than one check may look up.
- * The results so far are kept, so a later check gets further.
+ * The results so far are cached, so a later check gets further.
  */
 export type AncestorVerdict = 'none_cancelled' | 'cancelled' | 'unknown';
 
-/** Limits of one check: keys that it reads in all, and proofs that it requests at once. */
+/** Limits of one check: keys that it reads in total, and proofs that it requests together. */
 const MAX_READ_COUNT = 40;
 const MAX_PROOF_COUNT = 400;
 /** Upper limit of the time for which a proof that a job is live is reused. */
--- a/packages/controller/src/jobs/binding.ts
+++ b/packages/controller/src/jobs/binding.ts
@@ -6,7 +6,7 @@
 
 /** How and why a task is to be stopped. */
 export interface StopRequest {
-  /** Time that the task may take to save its state; 0 stops it at once. */
+  /** Time that the task may take to save its state; 0 stops it immediately. */
   gracePeriod: Duration;
   /** For the log. */
   reason: string;
@@ -170,7 +170,7 @@
   }
 
   /**
-   * When the task must be gone from its machine at the latest. Null unless its job has ended in
+   * Latest time at which the task may still be on its machine. Null unless its job has ended in
    * this term, or was cancelled before it. Infinity once a missed deadline has been reported.
    */
   get terminationDeadline(): Instant | null {
--- a/packages/controller/src/jobs/job-dependencies.ts
+++ b/packages/controller/src/jobs/job-dependencies.ts
@@ -48,7 +48,7 @@
   }
 
   /**
-   * Newest revision at which the job's own key, or the ended key of a predecessor, was written. No
+   * Newest revision at which the job's live key, or the ended key of a predecessor, was written. No
    * leader can have started a task of the job before it.
    */
   get startableSinceRevision(): number {
--- a/packages/controller/src/jobs/job-lookup.ts
+++ b/packages/controller/src/jobs/job-lookup.ts
@@ -55,12 +55,12 @@
     return this.endedJobs.get(id)?.state;
   }
 
-  /** Ids of a live job's predecessors; undefined if this node does not know its key. */
+  /** Ids of a live job's predecessors; undefined if no version of its live key is recorded. */
   predecessorsOf(id: string): string[] | undefined {
     return this.proofs.predecessorsOf(id);
   }
 
-  /** Records the version of a live job's key that this node has committed or read. */
+  /** Records the version of a job's live key that this node has committed or read. */
   recordLive(id: string, version: number, predecessors: string[]): void {
     this.proofs.recordVersion(id, version, predecessors);
   }
--- a/packages/controller/src/jobs/live-job.ts
+++ b/packages/controller/src/jobs/live-job.ts
@@ -7,7 +7,7 @@
 import { OpenTasks } from './open-tasks.js';
 import { TaskProgress } from './task-progress.js';
 
-/** What scheduling cycles remember of a job from one to the next; nothing else uses it. */
+/** State of a job carried from one scheduling cycle to the next; nothing else uses it. */
 interface PlacementState {
   /** When a task first found no machine since the last assignment; null if none has. */
   unplacedSince: Instant | null;
@@ -42,7 +42,7 @@
   constructor(
     /** The spec as accepted and stored. */
     readonly acceptedSpec: JobSpec,
-    /** Version of the job's key. */
+    /** Version of the job's live key. */
     readonly version: number,
     /** Time of the submission, on this process's monotonic clock. */
     readonly submittedAt: Instant,
--- a/packages/controller/src/jobs/liveness-proofs.ts
+++ b/packages/controller/src/jobs/liveness-proofs.ts
@@ -14,22 +14,22 @@
 const MAX_TRACKED_JOB_COUNT = 5000;
 
 /**
- * `live`: the job's key still has the recorded version. `changed`: it has another one, or is gone.
- * `unknown`: the comparison gave no result.
+ * `live`: the job's live key still has the recorded version. `changed`: it has another version or
+ * no longer exists. `unknown`: the comparison gave no result.
  */
 type LivenessProof = 'live' | 'changed' | 'unknown';
 
 type OnProof = (proof: LivenessProof) => void;
 
-/** The key of a live job as this node last read or wrote it. */
+/** The live key of a job as this node last read or wrote it. */
 interface TrackedKey {
   readonly version: number;
   readonly predecessors: string[];
 }
 
 /**
- * Requests about one job, with the version that was recorded for its key at the first of them. It
- * is copied here since the job may be forgotten before the comparison, which would then expect no
+ * Requests about one job, with the version of its live key recorded at the first of them. It is
+ * copied here since the job may be forgotten before the comparison, which would then expect no
  * key and take a removed one for unchanged.
  */
 interface PendingProof {
@@ -39,8 +39,8 @@
 }
 
 /**
- * Proves for many requests at once that jobs are live: a transaction without writes compares the
- * versions of their keys. It is sent after the requests have arrived, so its result is never older
+ * Proves in batches that jobs are live: a transaction without writes compares the versions of
+ * their live keys. It is sent after the requests have arrived, so its result is never older
  * than any reply that a user received before.
  */
 export class LivenessProofs {
@@ -53,7 +53,7 @@
     private readonly state: StateStore,
   ) {}
 
-  /** Records the version of a job's key that this node has read or written. */
+  /** Records the version of a job's live key that this node has read or written. */
   recordVersion(job: string, version: number, predecessors: string[]): void {
     this.trackedKeys.set(job, { version, predecessors });
   }
@@ -63,14 +63,14 @@
     this.trackedKeys.delete(job);
   }
 
-  /** Ids of the job's predecessors; undefined if no version of its key is recorded. */
+  /** Ids of the job's predecessors; undefined if no version of its live key is recorded. */
   predecessorsOf(job: string): string[] | undefined {
     return this.trackedKeys.get(job)?.predecessors;
   }
 
   /**
    * Requests a proof; calls back once, after the next batch. Returns false, and never calls back,
-   * if no version of the job's key is recorded: the caller has to read the key.
+   * if no version of the job's live key is recorded: the caller has to read the key.
    */
   request(job: string, onProof: OnProof): boolean {
     const version = this.trackedKeys.get(job)?.version;
--- a/packages/controller/src/jobs/task-requirements.ts
+++ b/packages/controller/src/jobs/task-requirements.ts
@@ -1,4 +1,4 @@
-/** What a task needs of its machine, and the team that it is charged to. */
+/** Resources and image that a task requires, and the team that is charged for it. */
 import type { JobSpec } from '@tealdock/wire';
 import { NO_RESOURCES, resourcesOf, type Resources } from '@tealdock/scheduler';
 
--- a/packages/controller/src/leadership/election-lease.ts
+++ b/packages/controller/src/leadership/election-lease.ts
@@ -61,7 +61,7 @@
     });
   }
 
-  /** Asks the state service to end the lease at once; does not wait for the response. */
+  /** Asks the state service to end the lease now; does not wait for the response. */
   revoke(): void {
     if (this.leaseId !== null) this.state.revokeLease(this.leaseId);
   }
--- a/packages/controller/src/leadership/freshness.ts
+++ b/packages/controller/src/leadership/freshness.ts
@@ -35,7 +35,7 @@
   return `settings.workers.cancel_s: must be at least ${minSeconds} with this lease_s`;
 }
 
-/** What remains of `cancel_s`, in ms, after a worker's lease expires and its tasks are killed. */
+/** Part of `cancel_s`, in ms, left after a worker's lease expires and its tasks are killed. */
 function timeLeftAfterLease(settings: CancellationSettings): Duration {
   const leaseEnd = maxOnOtherClock(settings.workerLeaseDuration);
   return settings.cancellationLimit - leaseEnd - STOP_MARGIN_MS;
--- a/packages/controller/src/leadership/job-liveness.ts
+++ b/packages/controller/src/leadership/job-liveness.ts
@@ -26,7 +26,7 @@
     private readonly prove: ProveLiveness,
   ) {}
 
-  /** Determines which of the jobs have ended. Calls back once, at once if all proofs are cached. */
+  /** Determines which of the jobs have ended; calls back once, without delay if all are cached. */
   findEnded(jobs: string[], onResult: (result: EndedJobsResult) => void): void {
     const unproven = jobs.filter((job) => !this.wasProvenRecently(job));
     const endedJobs = new Set<string>();
--- a/packages/controller/src/machines/image-fetches.ts
+++ b/packages/controller/src/machines/image-fetches.ts
@@ -13,7 +13,7 @@
   fullRateGb: number;
 }
 
-/** What the delay of an image depends on. */
+/** Parameters that determine the delay of an image. */
 interface DelayQuery {
   readonly image: string;
   readonly sizeGb: number;
--- a/packages/controller/src/machines/machine-heartbeats.ts
+++ b/packages/controller/src/machines/machine-heartbeats.ts
@@ -1,4 +1,4 @@
-/** What the heartbeats of one machine's worker have reported in this term. */
+/** State of one machine that its worker's heartbeats have reported in this term. */
 import type { Duration, Instant, TaskStatus, WorkerHeartbeat } from '@tealdock/wire';
 
 /** Heartbeats of one machine. A heartbeat counts only if it is newer than all counted before. */
@@ -32,7 +32,7 @@
     return this.newestExitedTasks;
   }
 
-  /** When the cloud takes the machine back; null without a preemption notice. */
+  /** When the cloud preempts the machine; null without a preemption notice. */
   get preemptionDeadline(): Instant | null {
     return this.newestPreemptionDeadline;
   }
--- a/packages/controller/src/machines/machine.ts
+++ b/packages/controller/src/machines/machine.ts
@@ -22,7 +22,7 @@
     readonly id: string,
     readonly type: string,
     readonly zone: string,
-    /** Whether it is a spot machine, which the cloud may take back at short notice. */
+    /** Whether it is a spot machine, which the cloud may preempt at short notice. */
     readonly spot: boolean,
   ) {
     this.usage = new MachineUsage((image) => this.images.has(image));
--- a/packages/controller/src/machines/usage-ledger.ts
+++ b/packages/controller/src/machines/usage-ledger.ts
@@ -2,7 +2,7 @@
 import { NO_RESOURCES, subtractResources, addResources, type Resources } from '@tealdock/scheduler';
 import type { Binding } from '../jobs/binding.js';
 
-/** What one team uses. */
+/** Resource usage of one team. */
 interface TeamUsage {
   /** Resources of all its bindings, including those whose start may have been lost. */
   readonly bound: Resources;
--- a/packages/controller/src/peers/peers.ts
+++ b/packages/controller/src/peers/peers.ts
@@ -108,7 +108,7 @@
   }
 
   /**
-   * Announces cancelled jobs to all peers, so that the leader stops their tasks at once. The
+   * Announces cancelled jobs to all peers, so that the leader stops their tasks immediately. The
    * leader learns of them from its watch too if an announcement is lost.
    */
   broadcastCancellations(jobs: string[]): void {
--- a/packages/controller/src/placement/image-availability.ts
+++ b/packages/controller/src/placement/image-availability.ts
@@ -15,7 +15,7 @@
 const MIN_FETCH_GB_PER_S = 0.01;
 const MIN_FETCH_TIME_MS = 1;
 
-/** Ranks as in `Volunteer`: the image is present, being fetched, or can be fetched at once. */
+/** Ranks as in `Volunteer`: the image is present, being fetched, or fetchable now. */
 const RANK_PRESENT = 0;
 const RANK_FETCHING = 1;
 const RANK_IDLE = 2;
--- a/packages/controller/src/placement/preemption.ts
+++ b/packages/controller/src/placement/preemption.ts
@@ -127,7 +127,7 @@
    * Within a team, only tasks of lower priority may be stopped. A task of another team that uses
    * more than its guarantee may be stopped for a higher priority or to reclaim a guarantee. If its
    * team is within its guarantee, both are needed: otherwise that team would reclaim the capacity
-   * at once, and the teams would preempt each other without end.
+   * immediately, and the teams would preempt each other without end.
    */
   private mayStop(binding: Binding, isReclaiming: boolean): boolean {
     const victim = this.term.jobs.get(binding.job);
@@ -141,7 +141,7 @@
 
   /**
    * Whether the victim's team would still use its whole guarantee without the requested
-   * resources. If it fell below, it would reclaim the difference at once.
+   * resources. If it fell below, it would reclaim the difference immediately.
    */
   private isBorrowing(victim: LiveJob): boolean {
     const team = this.runtime.settings.teams.find(({ name }) => name === victim.spec.team);
--- a/packages/controller/src/placement/team-capacity.ts
+++ b/packages/controller/src/placement/team-capacity.ts
@@ -1,4 +1,4 @@
-/** How much of their guarantees and limits teams use, kept up to date during a cycle. */
+/** Usage of the guarantees and limits of teams, updated during a cycle. */
 import type { Team } from '@tealdock/wire';
 import {
   NO_RESOURCES,
@@ -17,9 +17,9 @@
 const UNKNOWN_TYPE_RESOURCES: Resources = { cpus: Infinity, gpus: Infinity, memoryGb: 0 };
 
 /**
- * Compares the resources of a team's bindings with its guarantee and its limit. What this cycle
- * has reserved counts towards the guarantee; what may run on machines that are not reconciled
- * counts towards the limit (docs/safety.md, rule `quota`).
+ * Compares the resources of a team's bindings with its guarantee and its limit. Resources
+ * that this cycle has reserved count towards the guarantee; resources that tasks may use on
+ * machines that are not reconciled count towards the limit (docs/safety.md, rule `quota`).
  */
 export class TeamCapacity {
   /** Resources that this cycle has reserved, by team. */
--- a/packages/controller/src/requests/long-polls.ts
+++ b/packages/controller/src/requests/long-polls.ts
@@ -6,7 +6,7 @@
 
 /**
  * Holds back answers without commands for a short, bounded time, so that a start assigned in the
- * meantime is sent at once instead of with the next heartbeat. A machine has at most one long
+ * meantime is sent immediately instead of with the next heartbeat. A machine has at most one long
  * poll, that of its newest heartbeat, since a worker has one request in flight.
  */
 export class LongPolls {
--- a/packages/controller/src/requests/parked-heartbeats.ts
+++ b/packages/controller/src/requests/parked-heartbeats.ts
@@ -42,7 +42,7 @@
 
   /**
    * Removes the oldest heartbeats and passes them to `handle`. If any are left, a timer that is
-   * due at once makes sure that another batch follows.
+   * due immediately makes sure that another batch follows.
    */
   resume(handle: (resumed: HeartbeatRequest) => void): void {
     const resumed = [...this.byRequest.values()].slice(0, MAX_RESUMED_COUNT);
--- a/packages/controller/src/requests/submissions.ts
+++ b/packages/controller/src/requests/submissions.ts
@@ -85,7 +85,7 @@
     }
   }
 
-  /** A job with a cancelled predecessor is accepted too, but is stored as cancelled at once. */
+  /** A job with a cancelled predecessor is accepted too, but stored as already cancelled. */
   private accept(spec: JobSpec, predecessorCancelled: boolean, respond: Respond): void {
     const preconditions = [
       { key: specKey(spec.id), version: 0 },
--- a/packages/controller/src/runtime/runtime.ts
+++ b/packages/controller/src/runtime/runtime.ts
@@ -18,7 +18,7 @@
   run: () => void;
 }
 
-/** What the process provides to its state owner. */
+/** Settings and facilities that the process provides to its state owner. */
 export interface Environment {
   settings: Settings;
   operator: OperatorSettings;
@@ -34,7 +34,7 @@
 export class Runtime {
   /** Time of the batch on the process's monotonic clock, in ms. */
   now: Instant = 0;
-  /** Time of day of the batch, for stored values, since these outlive this process. */
+  /** Wall-clock time of the batch, for stored values, since these outlive this process. */
   wallClock = new Date(0);
   private effects: Effect[] = [];
   private readonly pendingCalls = new Map<number, (result: CallResult) => void>();
@@ -103,7 +103,7 @@
     this.timers.push({ due: this.now + delay, number: ++this.lastTimerNumber, run });
   }
 
-  /** Calls `run` at once and then periodically, until it returns false. */
+  /** Calls `run` immediately and then periodically, until it returns false. */
   every(period: Duration, run: () => boolean): void {
     const runAndRepeat = () => {
       if (run()) this.after(period, runAndRepeat);
--- a/packages/controller/src/runtime/sockets.ts
+++ b/packages/controller/src/runtime/sockets.ts
@@ -11,7 +11,7 @@
 const SOCKETS_PER_PEER_COUNT = 8;
 /** Listening sockets, and closed sockets that the host has not released yet. */
 const SPARE_SOCKET_COUNT = 20;
-/** Share of all sockets for health probes and for clients that are told to retry later. */
+/** Share of all sockets for health probes and for clients that get only a retry time. */
 const REJECTED_FRACTION = 1 / 50;
 const MIN_REJECTED_COUNT = 8;
 /** Share of the clients' sockets that is reserved for users. */
--- a/packages/controller/src/state/sharded-table.ts
+++ b/packages/controller/src/state/sharded-table.ts
@@ -27,7 +27,7 @@
 const DEFERRABLE_WRITE_FRACTION = 1 / 8;
 const COMMIT_RETRY_DELAY_MS = 300;
 
-/** What a table needs of leadership, since only a leader writes it. */
+/** The part of leadership that a table uses, since only a leader writes it. */
 interface LeaderLeaseHolder {
   /** The precondition of every transaction of a leader: that it still leads. */
   leaderPrecondition(): Precondition;
--- a/packages/controller/src/state/write-share.ts
+++ b/packages/controller/src/state/write-share.ts
@@ -17,7 +17,7 @@
 
 /**
  * Adjusts the fraction of the changes per second that this node may use. Other nodes only accept
- * and cancel jobs, which the leader observes in its watch. The leader may use what they leave, for
+ * and cancel jobs, which the leader observes in its watch. The leader may use the rest, for
  * ends of jobs and for the machine registry.
  */
 export class WriteShare {
@@ -28,7 +28,7 @@
     private readonly isLeader: () => boolean,
   ) {}
 
-  /** Adjusts the share at once and then at regular intervals, until this node no longer leads. */
+  /** Adjusts the share immediately, then at regular intervals until this node no longer leads. */
   start(): void {
     this.runtime.every(ADJUSTMENT_INTERVAL_MS, () => {
       // Set even if unchanged: an earlier term of this node resets it to the default as it ends.
@@ -39,7 +39,7 @@
   }
 
   /**
-   * Counts a change of a live job's key that this leader did not make by ending the job. Jobs
+   * Counts a change of a job's live key that this leader did not make by ending the job. Jobs
    * that this node itself accepted are counted as well.
    */
   recordChange(event: StateEvent): void {
--- a/packages/controller/src/term/bindings.ts
+++ b/packages/controller/src/term/bindings.ts
@@ -116,7 +116,7 @@
 
   /**
    * Drops a binding that is no longer needed. It is unbound if undispatched; otherwise its task is
-   * stopped, and counted until it is gone.
+   * stopped, and counted until it is proven to have left its machine.
    */
   discard(binding: Binding, reason: string): void {
     if (binding.isAssigned) return this.unbind(binding);
@@ -124,7 +124,7 @@
     this.requestStop(binding, { gracePeriod: 0, reason });
   }
 
-  /** The task must be gone within the cancellation limit after its job's end at `endedAt`. */
+  /** The task must have ended within the cancellation limit after its job's end at `endedAt`. */
   setTerminationDeadline(binding: Binding, endedAt: Instant): void {
     binding.setTerminationDeadline(endedAt + this.runtime.settings.cancellationLimit);
   }
--- a/packages/controller/src/term/job-completion.ts
+++ b/packages/controller/src/term/job-completion.ts
@@ -35,10 +35,10 @@
 }
 
 /**
- * Commits completed tasks in batches. Until its commit a job is not shown as done, and workers are
- * not told to forget its completed tasks. A job whose tasks are all done moves from its live key to
- * its ended key in one transaction. The precondition on the version of the live key ensures that
- * either this transaction or a concurrent cancellation succeeds, but not both.
+ * Commits completed tasks in batches. Until its commit a job is not shown as done, and workers get
+ * no command to forget its completed tasks. A job whose tasks are all done moves from its live key
+ * to its ended key in one transaction. The precondition on the version of the live key ensures
+ * that either this transaction or a concurrent cancellation succeeds, but not both.
  */
 export class JobCompletion {
   private commitInFlight = false;
--- a/packages/controller/src/term/machine-registry.ts
+++ b/packages/controller/src/term/machine-registry.ts
@@ -89,7 +89,7 @@
     this.store(machine);
   }
 
-  /** Removes a machine that the cloud has confirmed, with status 200, to be gone with its tasks. */
+  /** Removes a machine whose end, with all its tasks, the cloud has confirmed by status 200. */
   recordTerminated(id: string): void {
     const machine = this.fleet.get(id);
     this.terminated.add(id);
--- a/packages/controller/src/term/term.ts
+++ b/packages/controller/src/term/term.ts
@@ -209,7 +209,7 @@
     return new Rebuild(this.runtime, state, this, targets, () => (this.isStateLoaded = true));
   }
 
-  /** Stops the tasks of an ended job; they must be gone within the cancellation limit. */
+  /** Stops the tasks of an ended job; they must have ended within the cancellation limit. */
   private discardBindingsOf(job: LiveJob): void {
     for (const binding of job.bindings.values()) {
       this.bindings.discard(binding, 'job ended');
--- a/packages/controller/src/term/worker-commands.ts
+++ b/packages/controller/src/term/worker-commands.ts
@@ -69,7 +69,7 @@
 
   /**
    * Returns the commands for the response to the machine's newest heartbeat. The response must be
-   * sent at once, since the started tasks count as dispatched from now on. Empty for an unknown
+   * sent immediately, since the started tasks count as dispatched from now on. Empty for an unknown
    * machine.
    */
   dispatchCommands(machineId: string): WorkerCommand[] {
@@ -158,7 +158,7 @@
 
   /**
    * Whether the worker may forget an exited task. A done task of a live job may be forgotten once
-   * the state service has stored that it is done, any other task at once.
+   * the state service has stored that it is done, any other task immediately.
    */
   private mayForget(task: string, reason: TaskStatus['reason']): boolean {
     const parsed = splitTaskId(task);
--- a/packages/scheduler/src/pareto-front.ts
+++ b/packages/scheduler/src/pareto-front.ts
@@ -9,7 +9,7 @@
   /** Computing time of the machine's tasks in ms per CPU; earlier time counts less. */
   recentComputeTime: number;
   /**
-   * How soon the image is available. 0: present; 1: being fetched; 2: can be fetched at once;
+   * How soon the image is available. 0: present; 1: being fetched; 2: can be fetched immediately;
    * 3 and more: delayed by other fetches.
    */
   imageRank: number;
--- a/packages/testing/src/checker/observed-job.ts
+++ b/packages/testing/src/checker/observed-job.ts
@@ -1,7 +1,7 @@
 /** A job as the rule checker sees it from outside the controllers. */
 import type { Instant, JobSpec } from '@tealdock/wire';
 
-/** What replies to users and runs of tasks have shown of a job; null means not yet. */
+/** State of a job shown by replies to users and runs of tasks; null means not yet known. */
 export interface ObservedJob {
   spec: JobSpec;
   submittedAt: Instant;
@@ -11,7 +11,7 @@
   /** Since when the job could have run on a machine with free capacity, without a break. */
   leftWaitingSince: Instant | null;
   accepted: boolean;
-  /** `done` or `aborted`, as a user was last told. */
+  /** `done` or `aborted`, as last reported to a user. */
   finalStatus: string | null;
   /** When a reply first confirmed that the job is cancelled. */
   cancellationConfirmedAt: Instant | null;
--- a/packages/testing/src/fakes/fake-sockets.ts
+++ b/packages/testing/src/fakes/fake-sockets.ts
@@ -29,7 +29,7 @@
  * A connection stays open until the client or the process closes it.
  */
 export class FakeSockets {
-  /** The largest number of sockets open at once, including `ownSocketCount`. */
+  /** The largest number of sockets open at the same time, including `ownSocketCount`. */
   maxCount = 0;
   /** Requests that were rejected for lack of a socket. */
   rejectedRequestCount = 0;
--- a/packages/testing/src/scenarios/fetches.test.ts
+++ b/packages/testing/src/scenarios/fetches.test.ts
@@ -17,7 +17,7 @@
   }
 }
 
-/** Most images that a machine fetches at once 4 s from now; runs these jobs until done. */
+/** Most images that one machine is fetching 4 s from now; runs these jobs until done. */
 function maxConcurrentFetches(cluster: SimulatedCluster, from: number, count: number): number {
   cluster.run(4000);
   const maxCount = Math.max(
@@ -30,8 +30,8 @@
   return maxCount;
 }
 
-// A machine with capacity for dozens of tasks was made to fetch dozens of images at once, and each
-// fetch took minutes.
+// A machine with capacity for dozens of tasks was made to fetch dozens of images concurrently, and
+// each fetch took minutes.
 test('a machine whose fetches share a rate is given few different images at once', () => {
   const cluster = readyCluster({ capacity: 2, fetches: { gbPerS: 1, shared: true } }, 2);
   submitJobsWithOwnImages(cluster, 1, 8, 8);
--- a/packages/testing/src/scenarios/single-faults.test.ts
+++ b/packages/testing/src/scenarios/single-faults.test.ts
@@ -176,7 +176,7 @@
 });
 
 // Guards against a wrong liveness proof: the node dropped its record of the job between a poll and
-// the proof, and the job's key, which was gone, then compared as unchanged.
+// the proof, and the job's live key, which no longer existed, then compared as unchanged.
 test('a poll concurrent with a repeated submission of an ended job gets its final status', () => {
   for (let pause = 0; pause <= 500; pause += 50) {
     const cluster = readyCluster();
--- a/packages/testing/src/soak/scale.ts
+++ b/packages/testing/src/soak/scale.ts
@@ -52,7 +52,7 @@
   `p50 ${quantile(values, 0.5)}, p99 ${quantile(values, 0.99)}, max ${quantile(values, 1)} ms ` +
   `(${values.length})`;
 
-/** Runs a fleet under load and prints what its controllers use and how fast they respond. */
+/** Runs a fleet under load and prints the resource usage and response times of its controllers. */
 class ScaleRun {
   private readonly site: LoopbackSite;
   private readonly users: SoakUsers;
--- a/packages/testing/src/soak/worker-host.ts
+++ b/packages/testing/src/soak/worker-host.ts
@@ -19,7 +19,7 @@
   responsesLost: boolean;
   /** Heartbeats are not sent, and the worker gets no result. */
   heartbeatsLost: boolean;
-  /** Heartbeats fail at once, as if the connection were refused. */
+  /** Heartbeats fail immediately, as if the connection were refused. */
   heartbeatsRefused: boolean;
   /** Direct commands are queued and delivered in order when this fault ends. */
   commandsHeld: boolean;
@@ -45,7 +45,7 @@
 
 const jobIdOf = (piece: string): string => piece.split('/')[0] ?? '';
 
-/** The parts of a site that its workers use. */
+/** The members of a site that its workers use. */
 interface SoakWorkersOptions {
   now: () => Instant;
   times: SiteTimes;
--- a/packages/testing/src/unit/listen.test.ts
+++ b/packages/testing/src/unit/listen.test.ts
@@ -34,7 +34,7 @@
   return outcome;
 }
 
-// A controller that was restarted at once exited, because its port was still in use for a moment.
+// A controller exited after a quick restart, because its port was still in use for a moment.
 test('a process retries while its address is in use', () => {
   const server = new BusyAddressServer(3);
   assert.deepEqual(startListening(server), { ready: true, failed: false });
--- a/packages/wire/src/operator-settings.ts
+++ b/packages/wire/src/operator-settings.ts
@@ -50,7 +50,7 @@
     idleTimeout: Duration;
     /** A boot counts as failed after this multiple of the boot time of its machine type. */
     bootTimeoutFactor: number;
-    /** Under `fast`: capacity kept for jobs to come, as a multiple of the unfinished tasks. */
+    /** Under `fast`: spare capacity for future jobs, as a multiple of the unfinished tasks. */
     headroom: number;
     /**
      * `frugal` minimises the price, `fast` the time to start. `auto` stands for `fast` if the
--- a/packages/wire/src/peers.ts
+++ b/packages/wire/src/peers.ts
@@ -9,7 +9,7 @@
   running: number;
 }
 
-/** What a leader has learnt and the state service does not hold, for use by the next leader. */
+/** Observations of a leader that the state service does not store, for the next leader. */
 export interface Hints {
   /** Actual run time divided by the users' estimate, by class of jobs. */
   ratios: { jobClass: string; ratio: number }[];
--- a/packages/wire/src/platform-settings.ts
+++ b/packages/wire/src/platform-settings.ts
@@ -96,7 +96,7 @@
   cloudAddress: string;
   stateAddress: string;
   zones: string[];
-  /** The most by which the time of day of any host may be off. */
+  /** Maximum error of the wall clock of any host. */
   maxClockError: Duration;
   teams: Team[];
   objectives: Objective[];
