--- a/packages/controller/src/autoscaling/return-rules.ts
+++ b/packages/controller/src/autoscaling/return-rules.ts
@@ -61,7 +61,7 @@
   }
 
   /** Whether the machine has no bindings, and none of its heartbeats counted for a whole lease. */
-  isLongSilent(machine: Machine): boolean {
+  isInactive(machine: Machine): boolean {
     const { heartbeats, registration, bindings } = machine;
     const observedAt = Math.min(registration.firstObservedAt, this.runtime.now);
     const lastCountedAt = heartbeats.lastCountedAt ?? Math.max(this.term.electedAt, observedAt);
@@ -86,12 +86,12 @@
     if (this.inventory.isOwned(id) || !this.inventory.isOwnershipKnown) return false;
     if (health.consecutiveLostStartCount >= MAX_LOST_START_COUNT) return true;
     if (!registration.isReconciled) return includeUnreconciled;
-    return this.isLongSilent(machine) || this.isLongIdle(machine);
+    return this.isInactive(machine) || this.isLongIdle(machine);
   }
 
   /**
    * Whether the machine is silent, and missing from the list although it should be on it. This
-   * does not prove that the machine is gone; the answer to its return will.
+   * does not prove that the machine is terminated; the answer to its return does.
    */
   private hasVanished({ id, heartbeats, registration }: Machine): boolean {
     const { listCompleteUntil, listedMachines } = this.inventory;
@@ -113,14 +113,14 @@
 
   /**
    * Whether to return rented machines that are not reconciled, since they are few. The answers to
-   * their returns prove that they are gone sooner than the expiry of their leases would.
+   * their returns prove their termination sooner than their leases would expire.
    */
   private shouldReturnUnreconciled(): boolean {
     const termAge = this.runtime.now - this.term.electedAt;
     if (termAge < FEW_UNRECONCILED_TIMEOUT_MS) return false;
     const unreconciledCount = this.term.unreconciledMachines().length;
     const machineCount = this.term.machines.size;
-    // In a small fleet, the last such machine is more likely slow than gone, and costly to lose.
+    // In a small fleet, the last such machine is more likely slow than failed, and costly to lose.
     if (termAge < UNRECONCILED_TIMEOUT_MS)
       return unreconciledCount <= machineCount * FEW_UNRECONCILED_FRACTION;
     return unreconciledCount <= Math.max(1, machineCount * UNRECONCILED_FRACTION);
--- a/packages/controller/src/state/sharded-table.ts
+++ b/packages/controller/src/state/sharded-table.ts
@@ -27,7 +27,7 @@
 const DEFERRABLE_WRITE_FRACTION = 1 / 8;
 const COMMIT_RETRY_DELAY_MS = 300;
 
-/** What a table needs of leadership, since only a leader writes it. */
+/** The part of leadership that a table uses, since only a leader writes it. */
 interface LeaderLeaseHolder {
   /** The precondition of every transaction of a leader: that it still leads. */
   leaderPrecondition(): Precondition;
@@ -39,7 +39,7 @@
 export interface ShardedTableOptions<V> {
   keyPrefix: string;
   /** Time for which changes are collected before they are written together. */
-  gatherTime: Duration;
+  batchDelay: Duration;
   /** True if new values may wait for spare write capacity; removals always may. */
   valuesDeferrable: boolean;
   /** Receives the entries that a commit has stored, as they were when it was sent. */
@@ -120,7 +120,7 @@
     if (this.packing.remove(id)) this.scheduleFlush();
   }
 
-  private scheduleFlush(delay: Duration = this.options.gatherTime): void {
+  private scheduleFlush(delay: Duration = this.options.batchDelay): void {
     if (this.flushScheduled) return;
     this.flushScheduled = true;
     // An urgent change must not wait behind deferrable ones.
--- a/packages/wire/src/peers.ts
+++ b/packages/wire/src/peers.ts
@@ -9,7 +9,7 @@
   running: number;
 }
 
-/** What a leader has learnt and the state service does not hold, for use by the next leader. */
+/** Observations of a leader that the state service does not store, for the next leader. */
 export interface Hints {
   /** Actual run time divided by the users' estimate, by class of jobs. */
   ratios: { jobClass: string; ratio: number }[];
@@ -105,7 +105,7 @@
 }
 
 /** Encodes a message as a frame: header, then the Avro record. */
-export function packPeer(message: PeerMessage): Buffer {
+export function packPeerMessage(message: PeerMessage): Buffer {
   const body = TYPES[message.kind].toBuffer(toRecord(message));
   const frame = Buffer.alloc(HEADER_BYTES + body.length);
   frame.writeUInt32BE(body.length, 0);
