--- a/packages/controller/src/autoscaling/autoscaler.ts
+++ b/packages/controller/src/autoscaling/autoscaler.ts
@@ -110,8 +110,8 @@
   }
 
   /**
-   * Requests machines that are still missing. Does not wait for the next check; uses other pools
-   * if some were refused.
+   * Rents what the backlog still lacks once all requests are answered, without waiting for the
+   * next check. Pools that refused a request are replaced by others.
    */
   private scaleOutAgain(): void {
     if (this.mayAct() && this.rentals.pending.length === 0) this.rentForBacklog();
--- a/packages/controller/src/autoscaling/rental-backlog.ts
+++ b/packages/controller/src/autoscaling/rental-backlog.ts
@@ -88,7 +88,7 @@
     return minSlotPrice(offerings, job.spec) * CHEAP_PRICE_FACTOR;
   }
 
-  /** With the policy `fast`: capacity for future jobs, in proportion to the work of live jobs. */
+  /** With the policy `fast`: capacity for future jobs, in proportion to the tasks of live jobs. */
   private headroomEntries(): BacklogEntry[] {
     if (this.inventory.policy !== 'fast') return [];
     const { headroom } = this.runtime.operator.fleet;
--- a/packages/controller/src/autoscaling/return-rules.ts
+++ b/packages/controller/src/autoscaling/return-rules.ts
@@ -24,7 +24,10 @@
 const NEW_TERM_SILENCE_TIMEOUT_MS = 1500;
 /** If it has, it is returned this many heartbeat intervals after the last renewal. */
 const SILENCE_TIMEOUT_FACTOR = 1.5;
-/** Idle timeout with the policy `fast`: longer, as an owned fleet is not paid by the second. */
+/**
+ * Idle timeout of rented machines with the policy `fast`, which `auto` selects if any machines are
+ * owned. An owned fleet is not paid by the second, so machines rented beside it are kept for longer.
+ */
 const FAST_IDLE_TIMEOUT_MS = 300_000;
 /** A rented machine is returned after this many starts in a row that did not show up on it. */
 const MAX_LOST_START_COUNT = 3;
--- a/packages/controller/src/leadership/delegation-grants.ts
+++ b/packages/controller/src/leadership/delegation-grants.ts
@@ -37,7 +37,10 @@
     private readonly leadership: Leadership,
   ) {}
 
-  /** Calls back with a grant that is valid now, requested if needed; null if that failed. */
+  /**
+   * Calls back with a grant, requested if needed; null if the request failed. A requested grant may
+   * have expired before its response arrives, so replies under it carry its `validUntil`.
+   */
   obtain(onResult: (grant: DelegationGrant | null) => void): void {
     const isOfThisTerm = this.grant?.fencingToken === this.leadership.leaderFencingToken;
     const grant = isOfThisTerm ? this.grant : null;
--- a/packages/controller/src/leadership/freshness.ts
+++ b/packages/controller/src/leadership/freshness.ts
@@ -4,7 +4,10 @@
 
 /** Time for a response to reach the worker and for the worker to kill its tasks. */
 const STOP_MARGIN_MS = 2000;
-/** Default limit: longer than a few missed watches, and about as long as the leader lease. */
+/**
+ * Limit unless `cancel_s` requires a lower one: longer than a few missed watches, and about as long
+ * as the leader lease.
+ */
 const DEFAULT_MAX_STALENESS_MS = 6000;
 /** Cancellations often take longer than this to become known, so a lower limit is not usable. */
 const MIN_MAX_STALENESS_MS = 2000;
--- a/packages/controller/src/leadership/job-liveness.ts
+++ b/packages/controller/src/leadership/job-liveness.ts
@@ -5,7 +5,7 @@
 import type { Runtime } from '../runtime/runtime.js';
 import { maxStaleness } from './freshness.js';
 
-/** A proof of liveness is reused for this long. */
+/** A proof of liveness is reused for this long, or for the maximum staleness if that is shorter. */
 const PROOF_VALIDITY_MS = 2000;
 const MAX_REMEMBERED_PROOF_COUNT = 5000;
 
--- a/packages/controller/src/placement/job-placement.ts
+++ b/packages/controller/src/placement/job-placement.ts
@@ -30,8 +30,8 @@
 }
 
 /**
- * Assigns tasks whose window has closed to volunteers. Among those with the best image rank, it
- * chooses the first member of the Pareto front.
+ * Assigns tasks to volunteers, that is candidate machines, once the task's window has closed. The
+ * machine chosen is the first member of the Pareto front of the volunteers with the best image rank.
  */
 export class JobPlacement {
   constructor(
@@ -104,8 +104,8 @@
   }
 
   /**
-   * Whether the task's window has been open for λ, or for the time after which it may close
-   * early: recent heartbeats have shown which machines volunteer.
+   * Whether the task's window has been open for `closeEarlyAfter` or for λ, whichever is shorter.
+   * It may close before λ since recent heartbeats already show which machines volunteer.
    */
   private isWindowClosed(task: OpenTask): boolean {
     const { closeEarlyAfter, lambda } = this.runtime.operator.window;
--- a/packages/controller/src/placement/preemption.ts
+++ b/packages/controller/src/placement/preemption.ts
@@ -18,7 +18,9 @@
 import type { ImageRanks } from './image-availability.js';
 import type { MachineCapacity } from './machine-capacity.js';
 
-/** Added to the cost of stopping a task that has run for less than this, beside lost work. */
+/**
+ * A task that has run for less than this is costlier to stop: this much is added to its lost work.
+ */
 const RECENT_START_MS = 30_000;
 
 interface MachinePlan extends PreemptionPlan<Binding> {
--- a/packages/controller/src/placement/scheduling-cycle.ts
+++ b/packages/controller/src/placement/scheduling-cycle.ts
@@ -100,12 +100,12 @@
     this.plannedMachines += machineCount;
   }
 
-  /** Machines that the job may use, and where the smallest waiting task fits now. */
+  /** Machines that the job may use, without those that are now too full for any waiting task. */
   allowedWithFreeCapacity(job: LiveJob): MachineCapacity[] {
     return this.allowed(job, this.withFreeCapacity);
   }
 
-  /** Machines that the job may use, and where the smallest waiting task fits after all stops. */
+  /** Machines that the job may use, without those too full for any waiting task after all stops. */
   allowedAfterStops(job: LiveJob): MachineCapacity[] {
     return this.allowed(job, this.withCapacityAfterStops);
   }
--- a/packages/controller/src/placement/start-deadlines.ts
+++ b/packages/controller/src/placement/start-deadlines.ts
@@ -2,7 +2,10 @@
 import type { Duration, Instant, Settings } from '@tealdock/wire';
 import type { LiveJob } from '../jobs/live-job.js';
 
-/** Run time of a job's longest task, on which deadlines depend, divided by the expected one. */
+/**
+ * Tasks of one job differ in run time, and a deadline is met only if the longest one ends in time.
+ * That task is assumed to run for this multiple of the expected run time.
+ */
 const LONGEST_TASK_FACTOR = 1.4;
 
 /** Inputs of a job's start deadlines, beside the job itself. */
