--- a/packages/adapters/src/call-rate-limiter.ts
+++ b/packages/adapters/src/call-rate-limiter.ts
@@ -6,7 +6,10 @@
 /** One node's fractions of the rate limits, which the services apply to all nodes together. */
 const STATE_RATE_FRACTION = 0.5;
 const CLOUD_RATE_FRACTION = 0.8;
-/** A call that has waited in a bucket for this fraction of its timeout is dropped. */
+/**
+ * A call that has waited in a bucket for this fraction of its timeout is dropped, since it would
+ * come too late.
+ */
 const MAX_WAIT_FRACTION = 0.6;
 
 /** Delays calls to the state service and the cloud to stay below their limits, by priority. */
--- a/packages/controller/src/jobs/ancestor-check.ts
+++ b/packages/controller/src/jobs/ancestor-check.ts
@@ -5,8 +5,9 @@
 import { outcomeOf, type JobLookup, type LookupOutcome } from './job-lookup.js';
 
 /**
- * `unknown`: some lookup gave no answer, or there were more ancestors than one check may look up.
- * The results so far are cached, so a later check gets further.
+ * `unknown`: this node has not recorded the job's live key, some ancestor could not be looked up or
+ * was not found, or there were more ancestors than one check may look up. The results so far are
+ * cached, so a later check gets further.
  */
 export type AncestorVerdict = 'none_cancelled' | 'cancelled' | 'unknown';
 
--- a/packages/controller/src/jobs/live-job.ts
+++ b/packages/controller/src/jobs/live-job.ts
@@ -12,8 +12,8 @@
   /** When a task first found no machine since the last assignment; null if none has. */
   unplacedSince: Instant | null;
   /**
-   * Start of the wait for a machine that holds the image, restarted by each assignment to such a
-   * machine; null before the first wait or such assignment.
+   * When the job began to wait for a machine that holds its image; each assignment to such a
+   * machine sets it to the time of the assignment. Null before either has happened.
    */
   imageHolderWaitSince: Instant | null;
   /** Earliest time of the job's next preemption plan, since plans are expensive. */
--- a/packages/controller/src/machines/catalog.ts
+++ b/packages/controller/src/machines/catalog.ts
@@ -37,7 +37,7 @@
     return this.currentTypes;
   }
 
-  /** Reads the stored types once, and the cloud's at regular intervals from now on. */
+  /** Reads the cloud's types at regular intervals, and the stored ones until any are known. */
   start(): void {
     this.readStored();
     this.refresh();
@@ -90,7 +90,10 @@
   }
 }
 
-/** Changes if the offered types do; leaves out prices, which change too often to be stored. */
+/**
+ * Identifies the offered types by name, CPUs, memory and zones; the types are stored again when it
+ * changes. Prices are left out, since they change too often to be stored.
+ */
 function fingerprintOf(types: MachineType[]): string {
   return types.map((t) => `${t.name}:${t.cpus}:${t.memoryGb}:${t.zones.join()}`).join();
 }
--- a/packages/controller/src/machines/fetch-sharing.ts
+++ b/packages/controller/src/machines/fetch-sharing.ts
@@ -35,7 +35,10 @@
     this.probability = sharingProbability;
   }
 
-  /** Updates the probability by a completed fetch; no effect if its two estimates hardly differ. */
+  /**
+   * Updates the probability by a completed fetch; no effect if its two estimates hardly differ, or
+   * if the image must have been on the machine before.
+   */
   record({ sizeGb, sharedRateGb, fullRateGb }: Readonly<ImageFetch>): void {
     if (
       fullRateGb < sizeGb * MIN_FETCHED_FRACTION ||
--- a/packages/controller/src/machines/observed-grants.ts
+++ b/packages/controller/src/machines/observed-grants.ts
@@ -29,6 +29,7 @@
     const { key, version } = item;
     if (this.versions.get(key) === version) return;
     this.versions.set(key, version);
+    // The age of an unreadable grant is unknown, so it counts as a new one.
     const requestedAt = this.state.decode(item, readGrant)?.at ?? Infinity;
     const age = this.runtime.wallClock.getTime() - requestedAt;
     if (age > STALE_GRANT_AGE_MS + 2 * this.runtime.settings.maxClockError) return;
--- a/packages/controller/src/requests/heartbeat-requests.ts
+++ b/packages/controller/src/requests/heartbeat-requests.ts
@@ -47,8 +47,9 @@
   }
 
   /**
-   * Answers parked heartbeats once the election has ended, or once this node has lost the state
-   * service and can't learn the result. Called at the end of each batch.
+   * Answers parked heartbeats once this node or a live peer leads, once this node may renew leases
+   * for an unreachable leader, or once it has lost the state service and can't learn the result of
+   * the election. Called at the end of each batch.
    */
   resumeParked(): void {
     if (this.parked.isEmpty) return;
@@ -77,9 +78,9 @@
 
   /**
    * Redirects the worker to the leader if that is alive: a worker sent to a dead leader would
-   * lose time. Without a live leader, the heartbeat is parked for a short time until the election
-   * has ended, since a thousand workers that retry at one node after the other every second would
-   * slow the election down.
+   * lose time. Without a live leader, this node renews the lease itself if it may. Otherwise the
+   * heartbeat is parked for a short time until the election has ended, since a thousand workers
+   * that retry at one node after the other every second would slow the election down.
    */
   private answerAsFollower(received: HeartbeatRequest): void {
     const { state, delegatedRenewal } = this.services;
--- a/packages/controller/src/state/shard-packing.ts
+++ b/packages/controller/src/state/shard-packing.ts
@@ -95,7 +95,8 @@
       this.place(shard, id, value);
       this.markChanged(shard);
     } else {
-      // Its new shard is written first: meanwhile it is stored twice, but never missing.
+      // The new shard is written before the old one or with it, so that the stored entry may exist
+      // twice for a while, but is never missing.
       if (shard) this.moveOut(shard, id);
       this.placeInAnyShard(id, value);
     }
--- a/packages/controller/src/state/sharded-table.ts
+++ b/packages/controller/src/state/sharded-table.ts
@@ -18,11 +18,14 @@
 const SHARD_FILL_FRACTION = 0.7;
 /** Size limit of the values in one transaction; it leaves space for the preconditions. */
 const MAX_BATCH_BYTES = 48 * 1024;
-/** Longest delay of a flush for deferrable changes: it is not moved up if an urgent one comes. */
+/**
+ * Longest time that a flush waits for spare write capacity, since an urgent change that comes
+ * meanwhile has to wait for the same flush.
+ */
 const MAX_DEFERRAL_MS = 250;
 /**
- * Fraction of the state service's changes per second that deferrable ones may use. The rest is for
- * ends of jobs and new machines, which can't wait.
+ * Fraction of the state service's writes per second that deferrable changes may use. The rest is
+ * for ends of jobs and new machines, which can't wait.
  */
 const DEFERRABLE_WRITE_FRACTION = 1 / 8;
 const COMMIT_RETRY_DELAY_MS = 300;
@@ -54,8 +57,8 @@
 }
 
 /**
- * A table of small entries packed into few keys, since the state service limits the changes of
- * keys per second: a thousand machines are a dozen changes instead of a thousand.
+ * A table of small entries packed into few keys, since the state service limits the keys written
+ * per second: a thousand machines take a dozen writes instead of a thousand.
  *
  * Only the leader writes it. The preconditions of each write are leadership and the version of
  * the written key, so that a commit which is carried out late can't undo a newer one. Failed
--- a/packages/controller/src/state/write-share.ts
+++ b/packages/controller/src/state/write-share.ts
@@ -1,4 +1,4 @@
-/** The leader's share of the changes per second that the state service allows. */
+/** The leader's share of the writes per second that the state service allows. */
 import { secondsOf, type Duration, type Instant, type StateEvent } from '@tealdock/wire';
 import type { Runtime } from '../runtime/runtime.js';
 
@@ -16,7 +16,7 @@
 const WRITES_PER_CANCELLATION_COUNT = 2;
 
 /**
- * Adjusts the fraction of the changes per second that this node may use. Other nodes only accept
+ * Adjusts the fraction of the writes per second that this node may use. Other nodes only accept
  * and cancel jobs, which the leader observes in its watch. The leader may use the rest, for
  * ends of jobs and for the machine registry.
  */
--- a/packages/wire/src/operator-settings.ts
+++ b/packages/wire/src/operator-settings.ts
@@ -34,7 +34,7 @@
   window: {
     /** Longest time that a task waits for candidate machines: λ of the paper. */
     lambda: Duration;
-    /** Time after which a window may close early: recent heartbeats have shown candidates. */
+    /** Time after which a window may close early, as recent heartbeats already show candidates. */
     closeEarlyAfter: Duration;
     /** How long the answer to a heartbeat may be held back in case a start gets assigned. */
     longPollTimeout: Duration;
