--- a/packages/testing/src/checker/rule-checker.ts
+++ b/packages/testing/src/checker/rule-checker.ts
@@ -192,7 +192,7 @@
     return first;
   }
 
-  /** Checks the rules that depend on time alone; to be called again and again. */
+  /** Checks the rules that time alone can break; must be called regularly. */
   check(): void {
     for (const [task, machines] of this.running) if (machines.size > 0) this.checkCancelled(task);
     if (this.faultFreeSince === null) return;
--- a/packages/testing/src/checker/service-levels.ts
+++ b/packages/testing/src/checker/service-levels.ts
@@ -3,7 +3,7 @@
 import { groupBy } from './group-by.js';
 import type { ObservedJob } from './observed-job.js';
 
-/** The largest jobs must start within this time. */
+/** The largest jobs must start within this time after their submission or release. */
 const MAX_LARGEST_JOB_WAIT_MS = 240_000;
 /** The largest jobs of a class are this fraction of it, and at least one. */
 const LARGEST_JOBS_FRACTION = 0.25;
--- a/packages/testing/src/fakes/fake-state.ts
+++ b/packages/testing/src/fakes/fake-state.ts
@@ -101,7 +101,10 @@
     this.notifyWatchers();
   }
 
-  /** Answers a request of a node; a watch is answered later if there are no changes yet. */
+  /**
+   * Answers a request of a node, with 429 if it exceeds the rate limits. A watch is answered later
+   * if there are no changes yet.
+   */
   handle(
     method: string,
     path: string,
--- a/packages/testing/src/fakes/fake-worker.ts
+++ b/packages/testing/src/fakes/fake-worker.ts
@@ -162,7 +162,7 @@
     this.startNewEpoch(this.host.now());
   }
 
-  /** Ends all tasks, forgets those that have exited, and advances the agent epoch. */
+  /** Ends running tasks, forgets all tasks, and advances the agent epoch. */
   private startNewEpoch(now: number): void {
     for (const t of this.tasks) {
       if (t.status === 'running') this.host.noteEnd(t.piece, this.machine.id, 'lease');
--- a/packages/testing/src/scenarios/fetches.test.ts
+++ b/packages/testing/src/scenarios/fetches.test.ts
@@ -17,7 +17,10 @@
   }
 }
 
-/** Most images that one machine is fetching 4 s from now; runs these jobs until done. */
+/**
+ * Runs the cluster until these jobs are done. Returns how many images the machine with the most
+ * fetches was fetching after the first 4 s.
+ */
 function maxConcurrentFetches(cluster: SimulatedCluster, from: number, count: number): number {
   cluster.run(4000);
   const maxCount = Math.max(
--- a/packages/testing/src/scenarios/older-versions.test.ts
+++ b/packages/testing/src/scenarios/older-versions.test.ts
@@ -200,8 +200,9 @@
   assert.deepEqual([...seen].sort(), ['ended', 'leader', 'live', 'owned', 'progress', 'roster']);
 });
 
-// A leader of the older version in between ends jobs without storing when, writes shards up to the
-// limits that it knows, and copies fields that it does not know.
+// A leader of the older version, in office between two of the current one, ends jobs without storing
+// when. It also writes shards up to the limits that it knows and copies fields that it does not
+// know, which this test does not simulate.
 test('a job completes after a leader of the older version has ended its predecessor', () => {
   for (const pause of [300, 3000]) {
     const cluster = readyCluster({ runTimeOf: (p) => (p.startsWith(JOB1) ? 6000 : 4000) });
--- a/packages/testing/src/scenarios/placement.test.ts
+++ b/packages/testing/src/scenarios/placement.test.ts
@@ -66,8 +66,8 @@
 });
 
 // Guards against endless preemption: borrowed work of higher priority preempted work inside a
-// guarantee, whose team then reclaimed the capacity, and so on. One run of
-// a day made no progress because of it and preempted tasks thousands of times.
+// guarantee, whose team then reclaimed the capacity, and so on. One run that covered a day made no
+// progress because of it and preempted tasks thousands of times.
 test('work inside a guarantee and borrowed work of higher priority do not preempt each other in turn', () => {
   const cluster = readyCluster({ capacity: 2, guarantee: 4 }, 2);
   const low = { owner: 'other', urgency: 'idle', batch: 4, expected_s: 40 };
--- a/packages/testing/src/scenarios/rolling-upgrade.test.ts
+++ b/packages/testing/src/scenarios/rolling-upgrade.test.ts
@@ -213,6 +213,7 @@
       cluster.run(4 * REPLACEMENT_INTERVAL_MS + DOWNTIME_MS);
       cluster.lowerStateLimits();
       submitChains(cluster);
+      // Cancels the first job of the second chain, so that its dependents end too.
       cluster.at(4000, () => cancelOnFollower(cluster, FIRST_CHAIN_JOB_NUMBER + 4));
       cluster.run(20_000);
       assertRecovery(cluster, allJobs());
--- a/packages/testing/src/scenarios/stale-cancellations.test.ts
+++ b/packages/testing/src/scenarios/stale-cancellations.test.ts
@@ -13,7 +13,8 @@
 
 /**
  * The state service refuses the leader alone, jobs 1 and 2 are cancelled at the followers, and
- * `pause` ms after the refusal the service is down for all nodes, for `outage` ms.
+ * `pause` ms after the refusal begins the service goes down for all nodes, for `outage` ms. The
+ * refusal ends 14 s after its begin, during the outage.
  */
 function refuseLeaderThenOutage(cluster: SimulatedCluster, pause: number, outage: number): void {
   const leader = cluster.leader()!;
@@ -99,7 +100,7 @@
   },
 );
 
-// The leader learns of no more changes to jobs, while its lease is still renewed.
+// The leader no longer learns of changes to jobs, while it can still renew its lease.
 testOnEachDeployment(
   'a leader whose knowledge of cancellations is stale starts no task',
   (times) => {
--- a/packages/testing/src/scenarios/steps.ts
+++ b/packages/testing/src/scenarios/steps.ts
@@ -104,12 +104,12 @@
   cluster.at(3000, () => submitWithRetries(cluster, n, overrides));
 }
 
-/** Whether any task of the job was started. */
+/** Whether a worker has a task of the job, running or not, or some task of the job is done. */
 export const hasStarted = (cluster: SimulatedCluster, n: number): boolean =>
   workers(cluster).some((w) => w.tasks.some((t) => t.piece.startsWith(jobId(n)))) ||
   cluster.checker.doneTasks(jobId(n)).size > 0;
 
-/** Ends the leader's process and starts it again after `downtime` ms; nothing without a leader. */
+/** Ends the leader's process, if there is a leader, and starts it again after `downtime` ms. */
 export function crashLeader(cluster: SimulatedCluster, downtime = 6000): void {
   const leader = cluster.leader();
   if (leader === null) return;
--- a/packages/testing/src/scenarios/zones.test.ts
+++ b/packages/testing/src/scenarios/zones.test.ts
@@ -66,9 +66,9 @@
   }
 });
 
-// A leader counts a grant from the moment at which it first sees it. Were an expired grant first
-// seen when a lease expires and counted as new, the registry would be reconciled a grant and a
-// lease later, with all older work waiting.
+// A leader counts a grant's duration from the moment at which it first sees the grant. If it saw an
+// expired grant for the first time only when a lease expires, it would treat the grant as new and
+// reconcile the registry a grant and a lease later, while all older work waits.
 test('grants that expired long ago do not delay the expiry of leases', () => {
   const cluster = busyCluster();
   const { machines } = partitionZones(cluster);
--- a/packages/testing/src/simulation/controller-processes.ts
+++ b/packages/testing/src/simulation/controller-processes.ts
@@ -24,7 +24,10 @@
 /** One-way latency of the nodes' calls and of the workers' heartbeats. */
 export const ONE_WAY_LATENCY_MS = 5;
 
-/** Delivers a node's call to its target. Neither way includes the latency; the caller adds it. */
+/**
+ * Delivers a node's call to its target and passes the result to `done`. The caller adds the latency
+ * in both directions.
+ */
 type CallRouter = (from: string, call: Call, done: (result: CallResult) => void) => void;
 
 /** Options and environment of the controllers. */
--- a/packages/testing/src/simulation/simulated-network.ts
+++ b/packages/testing/src/simulation/simulated-network.ts
@@ -12,7 +12,7 @@
     return this.cuts.has(from) || this.cuts.has(to) || this.cuts.has(`${from}>${to}`);
   }
 
-  /** Cuts a node off from the state service and its peers, but not from workers and users. */
+  /** Cuts a node off from the state service and its peers, but not from cloud, workers and users. */
   isolate(name: string): void {
     this.cuts.add(`${name}>state`);
     for (const peer of NODES) {
--- a/packages/testing/src/simulation/worker-fleet.ts
+++ b/packages/testing/src/simulation/worker-fleet.ts
@@ -31,7 +31,7 @@
   readonly leaseDuration: Duration;
   /** The worker of each running machine, by machine id. */
   readonly workers = new Map<string, FakeWorker>();
-  /** Additional one-way latency between workers and nodes. */
+  /** Additional one-way latency of heartbeats and of their responses, not of direct commands. */
   extraLatency: Duration = 0;
   /**
    * Chooses for each heartbeat the delay after which a copy of it arrives; null for no copy. The
--- a/packages/testing/src/soak/users.ts
+++ b/packages/testing/src/soak/users.ts
@@ -20,8 +20,8 @@
 /** Time between the acceptance and the cancellation of such a job. */
 const CANCELLATION_DELAY_MS: Range = [0, 25_000];
 /**
- * How often users submit a job again, poll a job after cancelling it, or choose the job to poll
- * from all jobs instead of the unfinished ones.
+ * Probability that a user submits an accepted job again, polls a job after cancelling it, or chooses
+ * the job to poll from all accepted jobs instead of the unfinished ones.
  */
 const REPEATED_REQUEST_FRACTION = 0.2;
 
--- a/packages/testing/src/soak/worker-host.ts
+++ b/packages/testing/src/soak/worker-host.ts
@@ -60,7 +60,7 @@
   readonly nodeNames = [...NODES];
   readonly heartbeatInterval: Duration;
   readonly leaseDuration: Duration;
-  /** Times from heartbeats to their results, which include failed calls. */
+  /** Time from each heartbeat to its result, also for calls that failed. */
   readonly responseTimes: Duration[] = [];
   /** When a task of each job last ended. */
   readonly lastEndByJob = new Map<string, Instant>();
