--- a/packages/adapters/src/outgoing-calls.ts
+++ b/packages/adapters/src/outgoing-calls.ts
@@ -44,7 +44,10 @@
     this.limiter.setWriteFraction(fraction);
   }
 
-  /** Sends a call once the rate limits allow it; `onResult` is called exactly once. */
+  /**
+   * Sends a call once the rate limits allow it; `onResult` is called exactly once. It is a callback
+   * since the result goes back to the state owner's queue.
+   */
   send(call: Call, onResult: (result: CallResult) => void): void {
     const drop = () => {
       this.dependencies.stats.count(`calls.${call.target}.dropped`);
--- a/packages/testing/src/scenarios/job-lifecycle.test.ts
+++ b/packages/testing/src/scenarios/job-lifecycle.test.ts
@@ -116,7 +116,7 @@
   assert.equal(new Set(tokens()).size, tokens().length);
 });
 
-test('a leader that hangs until it is deposed and then resumes breaks no rule', () => {
+test('a leader that hangs until it is deposed causes no lost or double run when it resumes', () => {
   const cluster = readyCluster();
   cluster.submit(job(1, { batch: 8, expected_s: 30 }), followers(cluster)[0]!);
   cluster.run(6000);
--- a/packages/testing/src/scenarios/late-messages.test.ts
+++ b/packages/testing/src/scenarios/late-messages.test.ts
@@ -12,7 +12,7 @@
 } from './steps.js';
 
 testOnEachDeployment(
-  'commands to machines that hang and resume seconds later break no rule',
+  'machines that hang after starts are sent cause no double run and stop cancelled tasks in time',
   (times) => {
     for (const hang of [1500, 5000, 9000]) {
       const cluster = readyDeployment(times);
@@ -52,7 +52,7 @@
 );
 
 testOnEachDeployment(
-  'copies of heartbeats of earlier agent epochs or attempts that arrive late break no rule',
+  'late copies of heartbeats of earlier agent epochs or attempts cause no lost or double run',
   (times) => {
     for (const delay of [2500, times.lease * 0.8, times.lease * 1.7]) {
       const cluster = readyDeployment(times, { runTime: 9000 });
@@ -71,7 +71,7 @@
 );
 
 testOnEachDeployment(
-  'copies of heartbeats that reach a new leader after its first decisions break no rule',
+  'heartbeat copies that reach a new leader after its first decisions cause no lost or double run',
   (times) => {
     for (const delay of [times.leaderLease + 1500, times.leaderLease + 6000, times.lease]) {
       const cluster = readyDeployment(times, { runTime: 12_000 });
@@ -92,7 +92,7 @@
 
 // The copy was sent before the last leader's starts arrived, so it shows a machine without tasks.
 testOnEachDeployment(
-  'an outdated heartbeat without tasks, the first that a new leader gets, breaks no rule',
+  'a new leader whose first heartbeats are old and show no task starts no running task elsewhere',
   (times) => {
     const cluster = readyDeployment(times);
     cluster.fleet.duplicateDelay = () => 13_000;
@@ -111,7 +111,7 @@
 );
 
 testOnEachDeployment(
-  'transactions that get no answer and execute late, after newer ones, break no rule',
+  'unanswered transactions that execute after newer ones lose no job and change no final status',
   (times) => {
     const cluster = readyDeployment(times, { runTime: 6000, capacity: 8 });
     const commits = (path: string) => path === '/commit';
--- a/packages/testing/src/scenarios/older-versions.test.ts
+++ b/packages/testing/src/scenarios/older-versions.test.ts
@@ -203,7 +203,7 @@
 // A leader of the older version, in office between two of the current one, ends jobs without storing
 // when. It also writes shards up to the limits that it knows and copies fields that it does not
 // know, which this test does not simulate.
-test('a job completes after a leader of the older version has ended its predecessor', () => {
+test('a job completes if the end of its predecessor has no time, as in the older version', () => {
   for (const pause of [300, 3000]) {
     const cluster = readyCluster({ runTimeOf: (p) => (p.startsWith(JOB1) ? 6000 : 4000) });
     cluster.submit(job(1), 'n-0');
--- a/packages/testing/src/scenarios/single-faults.test.ts
+++ b/packages/testing/src/scenarios/single-faults.test.ts
@@ -59,7 +59,7 @@
   ['nearly a lease', 15_000],
   ['well over a lease', 50_000],
 ] as const) {
-  test(`copies of heartbeats that arrive ${name} late, through a leader crash and a reboot, break no rule`, () => {
+  test(`heartbeat copies ${name} late, a leader crash and a reboot cause no double run`, () => {
     const cluster = readyCluster({ capacity: 4, runTime: 8000 }, 2);
     cluster.fleet.duplicateDelay = () => delay;
     for (let i = 1; i <= 4; i++) cluster.submit(job(i, { batch: 6 }), 'n-0');
--- a/packages/testing/src/scenarios/stale-cancellations.test.ts
+++ b/packages/testing/src/scenarios/stale-cancellations.test.ts
@@ -87,7 +87,7 @@
 );
 
 testOnEachDeployment(
-  'a machine that hangs while its job is cancelled at a follower stops it in time',
+  'tasks of a job cancelled at a follower while their machine hangs are stopped in time',
   (times) => {
     for (const hang of [8000, times.lease - 2000, times.lease + 15_000]) {
       const cluster = busyDeployment(times, 2, 4);
--- a/packages/testing/src/scenarios/zones.test.ts
+++ b/packages/testing/src/scenarios/zones.test.ts
@@ -104,7 +104,7 @@
   assertNoViolations(cluster);
 });
 
-test('workers find a leader that refuses connections of its peers, without a grant', () => {
+test('workers find a leader that refuses connections of its peers; no grant is requested', () => {
   const cluster = readyCluster({}, 3);
   const leader = cluster.leader()!;
   const peers = followers(cluster);
--- a/packages/testing/src/soak/fault-injector.ts
+++ b/packages/testing/src/soak/fault-injector.ts
@@ -5,8 +5,9 @@
 import { NODES, SOAK_TIMES, type NodeName } from './site-times.js';
 import type { MachineFaults } from './worker-host.js';
 
-/** Time from the kill of a controller to its restart. */
+/** Time from the kill of a controller to its restart: about a second. */
 const RESTART_DELAY_MS: Duration = 1200;
+/** The same for a quick restart of the leader: a fraction of a second. */
 const SHORT_RESTART_DELAY_MS: Duration = 120;
 /** How long the state service refuses only the leader before it refuses all controllers. */
 const LEADER_ONLY_REFUSED_MS: Duration = 1500;
